--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # Everything a developer or CI runs. Needs Go and make only.
 GO ?= go
 
-.PHONY: build demo test lint experiment capacity spread generate tools
+.PHONY: build demo test lint experiment capacity spread generate tools gopls
 
 build:
 	$(GO) build -o bin/ ./cmd/...
@@ -19,6 +19,10 @@
 tools:
 	cd tools && $(GO) build -o ../.bin/ google.golang.org/protobuf/cmd/protoc-gen-go connectrpc.com/connect/cmd/protoc-gen-connect-go honnef.co/go/tools/cmd/staticcheck
 
+# For renames (`.bin/gopls rename -w FILE:LINE:COLUMN NAME`). A module of its own: it needs older packages than the tools.
+gopls:
+	cd tools/gopls && $(GO) build -o ../../.bin/ golang.org/x/tools/gopls
+
 lint: tools
 	test -z "$$(gofmt -l cmd internal platform e2e)"
 	$(GO) vet ./...
