--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -319,7 +319,7 @@
 		kind = eventlog.Failed
 	}
 	s.log.Line(kind).Str("request", req.ID).Str("route", req.Pool.Name).Uint64("chat", req.Chat).Str("team", req.Team).
-		Int("code", int(result.Code)).Str("name", info.Name).Str("ran", info.Ran.String()).Str("target", result.Target).
+		Int("code", int(result.Code)).Str("name", info.Name).Str("ran", info.Execution.String()).Str("target", result.Target).
 		Int("attempts", result.Attempts).Dur("first", result.FirstPart).Dur("total", result.Total).
 		Dur("budget", req.Deadline.Sub(s.now().Add(-result.Total))).Msg("")
 }
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -242,7 +242,7 @@
 		Order: []string{}, Leaving: []string{},
 	}
 	var top rendezvous.Top
-	pool.Rank(rendezvous.Hash(chat), &top, rendezvous.MaxTop)
+	pool.RankTargets(rendezvous.Hash(chat), &top, rendezvous.MaxTop)
 	for i := range top.Len {
 		out.Order = append(out.Order, pool.Targets[top.Index[i]].Name)
 	}
--- a/internal/adapter/target/target.go
+++ b/internal/adapter/target/target.go
@@ -104,7 +104,7 @@
 		// From here on bytes may be written. The event comes before the first of
 		// them: a crash in between then errs on the side of "may have run".
 		wrote = true
-		emit(Answer{Event: attempt.Wrote{Attempt: d.Attempt}})
+		emit(Answer{Event: attempt.WriteStarted{Attempt: d.Attempt}})
 	}}
 	req, err := c.request(httptrace.WithClientTrace(ctx, trace), d)
 	if err != nil {
@@ -119,7 +119,7 @@
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		if wrote {
-			emit(Answer{Event: attempt.Broken{Attempt: d.Attempt}})
+			emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Attempt}})
 		} else {
 			emit(Answer{Event: attempt.NotSent{Attempt: d.Attempt}})
 		}
@@ -147,7 +147,7 @@
 
 func (c *Client) answer(d Dispatch, resp *http.Response, emit func(Answer)) {
 	if resp.Header.Get(wire.HeaderNotRun) != "" {
-		emit(Answer{Event: attempt.TurnedAway{Attempt: d.Attempt}})
+		emit(Answer{Event: attempt.TargetRefused{Attempt: d.Attempt}})
 		return
 	}
 	if !d.Stream {
@@ -155,7 +155,7 @@
 		return
 	}
 	if resp.StatusCode != http.StatusOK {
-		emit(Answer{Event: attempt.Broken{Attempt: d.Attempt}})
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Attempt}})
 		return
 	}
 	c.stream(d, resp.Body, emit)
@@ -184,7 +184,7 @@
 		err = errNoEnd
 	}
 	if err != nil {
-		emit(Answer{Event: attempt.Broken{Attempt: d.Attempt}})
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Attempt}})
 		return
 	}
 	emit(Answer{Event: attempt.End{Attempt: d.Attempt, Echo: d.echo(last.ID), Total: last.Offset}})
@@ -204,7 +204,7 @@
 func (c *Client) plain(d Dispatch, resp *http.Response, emit func(Answer)) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.settings.MaxAnswer+1))
 	if err != nil || int64(len(body)) > c.settings.MaxAnswer {
-		emit(Answer{Event: attempt.Broken{Attempt: d.Attempt}})
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Attempt}})
 		return
 	}
 	echo := d.Attempt
--- a/internal/app/configstore/configstore.go
+++ b/internal/app/configstore/configstore.go
@@ -254,7 +254,7 @@
 		return r, code.New(code.NoSuchResource, "no %s %q", r.Kind, r.Metadata.Name)
 	}
 	if r.Metadata.ResourceVersion != old.Metadata.ResourceVersion {
-		return r, code.AtField(code.Conflict, "metadata.resourceVersion",
+		return r, code.NewFieldError(code.Conflict, "metadata.resourceVersion",
 			"%s %q is at version %d, the request has %d", r.Kind, r.Metadata.Name, old.Metadata.ResourceVersion, r.Metadata.ResourceVersion)
 	}
 	if r.Deleted {
--- a/internal/app/gateway/answer.go
+++ b/internal/app/gateway/answer.go
@@ -41,7 +41,7 @@
 		t.ran(answer, reply.Sealed)
 		return t.pass(answer, body)
 	}
-	return x.machine.Step(attempt.Broken{Attempt: t.number})
+	return x.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
 }
 
 // ran tells that the target has run the request and goes on. An answer without a length ends with its connection, as one does whose
@@ -70,11 +70,11 @@
 func (t *try) errored(answer *upstream.Answer, body []byte) attempt.Action {
 	t.outcome, t.failure = placement.Errored, "target_error"
 	x := t.run
-	if !x.match.route.Repeatable() {
+	if !x.match.route.AllowsRetry() {
 		return t.pass(answer, body)
 	}
 	x.kept = &kept{status: answer.Status, header: answer.Header, body: body}
-	return x.machine.Step(attempt.Broken{Attempt: t.number})
+	return x.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
 }
 
 func (t *try) pass(answer *upstream.Answer, body []byte) attempt.Action {
@@ -149,7 +149,7 @@
 		x.out.Begin(answer.Status, answer.Header, -1)
 	}
 	if err := x.out.Write(data[:whole]); err != nil {
-		return nil, x.machine.Step(attempt.CallerLeft{})
+		return nil, x.machine.Step(attempt.CallerDisconnected{})
 	}
 	return data[whole:], attempt.Action{}
 }
@@ -185,7 +185,7 @@
 		return t.ended()
 	}
 	t.broken("stream_cut", err)
-	return x.machine.Step(attempt.Broken{Attempt: t.number})
+	return x.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
 }
 
 // The patience with a silent target, as multiples of what the route aims at. A
@@ -208,7 +208,7 @@
 // watchFirst starts to watch for the first byte of the answer.
 func (t *try) watchFirst() {
 	wait := patience(t.run.match.route.Objective, patienceFirst)
-	t.silence.Until(t.began.Add(wait))
+	t.silence.SetDeadline(t.began.Add(wait))
 	t.timer = time.AfterFunc(wait, t.fired)
 }
 
@@ -217,7 +217,7 @@
 func (t *try) listen() {
 	wait := patience(t.run.match.route.GapObjective, patienceGap)
 	t.mu.Lock()
-	t.silence.Until(t.run.relay.now().Add(wait))
+	t.silence.SetDeadline(t.run.relay.now().Add(wait))
 	t.mu.Unlock()
 	t.timer.Reset(wait)
 }
@@ -226,9 +226,9 @@
 func (t *try) fired() {
 	x := t.run
 	t.mu.Lock()
-	silent := t.silence.Silent(x.relay.now())
+	silent := t.silence.IsSilent(x.relay.now())
 	if !silent {
-		t.silence.Until(x.relay.now().Add(patienceLeast))
+		t.silence.SetDeadline(x.relay.now().Add(patienceLeast))
 	}
 	t.mu.Unlock()
 	if !silent {
@@ -241,7 +241,7 @@
 	if x.relay.view.silent(x.relay.now(), t.choice.Target.UID) {
 		x.note(eventlog.TargetSuspended).Str("target", t.choice.Target.ID).Str("why", "silent").Msg("")
 	}
-	if x.match.route.Repeatable() && x.match.route.MaxAttempts > t.number {
+	if x.match.route.AllowsRetry() && x.match.route.MaxAttempts > t.number {
 		t.cancel(errSilent)
 	}
 }
--- a/internal/app/gateway/bench_test.go
+++ b/internal/app/gateway/bench_test.go
@@ -21,7 +21,7 @@
 
 func (entries) Evacuated([]replica.Row) []string { return nil }
 
-func (entries) Desired([]replica.Row) (*route.State, error) { return nil, nil }
+func (entries) Desired([]replica.Row) (*route.DesiredState, error) { return nil, nil }
 
 func (entries) Targets(rows []replica.Row) (map[string][]placement.Target, []RejectedEntry) {
 	out := make(map[string][]placement.Target)
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -150,7 +150,7 @@
 		since, until := c.core.Outage()
 		k.Lapsed, k.Since, k.Until = lapsedBackWithin, since, until.Add(lapsedBackWithin)
 	}
-	if ablate.Off(ablate.GoneGrace) {
+	if ablate.IsOff(ablate.RemovalGrace) {
 		k = placement.Keep{}
 	}
 	c.view.goneGrace.Store(int64(max(k.Gone, k.Lapsed)))
@@ -170,7 +170,7 @@
 // same; those that were heard once may be cut off.
 func (c *Control) shareSlack(now time.Time) {
 	c.routers = max(c.routers, c.core.Alive(now)+1)
-	if !c.settings.FirstStart && (c.fleet == nil || now.Sub(c.startedAt) < retry.SlackAfter(c.settings.RetryWindow)) {
+	if !c.settings.FirstStart && (c.fleet == nil || now.Sub(c.startedAt) < retry.SlackDelay(c.settings.RetryWindow)) {
 		return
 	}
 	n := max(c.routers, len(c.fleet)+1)
@@ -273,7 +273,7 @@
 	c.view.board.HeardRead(now, a.Prompts)
 	c.view.mu.Unlock()
 	c.heardDepartures(now, a.Departures)
-	if !a.Poison.Empty() {
+	if !a.Poison.IsEmpty() {
 		c.poisonFresh = c.view.guard.heard(now, a.Poison) || c.poisonFresh
 	}
 	for _, id := range ejected {
--- a/internal/app/gateway/inforce.go
+++ b/internal/app/gateway/inforce.go
@@ -48,7 +48,7 @@
 
 // putInForce swaps the routing table. Versions only rise within one process, by
 // whichever way a state comes.
-func (c *Control) putInForce(now time.Time, state *route.State, a fleet.Changed) {
+func (c *Control) putInForce(now time.Time, state *route.DesiredState, a fleet.Changed) {
 	if state.Version <= c.version {
 		return
 	}
@@ -70,7 +70,7 @@
 func limitsOf(table *route.Table) map[string]placement.PoolLimits {
 	out := make(map[string]placement.PoolLimits)
 	for name, p := range table.Pools() {
-		out[name] = placement.PoolLimits{Connections: p.MaxConnections, ColdPerSecond: p.ColdPerSecond, ColdFor: p.ColdFor}
+		out[name] = placement.PoolLimits{Connections: p.MaxConnections, ColdPerSecond: p.ColdRequestsPerSecond, ColdFor: p.WarmUpTime}
 	}
 	return out
 }
@@ -95,7 +95,7 @@
 func (c *Control) updateBehind(now time.Time) {
 	c.view.behind.Store(c.core.Behind())
 	since := c.core.Outdated(now)
-	stale := !ablate.Off(ablate.Outdated) && since >= time.Duration(staleShare*float64(c.settings.InForceWithin))
+	stale := !ablate.IsOff(ablate.StaleState) && since >= time.Duration(staleShare*float64(c.settings.InForceWithin))
 	if stale != c.view.stale.Load() {
 		c.view.stale.Store(stale)
 		c.log.Line(eventlog.StaleChanged).Bool("stale", stale).Uint64("version", c.version).Dur("behind", since).Msg("")
--- a/internal/app/gateway/keep.go
+++ b/internal/app/gateway/keep.go
@@ -143,12 +143,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	held = make(map[poison.Fingerprint]bool)
-	for _, s := range g.detector.All(now) {
+	for _, s := range g.detector.ListSuspects(now) {
 		if s.Level == 0 {
 			continue
 		}
 		held[s.Request] = true
-		if kept[s.Request] != s.Level && s.Request.Home(g.self, g.others) {
+		if kept[s.Request] != s.Level && s.Request.IsHomeRouter(g.self, g.others) {
 			put = append(put, s)
 		}
 	}
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -38,27 +38,27 @@
 }
 
 // admit decides whether a request may be sent.
-func (g *guard) admit(now time.Time, f poison.Fingerprint) poison.Verdict {
-	if g.suspects.Load() == 0 || ablate.Off(ablate.Poison) {
-		return poison.Verdict{}
+func (g *guard) admit(now time.Time, f poison.Fingerprint) poison.Decision {
+	if g.suspects.Load() == 0 || ablate.IsOff(ablate.Poison) {
+		return poison.Decision{}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.detector.Admit(now, f, func() bool { return f.Home(g.self, g.others) })
+	return g.detector.Admit(now, f, func() bool { return f.IsHomeRouter(g.self, g.others) })
 }
 
 // ran takes in that a target answered a request.
 func (g *guard) ran(now time.Time, f poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.detector.Ran(now, f)
+	g.detector.RecordAnswer(now, f)
 	g.count()
 }
 
 func (g *guard) trialOver(now time.Time, f poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.detector.TrialOver(now, f)
+	g.detector.EndTrial(now, f)
 }
 
 // ended takes in that a target ended under requests.
@@ -66,24 +66,24 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, f := range requests {
-		g.detector.Ended(now, f, target)
+		g.detector.RecordExit(now, f, target)
 	}
 }
 
 // heard takes in what another router tells, and reports whether that is to be told on.
-func (g *guard) heard(now time.Time, n poison.News) (fresh bool) {
+func (g *guard) heard(now time.Time, n poison.Report) (fresh bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.detector.Heard(now, n)
+	g.detector.ReceiveReport(now, n)
 	g.count()
-	return g.detector.Fresh()
+	return g.detector.HasUrgentReport()
 }
 
 // news returns what is to be told now.
 func (g *guard) news(now time.Time) fleet.News {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return fleet.News{Poison: g.detector.TakeNews(now), Held: g.detector.All(now), HeldKnown: g.known}
+	return fleet.News{Poison: g.detector.NextReport(now), Held: g.detector.ListSuspects(now), HeldKnown: g.known}
 }
 
 // tick lets time pass, with the routers that are alive.
@@ -101,7 +101,7 @@
 	return changes
 }
 
-func (g *guard) count() { g.suspects.Store(int64(g.detector.Suspects())) }
+func (g *guard) count() { g.suspects.Store(int64(g.detector.SuspectCount())) }
 
 // learned notes that this router knows whom the others suspect.
 func (g *guard) learned() {
@@ -241,8 +241,8 @@
 		if ch.Kind == poison.Suspected {
 			cancelled = c.view.attempts.suspected(ch.Request)
 		}
-		c.log.Line(eventlog.PoisonChanged).Stringer("fingerprint", ch.Request).Str("change", string(ch.Kind)).Int("ends", ch.Ends).
-			Int("level", ch.Level).Dur("wait", ch.Wait).Int("attempts", cancelled).Msg("")
+		c.log.Line(eventlog.PoisonChanged).Stringer("fingerprint", ch.Request).Str("change", string(ch.Kind)).Int("ends", ch.Exits).
+			Int("level", ch.Level).Dur("wait", ch.RefusedFor).Int("attempts", cancelled).Msg("")
 		select {
 		case c.keepWake <- struct{}{}:
 		default:
--- a/internal/app/gateway/ports.go
+++ b/internal/app/gateway/ports.go
@@ -50,7 +50,7 @@
 // Decoder decodes rows of the platform's tables.
 type Decoder interface {
 	// Desired returns the newest desired state, nil if there is none yet.
-	Desired(rows []replica.Row) (*route.State, error)
+	Desired(rows []replica.Row) (*route.DesiredState, error)
 	// Evacuated returns the data centres that are to get nothing, by rows of the same table as the desired state.
 	Evacuated(rows []replica.Row) []string
 	// Targets returns the targets by pool, and the rows that name none.
--- a/internal/app/gateway/relay.go
+++ b/internal/app/gateway/relay.go
@@ -143,14 +143,14 @@
 	m := &Match{call: call, route: rt, began: r.now(), version: table.Version, MaxBodyBytes: table.MaxBodyBytes}
 	if team, ok := table.TeamByKey(call.Key); ok {
 		m.team = team
-	} else if table.HasTeams() && !rt.Public {
+	} else if table.RequiresKey() && !rt.Public {
 		return nil, r.denied(code.UnknownKey)
 	}
 	hash := call.Chat
 	if hash == 0 {
 		hash = rendezvous.Hash(call.ID)
 	}
-	m.pool = rt.Choose(hash)
+	m.pool = rt.ChoosePool(hash)
 	return m, code.OK
 }
 
@@ -196,7 +196,7 @@
 	x := &run{
 		relay: r, match: m, body: body, out: out, ends: m.began.Add(budget), fingerprint: m.fingerprint(body),
 		machine: attempt.New(attempt.Spec{
-			Idempotent: m.route.Repeatable(), MaxAttempts: max(m.route.MaxAttempts, 1), MaxUnrun: maxUnrun,
+			Idempotent: m.route.AllowsRetry(), MaxAttempts: max(m.route.MaxAttempts, 1), MaxNotExecuted: maxUnrun,
 		}),
 	}
 	if by := r.view.finishing.Load(); by != nil {
@@ -216,7 +216,7 @@
 	defer cancel()
 	r.view.countRequest(m.began, m.pool)
 	action := x.next()
-	for action.Kind == attempt.Ask {
+	for action.Kind == attempt.RequestTicket {
 		action = x.again()
 	}
 	x.finish(action.Code)
--- a/internal/app/gateway/run.go
+++ b/internal/app/gateway/run.go
@@ -53,9 +53,9 @@
 	r := x.relay
 	if full, ok := r.view.allowRepeat(r.now(), x.match.pool); !ok {
 		x.denied = true
-		x.note(eventlog.RepeatDenied).Str("pool", x.match.pool).Int("repeats", full.Repeats).Float64("allowed", full.Allowed).
+		x.note(eventlog.RepeatDenied).Str("pool", x.match.pool).Int("repeats", full.Retries).Float64("allowed", full.Allowed).
 			Float64("requests", full.Requests).Float64("slack", full.Slack).Msg("")
-		return x.machine.Step(attempt.Refused{Code: code.TargetRefused})
+		return x.machine.Step(attempt.TicketRefused{Code: code.TargetRefused})
 	}
 	x.repeats++
 	return x.next()
@@ -70,9 +70,9 @@
 	}
 	suspicion := r.view.guard.admit(now, x.fingerprint)
 	if suspicion.Refused {
-		x.note(eventlog.PoisonRefused).Stringer("fingerprint", x.fingerprint).Dur("wait", suspicion.Wait).Msg("")
-		x.notBefore = suspicion.Wait
-		return x.machine.Step(attempt.Refused{Code: code.Poison})
+		x.note(eventlog.PoisonRefused).Stringer("fingerprint", x.fingerprint).Dur("wait", suspicion.RetryAfter).Msg("")
+		x.notBefore = suspicion.RetryAfter
+		return x.machine.Step(attempt.TicketRefused{Code: code.Poison})
 	}
 	x.trial = suspicion.Trial
 	if x.trial {
@@ -81,17 +81,17 @@
 	choice, verdict, ok := r.view.place(now, placement.Ask{
 		Pool: x.match.pool, Chat: x.match.call.Chat, Prompt: x.match.call.Prompt, Tokens: x.match.call.Tokens,
 		Objective: x.match.route.Objective, Excluded: x.machine.Excluded(),
-	}, admission.Ask{Team: x.match.teamName(), Rank: x.match.rank(), RouteRank: x.match.route.Priority, Left: x.ends.Sub(now), Objective: x.match.route.Objective}, x.machine.MayHaveRun())
+	}, admission.Request{Team: x.match.teamName(), Rank: x.match.rank(), RouteRank: x.match.route.Priority, Remaining: x.ends.Sub(now), Objective: x.match.route.Objective}, x.machine.MayHaveExecuted())
 	switch {
 	case !ok:
-		return x.machine.Step(attempt.Refused{Code: r.view.noTarget(now, x.match.pool)})
+		return x.machine.Step(attempt.TicketRefused{Code: r.view.noTarget(now, x.match.pool)})
 	case verdict.Code != code.OK:
 		x.note(eventlog.NotAdmitted).Str("target", choice.Target.ID).Int("open", choice.Open).
 			Dur("wait", verdict.Wait).Dur("left", x.ends.Sub(now)).Int("rank", x.match.rank()).Msg("")
 		x.retryAfter = verdict.RetryAfter
-		return x.machine.Step(attempt.Refused{Code: verdict.Code})
+		return x.machine.Step(attempt.TicketRefused{Code: verdict.Code})
 	}
-	action := x.machine.Step(attempt.Granted{Target: choice.Target.UID})
+	action := x.machine.Step(attempt.TicketGranted{Target: choice.Target.UID})
 	a := &try{run: x, choice: choice, number: action.Attempt, began: now, outcome: placement.Neutral}
 	x.notePlaced(a, r.view.loadsAge(now))
 	action = a.make()
@@ -113,9 +113,9 @@
 // gaveUp ends the request because its caller left or its deadline came.
 func (x *run) gaveUp() attempt.Action {
 	if errors.Is(context.Cause(x.ctx), context.Canceled) {
-		return x.machine.Step(attempt.CallerLeft{})
+		return x.machine.Step(attempt.CallerDisconnected{})
 	}
-	return x.machine.Step(attempt.DeadlineCame{})
+	return x.machine.Step(attempt.DeadlinePassed{})
 }
 
 func (x *run) finish(c code.Code) {
@@ -155,7 +155,7 @@
 	if c != code.OK {
 		kind = eventlog.Failed
 	}
-	x.note(kind).Int("code", int(c)).Str("name", c.Lookup().Name).Str("ran", c.Lookup().Ran.String()).
+	x.note(kind).Int("code", int(c)).Str("name", c.Lookup().Name).Str("ran", c.Lookup().Execution.String()).
 		Int("status", x.status).Int("attempts", res.Attempts).Dur("first", res.First).Dur("total", res.Total).
 		Dur("budget", x.ends.Sub(x.match.began)).Msg("")
 }
--- a/internal/app/gateway/stale_test.go
+++ b/internal/app/gateway/stale_test.go
@@ -46,9 +46,9 @@
 
 func (versions) Evacuated([]replica.Row) []string { return nil }
 
-func (versions) Desired(rows []replica.Row) (*route.State, error) {
-	s := &route.State{Version: rows[0].Version, Pools: []route.Pool{{Name: "p"}}}
-	s.Routes = []route.Route{{Name: "old", Host: "h", Prefix: "/old/", Public: true, Split: []route.Share{{Pool: "p", Weight: 1}}}}
+func (versions) Desired(rows []replica.Row) (*route.DesiredState, error) {
+	s := &route.DesiredState{Version: rows[0].Version, Pools: []route.Pool{{Name: "p"}}}
+	s.Routes = []route.Route{{Name: "old", Host: "h", Prefix: "/old/", Public: true, Split: []route.WeightedPool{{Pool: "p", Weight: 1}}}}
 	return s, nil
 }
 
--- a/internal/app/gateway/targets.go
+++ b/internal/app/gateway/targets.go
@@ -36,11 +36,11 @@
 	}
 	var out []RejectedEntry
 	for pool, list := range targets {
-		if table.NamesPool(pool) {
+		if table.ReferencesPool(pool) {
 			continue
 		}
 		for _, t := range list {
-			err := code.AtField(code.BadTargetEntry, t.ID, "pool %q is not in desired state %d", pool, table.Version)
+			err := code.NewFieldError(code.BadTargetEntry, t.ID, "pool %q is not in desired state %d", pool, table.Version)
 			out = append(out, RejectedEntry{Key: t.ID, Version: t.Row, Err: err})
 		}
 		delete(targets, pool)
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -36,7 +36,7 @@
 	// timer fires when the target may have been silent for too long.
 	timer          *time.Timer
 	mu             sync.Mutex // guards what follows
-	silence        attempt.Watch
+	silence        attempt.SilenceWatch
 	silenceCounted bool // the target's silence has been counted
 }
 
@@ -56,11 +56,11 @@
 }
 
 // ofLoad returns what the attempt tells of its target's load.
-func (t *try) ofLoad(took time.Duration) admission.Answer {
+func (t *try) ofLoad(took time.Duration) admission.Outcome {
 	objective := t.run.match.route.Objective
 	switch {
 	case t.failure == failureTurnedAway:
-		return admission.TurnedAway
+		return admission.RefusedByTarget
 	case t.outcome == placement.Answered && objective > 0 && took > objective:
 		return admission.Late
 	}
@@ -137,7 +137,7 @@
 		return x.machine.Step(attempt.NotSent{Attempt: t.number})
 	}
 	t.broken("broken", err)
-	return x.machine.Step(attempt.Broken{Attempt: t.number})
+	return x.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
 }
 
 // broken records that the answer broke off, and asks whether the target has ended.
@@ -157,7 +157,7 @@
 	if !t.run.relay.view.wants(t.run.relay.now(), t.choice) {
 		return false
 	}
-	t.run.machine.Step(attempt.Wrote{Attempt: t.number})
+	t.run.machine.Step(attempt.WriteStarted{Attempt: t.number})
 	return true
 }
 
@@ -202,5 +202,5 @@
 	case reply.Pause > 0:
 		t.outcome = placement.Neutral // it says what it wants
 	}
-	return t.run.machine.Step(attempt.TurnedAway{Attempt: t.number})
+	return t.run.machine.Step(attempt.TargetRefused{Attempt: t.number})
 }
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -51,22 +51,22 @@
 // place chooses a target and decides whether the request is sent there. One that a
 // target has run in part is always sent: what was done for it would be lost. ok is
 // false if the pool has no target.
-func (v *view) place(now time.Time, a placement.Ask, q admission.Ask, begun bool) (c placement.Choice, verdict admission.Verdict, ok bool) {
+func (v *view) place(now time.Time, a placement.Ask, q admission.Request, begun bool) (c placement.Choice, verdict admission.Decision, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	gate, age := v.gate(a.Pool), v.newsAge(now)
-	a.Stale = gate.Short(age)
+	a.Stale = gate.HasShortWork(age)
 	c, ok = v.board.Place(now, a)
 	if !ok {
 		return c, verdict, false
 	}
-	verdict = gate.Decide(now, q, admission.Load{Open: c.Open, Slots: c.Target.Slots, Age: age})
+	verdict = gate.Decide(now, q, admission.Load{Open: c.Open, Slots: c.Target.Slots, ReportAge: age})
 	if verdict.Code != code.OK && !begun {
 		v.board.FirstEvent(now, c, false)
 		v.board.Done(now, c.Target.UID, placement.Neutral)
 		return c, verdict, true
 	}
-	gate.Began(q.Team)
+	gate.RecordStart(q.Team)
 	verdict.Code = code.OK
 	return c, verdict, true
 }
@@ -88,10 +88,10 @@
 }
 
 // done takes an attempt off its target, after it held a place there for a while.
-func (v *view) done(now time.Time, pool, team string, target uint64, o placement.Outcome, took time.Duration, answer admission.Answer) (suspended bool) {
+func (v *view) done(now time.Time, pool, team string, target uint64, o placement.Outcome, took time.Duration, answer admission.Outcome) (suspended bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.gate(pool).Ended(now, team, took, answer)
+	v.gate(pool).RecordEnd(now, team, took, answer)
 	return v.board.Done(now, target, o)
 }
 
@@ -224,18 +224,18 @@
 func (v *view) countRequest(now time.Time, pool string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.budget(now, pool).Request(now)
+	v.budget(now, pool).RecordRequest(now)
 }
 
 // allowRepeat takes one repeat out of the budget if there is room; if not, it returns what the budget holds.
-func (v *view) allowRepeat(now time.Time, pool string) (full retry.Room, ok bool) {
+func (v *view) allowRepeat(now time.Time, pool string) (full retry.Headroom, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	w := v.budget(now, pool)
-	if w.Repeat(now, v.limits) {
-		return retry.Room{}, true
+	if w.TryRetry(now, v.limits) {
+		return retry.Headroom{}, true
 	}
-	return w.Room(now, v.limits), false
+	return w.TightestHeadroom(now, v.limits), false
 }
 
 // forget drops what some sources told of their loads, or all of them if none is named.
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -126,7 +126,7 @@
 	r.cancel()
 	r.result.Total = t.now().Sub(r.began)
 	r.result.Attempts = r.machine.Attempts()
-	r.result.MayHaveRun = r.machine.MayHaveRun()
+	r.result.MayHaveRun = r.machine.MayHaveExecuted()
 	return r.result
 }
 
@@ -157,9 +157,9 @@
 		r.progress.Reset(r.traffic.silence)
 		event = r.onSilence()
 	case <-deadline:
-		event = attempt.DeadlineCame{}
+		event = attempt.DeadlinePassed{}
 	case <-ctx.Done():
-		event = attempt.CallerLeft{}
+		event = attempt.CallerDisconnected{}
 	}
 	if event != nil {
 		r.why = failureOf(event, r.why)
@@ -174,16 +174,16 @@
 		r.result.RetryAfter = d.refuse.RetryAfter
 		r.note(eventlog.TicketRefused).Int("code", int(d.refuse.Code)).Str("name", d.refuse.Code.Lookup().Name).
 			Dur("wait", d.at.Sub(r.askedAt)).Dur("retry_after", d.refuse.RetryAfter).Msg("")
-		return attempt.Refused{Code: d.refuse.Code}
+		return attempt.TicketRefused{Code: d.refuse.Code}
 	}
 	if r.traffic.now().Sub(d.at) > grantLife {
-		r.endAttempt(attempt.Action{Kind: attempt.Ask})
+		r.endAttempt(attempt.Action{Kind: attempt.RequestTicket})
 		r.ask()
 		return nil
 	}
 	r.result.Target = d.grant.Target.Name
 	r.req.Pool = d.grant.Pool
-	return attempt.Granted{Target: d.grant.Target.UID}
+	return attempt.TicketGranted{Target: d.grant.Target.UID}
 }
 
 // onSilence ends an attempt that has made no progress: its connection may have
@@ -194,7 +194,7 @@
 	}
 	r.traffic.targets.Suspect()
 	r.why = whySilent
-	return attempt.Broken{Attempt: r.machine.Attempts()}
+	return attempt.ConnectionFailed{Attempt: r.machine.Attempts()}
 }
 
 func (r *run) act(ctx context.Context, a attempt.Action, answer target.Answer, forward func(target.Answer) error) {
@@ -209,9 +209,9 @@
 		// The target was not listened to meanwhile: its silence counts from now.
 		r.progress.Reset(r.traffic.silence)
 		if err != nil {
-			r.act(ctx, r.machine.Step(attempt.CallerLeft{}), answer, forward)
+			r.act(ctx, r.machine.Step(attempt.CallerDisconnected{}), answer, forward)
 		}
-	case attempt.Ask:
+	case attempt.RequestTicket:
 		r.endAttempt(a)
 		r.retry = true
 		pause := retry.Backoff(rand.Float64(), r.machine.Attempts()-1, backoffBase, backoffLimit)
@@ -241,14 +241,14 @@
 	switch {
 	case a.TargetFailed:
 		outcome = peerv1.Outcome_OUTCOME_FAILED
-	case a.Kind == attempt.Ask, a.Code != code.OK:
+	case a.Kind == attempt.RequestTicket, a.Code != code.OK:
 		outcome = peerv1.Outcome_OUTCOME_UNUSED
 	}
 	r.traffic.control.end(core.Ended{ID: r.id, Outcome: outcome})
 }
 
 func (r *run) dispatch(ctx context.Context, a attempt.Action) {
-	i, ok := r.req.Pool.Index(a.Target)
+	i, ok := r.req.Pool.TargetIndex(a.Target)
 	if !ok {
 		r.act(ctx, r.machine.Step(attempt.NotSent{Attempt: a.Attempt}), target.Answer{}, nil)
 		return
@@ -287,14 +287,14 @@
 // failureOf names the failure that an event tells of; known is a closer reason.
 func failureOf(ev attempt.Event, known string) string {
 	switch ev.(type) {
-	case attempt.Broken:
+	case attempt.ConnectionFailed:
 		if known != "" {
 			return known
 		}
 		return whyBroken
 	case attempt.NotSent:
 		return whyNotSent
-	case attempt.TurnedAway:
+	case attempt.TargetRefused:
 		return whyTurnedAway
 	}
 	return known
--- a/internal/app/router/traffic_test.go
+++ b/internal/app/router/traffic_test.go
@@ -33,7 +33,7 @@
 type fakeTargets struct{ parts int }
 
 func (f fakeTargets) Run(_ context.Context, d target.Dispatch, emit func(target.Answer)) {
-	emit(target.Answer{Event: attempt.Wrote{Attempt: d.Attempt}})
+	emit(target.Answer{Event: attempt.WriteStarted{Attempt: d.Attempt}})
 	for i := d.Offset; i < f.parts; i++ {
 		emit(target.Answer{Event: attempt.Part{Attempt: d.Attempt, Echo: d.Attempt, Offset: i}})
 	}
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -53,7 +53,7 @@
 		}
 		spec, err := json.Marshal(doc.Spec)
 		if err != nil {
-			return nil, code.AtField(code.BadResource, "spec", "%s", err)
+			return nil, code.NewFieldError(code.BadResource, "spec", "%s", err)
 		}
 		out = append(out, resource.Resource{
 			Kind:     resource.Kind(doc.Kind),
--- a/internal/core/ablate/ablate.go
+++ b/internal/core/ablate/ablate.go
@@ -13,26 +13,26 @@
 
 // The mechanisms, with what happens without them.
 const (
-	Loads       Mechanism = "loads"       // each router counts its own requests only
-	Outliers    Mechanism = "outliers"    // no target is ejected by what the fleet saw
-	Suspension  Mechanism = "suspension"  // no target rests after failures in a row
-	PanicShares Mechanism = "panicshares" // suspended and ejected targets are avoided, however many
-	Fetch       Mechanism = "fetch"       // no target fetches cached parts
-	Inventory   Mechanism = "inventory"   // sources by rendezvous order alone
-	Told        Mechanism = "told"        // each router knows only what its own requests read where
-	Centres     Mechanism = "centres"     // a chat's order knows of targets only
-	Holders     Mechanism = "holders"     // what spills goes to the next target in order
-	Pace        Mechanism = "pace"        // an open request at a slow target counts as one at a fast one
-	RemoteCost  Mechanism = "remotecost"  // plain targets in another data centre cost no more
-	Admission   Mechanism = "admission"   // whatever finds a target is sent
-	Objective   Mechanism = "objective"   // admission by the time left alone
-	Rank        Mechanism = "rank"        // ranks wait as long as the first
-	Team        Mechanism = "team"        // teams have no share
-	Yield       Mechanism = "yield"       // routes give up no places
-	Short       Mechanism = "short"       // short work is admitted by the fleet's counts too
-	GoneGrace   Mechanism = "gonegrace"   // targets that left the list are left at once
-	Poison      Mechanism = "poison"      // requests under which targets end are sent on
-	Outdated    Mechanism = "outdated"    // routers go by the desired state that they have
+	FleetLoads      Mechanism = "loads"       // each router counts its own requests only
+	Outliers        Mechanism = "outliers"    // no target is ejected by what the fleet saw
+	Suspension      Mechanism = "suspension"  // no target rests after failures in a row
+	PanicThreshold  Mechanism = "panicshares" // suspended and ejected targets are avoided, however many
+	CacheFetch      Mechanism = "fetch"       // no target fetches cached parts
+	Inventory       Mechanism = "inventory"   // sources by rendezvous order alone
+	CacheReports    Mechanism = "told"        // each router knows only what its own requests read where
+	DataCentreOrder Mechanism = "centres"     // a chat's order knows of targets only
+	CacheHolders    Mechanism = "holders"     // what spills goes to the next target in order
+	TargetSpeed     Mechanism = "pace"        // an open request at a slow target counts as one at a fast one
+	RemoteCost      Mechanism = "remotecost"  // plain targets in another data centre cost no more
+	Admission       Mechanism = "admission"   // whatever finds a target is sent
+	Objective       Mechanism = "objective"   // admission by the time left alone
+	Rank            Mechanism = "rank"        // ranks wait as long as the first
+	Team            Mechanism = "team"        // teams have no share
+	RouteYield      Mechanism = "yield"       // routes give up no places
+	ShortWork       Mechanism = "short"       // short work is admitted by the fleet's counts too
+	RemovalGrace    Mechanism = "gonegrace"   // targets that left the list are left at once
+	Poison          Mechanism = "poison"      // requests under which targets end are sent on
+	StaleState      Mechanism = "outdated"    // routers go by the desired state that they have
 )
 
 // off is set by the linker: names, separated by commas.
@@ -50,5 +50,5 @@
 	return out
 }
 
-// Off reports whether a mechanism is switched off in this build.
-func Off(m Mechanism) bool { return len(switched) > 0 && switched[m] }
+// IsOff reports whether a mechanism is switched off in this build.
+func IsOff(m Mechanism) bool { return len(switched) > 0 && switched[m] }
--- a/internal/core/ablate/ablate_test.go
+++ b/internal/core/ablate/ablate_test.go
@@ -7,7 +7,7 @@
 		t.Fatalf("%v is off", switched)
 	}
 	got := parse("fetch,pace")
-	if !got[Fetch] || !got[Pace] || got[Rank] || len(got) != 2 {
+	if !got[CacheFetch] || !got[TargetSpeed] || got[Rank] || len(got) != 2 {
 		t.Fatalf("%v", got)
 	}
 }
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -14,24 +14,24 @@
 type Load struct {
 	Open  int // this request not counted
 	Slots int // requests that it works on at once; 0 if unknown
-	// Age is how old Open is; 0 if it is exact.
-	Age time.Duration
+	// ReportAge is how old Open is; 0 if it is exact.
+	ReportAge time.Duration
 }
 
-// Ask is one request.
-type Ask struct {
+// Request is one request.
+type Request struct {
 	Team string // empty if it has none
 	Rank int    // 0 is the most urgent; the team's own if it has one
 	// RouteRank is the route's. It decides between requests of equal rank.
 	RouteRank int
-	Left      time.Duration // until its caller gives up
+	Remaining time.Duration // until its caller gives up
 	// Objective is the time to the first byte within which the answer is in time; 0 if
 	// the route names none.
 	Objective time.Duration
 }
 
-// Verdict is the decision with the figure that made it.
-type Verdict struct {
+// Decision is the decision with the figure that made it.
+type Decision struct {
 	Code code.Code // OK if the request is sent
 	Wait time.Duration
 	// RetryAfter is when a caller that is refused should come back, before jitter; of a request that is sent, if its target turns
@@ -114,20 +114,20 @@
 }
 
 // Decide admits or refuses a request.
-func (g *Gate) Decide(now time.Time, a Ask, l Load) Verdict {
+func (g *Gate) Decide(now time.Time, a Request, l Load) Decision {
 	t := g.team(a.Team)
 	t.asked = now
 	u := urgency{rank: min(max(a.Rank, 0), maxRank), route: min(max(a.RouteRank, 0), maxRank)}
 	k := g.asked(now, u, a.Objective)
-	if g.Short(l.Age) && !ablate.Off(ablate.Short) {
+	if g.HasShortWork(l.ReportAge) && !ablate.IsOff(ablate.ShortWork) {
 		return g.byAnswers(now, k, u, t, a)
 	}
 	wait := g.wait(l)
-	if wait == 0 || ablate.Off(ablate.Admission) {
-		return Verdict{Code: code.OK}
+	if wait == 0 || ablate.IsOff(ablate.Admission) {
+		return Decision{Code: code.OK}
 	}
-	v := Verdict{Code: code.OK, Wait: wait, RetryAfter: max(wait, time.Duration(retryShare*float64(a.Left)))}
-	allowed := g.allowed(now, u, a.Left)
+	v := Decision{Code: code.OK, Wait: wait, RetryAfter: max(wait, time.Duration(retryShare*float64(a.Remaining)))}
+	allowed := g.allowed(now, u, a.Remaining)
 	switch {
 	case float64(wait) > allowed, g.yields(now, u):
 		v.Code = code.QueueFull
@@ -137,14 +137,14 @@
 	return v
 }
 
-// Short reports whether a request holds its place for less time than the news of it takes.
-func (g *Gate) Short(newsAge time.Duration) bool { return g.duration <= newsAge }
+// HasShortWork reports whether a request holds its place for less time than the news of it takes.
+func (g *Gate) HasShortWork(newsAge time.Duration) bool { return g.duration <= newsAge }
 
 // byAnswers decides where the work takes less time than the news of it. A part of a request is due with each that is admitted, so that
 // the refused ones are spread evenly.
-func (g *Gate) byAnswers(now time.Time, k *asking, u urgency, t *team, a Ask) Verdict {
-	v := Verdict{Code: code.OK, RetryAfter: soon(a)}
-	if ablate.Off(ablate.Admission) {
+func (g *Gate) byAnswers(now time.Time, k *asking, u urgency, t *team, a Request) Decision {
+	v := Decision{Code: code.OK, RetryAfter: soon(a)}
+	if ablate.IsOff(ablate.Admission) {
 		return v
 	}
 	k.throttled += g.throttle.refuses(now, u == g.mostUrgent(now))
@@ -160,11 +160,11 @@
 
 // soon returns when a caller should come back whom a pool of short work has no room for. Its queues are empty again within some
 // requests' time, and come back within the objective the answer is still in time.
-func soon(a Ask) time.Duration {
+func soon(a Request) time.Duration {
 	if a.Objective > 0 {
-		return min(time.Duration(soonShare*float64(a.Objective)), a.Left)
+		return min(time.Duration(soonShare*float64(a.Objective)), a.Remaining)
 	}
-	return time.Duration(retryShare * float64(a.Left))
+	return time.Duration(retryShare * float64(a.Remaining))
 }
 
 // mostUrgent returns the most urgent of what is asked for lately.
@@ -193,11 +193,11 @@
 func (g *Gate) allowed(now time.Time, u urgency, left time.Duration) float64 {
 	allowed := waitShare * float64(left)
 	for o, k := range g.routes {
-		if !ablate.Off(ablate.Objective) && k.objective > 0 && (o == u || (o.before(u) && now.Sub(k.asked) <= askLasts)) {
+		if !ablate.IsOff(ablate.Objective) && k.objective > 0 && (o == u || (o.before(u) && now.Sub(k.asked) <= askLasts)) {
 			allowed = min(allowed, objectiveShare*float64(k.objective))
 		}
 	}
-	if ablate.Off(ablate.Rank) {
+	if ablate.IsOff(ablate.Rank) {
 		return allowed
 	}
 	return allowed / float64(1+u.rank)
@@ -214,7 +214,7 @@
 	}
 	k := g.routes[u]
 	k.yielded += min(yieldShare*float64(above), 1)
-	if k.yielded < 1 || ablate.Off(ablate.Yield) {
+	if k.yielded < 1 || ablate.IsOff(ablate.RouteYield) {
 		return false
 	}
 	k.yielded--
@@ -242,7 +242,7 @@
 
 // over reports whether a team holds more than its share of the open requests.
 func (g *Gate) over(now time.Time, t *team) bool {
-	if t.open < teamLeast || ablate.Off(ablate.Team) {
+	if t.open < teamLeast || ablate.IsOff(ablate.Team) {
 		return false
 	}
 	sharing := 0
@@ -257,14 +257,14 @@
 	return float64(t.open) >= teamShare*float64(g.total)/float64(max(sharing, 1))
 }
 
-// Began counts a request that was sent.
-func (g *Gate) Began(name string) {
+// RecordStart counts a request that was sent.
+func (g *Gate) RecordStart(name string) {
 	g.team(name).open++
 	g.total++
 }
 
-// Ended takes a request off and learns how long it held its place, and what its target answered.
-func (g *Gate) Ended(now time.Time, name string, took time.Duration, answer Answer) {
+// RecordEnd takes a request off and learns how long it held its place, and what its target answered.
+func (g *Gate) RecordEnd(now time.Time, name string, took time.Duration, answer Outcome) {
 	g.throttle.answered(now, answer)
 	g.total--
 	g.team(name).open--
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -64,7 +64,7 @@
 			e := heap.Pop(&running).(end)
 			took := e.at - e.sent
 			if gate != nil {
-				gate.Ended(start.Add(now), kinds[e.kind].team, took, admission.InTime)
+				gate.RecordEnd(start.Add(now), kinds[e.kind].team, took, admission.InTime)
 			}
 			if took <= kinds[e.kind].budget {
 				out[e.kind].inTime++
@@ -78,12 +78,12 @@
 			}
 			out[i].asked++
 			if gate != nil {
-				v := gate.Decide(start.Add(now), admission.Ask{Team: k.team, Rank: k.rank, RouteRank: k.routeRank, Left: k.budget, Objective: k.objective}, admission.Load{Open: len(running), Slots: slots})
+				v := gate.Decide(start.Add(now), admission.Request{Team: k.team, Rank: k.rank, RouteRank: k.routeRank, Remaining: k.budget, Objective: k.objective}, admission.Load{Open: len(running), Slots: slots})
 				if v.Code != code.OK {
 					out[i].refused++
 					continue
 				}
-				gate.Began(k.team)
+				gate.RecordStart(k.team)
 			}
 			place := 0
 			for j := range free {
@@ -166,13 +166,13 @@
 
 	It("tells when to come back, by the wait", func() {
 		g := admission.NewGate()
-		v := g.Decide(start, admission.Ask{Left: 50 * time.Millisecond}, admission.Load{Open: 30, Slots: 6})
+		v := g.Decide(start, admission.Request{Remaining: 50 * time.Millisecond}, admission.Load{Open: 30, Slots: 6})
 		Expect(v.Code).To(Equal(code.QueueFull))
 		Expect(v.RetryAfter).To(BeNumerically("~", 416*time.Millisecond, time.Millisecond))
 	})
 
 	It("admits everything at a target whose places are not known", func() {
-		v := admission.NewGate().Decide(start, admission.Ask{Left: time.Millisecond}, admission.Load{Open: 1000})
+		v := admission.NewGate().Decide(start, admission.Request{Remaining: time.Millisecond}, admission.Load{Open: 1000})
 		Expect(v.Code).To(Equal(code.OK))
 	})
 })
--- a/internal/core/admission/short_test.go
+++ b/internal/core/admission/short_test.go
@@ -134,11 +134,11 @@
 			end, o := admission.InTime, placement.Answered
 			switch {
 			case !a.ok:
-				end, o = admission.TurnedAway, placement.Refused
+				end, o = admission.RefusedByTarget, placement.Refused
 			case took > l.objective:
 				end = admission.Late
 			}
-			gates[a.router].Ended(at, "", took, end)
+			gates[a.router].RecordEnd(at, "", took, end)
 			boards[a.router].Done(at, a.choice.Target.UID, o)
 			rank := a.rank
 			switch {
@@ -158,13 +158,13 @@
 					got[rank].asked++
 				}
 				r := rnd.IntN(l.routers)
-				c, ok := boards[r].Place(at, placement.Ask{Pool: "p", Stale: !l.exact && gates[r].Short(l.newsAge)})
+				c, ok := boards[r].Place(at, placement.Ask{Pool: "p", Stale: !l.exact && gates[r].HasShortWork(l.newsAge)})
 				Expect(ok).To(BeTrue())
 				age := l.newsAge
 				if l.exact {
 					age = 0
 				}
-				v := gates[r].Decide(at, admission.Ask{Rank: 1, RouteRank: rank, Left: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, Age: age})
+				v := gates[r].Decide(at, admission.Request{Rank: 1, RouteRank: rank, Remaining: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, ReportAge: age})
 				if v.Code != code.OK {
 					boards[r].Done(at, c.Target.UID, placement.Neutral)
 					Expect(v.RetryAfter).To(BeNumerically(">", 0))
@@ -173,7 +173,7 @@
 					}
 					continue
 				}
-				gates[r].Began("")
+				gates[r].RecordStart("")
 				work := time.Duration(float64(l.work) * (0.5 + rnd.Float64()))
 				ends, ok := engines[c.Target.UID].take(now+hop, work)
 				if !ok {
@@ -245,8 +245,8 @@
 	// Guards against callers of short work that stay away until their answer is late, though there is room a moment later.
 	It("has callers come back within their objective", func() {
 		g := admission.NewGate()
-		load := admission.Load{Slots: 6, Age: 200 * time.Millisecond}
-		ask := admission.Ask{Left: time.Second, Objective: 120 * time.Millisecond}
+		load := admission.Load{Slots: 6, ReportAge: 200 * time.Millisecond}
+		ask := admission.Request{Remaining: time.Second, Objective: 120 * time.Millisecond}
 		refused := 0
 		for range 50 {
 			v := g.Decide(start, ask, load)
@@ -255,8 +255,8 @@
 				refused++
 				continue
 			}
-			g.Began("")
-			g.Ended(start, "", time.Millisecond, admission.TurnedAway)
+			g.RecordStart("")
+			g.RecordEnd(start, "", time.Millisecond, admission.RefusedByTarget)
 		}
 		Expect(refused).To(BeNumerically(">", 10))
 	})
@@ -264,17 +264,17 @@
 	// Guards against a team that takes the places of all others where their counts are out of date.
 	It("keeps a team that surges from taking the others' places", func() {
 		g := admission.NewGate()
-		load := admission.Load{Slots: 6, Age: 200 * time.Millisecond}
+		load := admission.Load{Slots: 6, ReportAge: 200 * time.Millisecond}
 		for range 8 {
-			g.Decide(start, admission.Ask{Team: "surge", Left: time.Second}, load)
-			g.Began("surge")
+			g.Decide(start, admission.Request{Team: "surge", Remaining: time.Second}, load)
+			g.RecordStart("surge")
 		}
-		g.Decide(start, admission.Ask{Team: "b", Left: time.Second}, load)
-		g.Decide(start, admission.Ask{Team: "c", Left: time.Second}, load)
-		Expect(g.Decide(start, admission.Ask{Team: "surge", Left: time.Second}, load).Code).To(Equal(code.OK), "nobody is turned away")
-		g.Began("b")
-		g.Ended(start, "b", time.Millisecond, admission.TurnedAway)
-		Expect(g.Decide(start, admission.Ask{Team: "surge", Left: time.Second}, load).Code).To(Equal(code.TeamLimit))
-		Expect(g.Decide(start, admission.Ask{Team: "c", Left: time.Second}, load).Code).To(Equal(code.OK))
+		g.Decide(start, admission.Request{Team: "b", Remaining: time.Second}, load)
+		g.Decide(start, admission.Request{Team: "c", Remaining: time.Second}, load)
+		Expect(g.Decide(start, admission.Request{Team: "surge", Remaining: time.Second}, load).Code).To(Equal(code.OK), "nobody is turned away")
+		g.RecordStart("b")
+		g.RecordEnd(start, "b", time.Millisecond, admission.RefusedByTarget)
+		Expect(g.Decide(start, admission.Request{Team: "surge", Remaining: time.Second}, load).Code).To(Equal(code.TeamLimit))
+		Expect(g.Decide(start, admission.Request{Team: "c", Remaining: time.Second}, load).Code).To(Equal(code.OK))
 	})
 })
--- a/internal/core/admission/throttle.go
+++ b/internal/core/admission/throttle.go
@@ -51,28 +51,28 @@
 	return min(patientGain*max(turnedAway-tolerated, 0), throttleMost)
 }
 
-// Answer is how a request that was sent ended, as far as it tells of its target's load.
-type Answer int
+// Outcome is how a request that was sent ended, as far as it tells of its target's load.
+type Outcome int
 
 // The answers.
 const (
 	// InTime: the target served it, or nothing speaks of its load.
-	InTime Answer = iota
+	InTime Outcome = iota
 	// Late: it was answered after its objective.
 	Late
-	// TurnedAway: the target had no place for it.
-	TurnedAway
+	// RefusedByTarget: the target had no place for it.
+	RefusedByTarget
 )
 
 // answered counts how a request that was sent ended.
-func (t *throttle) answered(now time.Time, a Answer) {
+func (t *throttle) answered(now time.Time, a Outcome) {
 	t.decay(now)
 	t.sent++
 	switch a {
 	case InTime:
 	case Late:
 		t.refused += lateCounts
-	case TurnedAway:
+	case RefusedByTarget:
 		t.refused++
 	}
 }
--- a/internal/core/attempt/attempt.go
+++ b/internal/core/attempt/attempt.go
@@ -24,9 +24,9 @@
 	Idempotent bool
 	// MaxAttempts bounds the number of targets tried.
 	MaxAttempts int
-	// MaxUnrun is how many attempts that no target ran don't count towards
+	// MaxNotExecuted is how many attempts that no target ran don't count towards
 	// MaxAttempts: a request that was turned away may go elsewhere.
-	MaxUnrun int
+	MaxNotExecuted int
 }
 
 // Event is something that happened to the request.
@@ -34,10 +34,10 @@
 
 // Events of the ticket.
 type (
-	// Granted: the owner granted a ticket for a target.
-	Granted struct{ Target uint64 }
-	// Refused: no ticket will come; Code says why.
-	Refused struct{ Code code.Code }
+	// TicketGranted: the owner granted a ticket for a target.
+	TicketGranted struct{ Target uint64 }
+	// TicketRefused: no ticket will come; Code says why.
+	TicketRefused struct{ Code code.Code }
 )
 
 // Events of an attempt. Each carries the number of its attempt: an event of an
@@ -45,10 +45,10 @@
 type (
 	// NotSent: the attempt ended before any byte was written.
 	NotSent struct{ Attempt int }
-	// Wrote: the first byte may have been written.
-	Wrote struct{ Attempt int }
-	// TurnedAway: the target promised that it did not run the request.
-	TurnedAway struct{ Attempt int }
+	// WriteStarted: the first byte may have been written.
+	WriteStarted struct{ Attempt int }
+	// TargetRefused: the target promised that it did not run the request.
+	TargetRefused struct{ Attempt int }
 	// Part: a part of the answer arrived. Echo is the attempt id in the answer.
 	Part struct {
 		Attempt int
@@ -61,28 +61,28 @@
 		Echo    int
 		Total   int
 	}
-	// Broken: the connection failed or went silent after Wrote.
-	Broken struct{ Attempt int }
+	// ConnectionFailed: the connection failed or went silent after Wrote.
+	ConnectionFailed struct{ Attempt int }
 )
 
 // Events from the caller's side.
 type (
-	// DeadlineCame: the request's deadline passed.
-	DeadlineCame struct{}
-	// CallerLeft: the caller closed its connection.
-	CallerLeft struct{}
+	// DeadlinePassed: the request's deadline passed.
+	DeadlinePassed struct{}
+	// CallerDisconnected: the caller closed its connection.
+	CallerDisconnected struct{}
 )
 
-func (Granted) isEvent()      {}
-func (Refused) isEvent()      {}
-func (NotSent) isEvent()      {}
-func (Wrote) isEvent()        {}
-func (TurnedAway) isEvent()   {}
-func (Part) isEvent()         {}
-func (End) isEvent()          {}
-func (Broken) isEvent()       {}
-func (DeadlineCame) isEvent() {}
-func (CallerLeft) isEvent()   {}
+func (TicketGranted) isEvent()      {}
+func (TicketRefused) isEvent()      {}
+func (NotSent) isEvent()            {}
+func (WriteStarted) isEvent()       {}
+func (TargetRefused) isEvent()      {}
+func (Part) isEvent()               {}
+func (End) isEvent()                {}
+func (ConnectionFailed) isEvent()   {}
+func (DeadlinePassed) isEvent()     {}
+func (CallerDisconnected) isEvent() {}
 
 // ActionKind says what to do next.
 type ActionKind int
@@ -95,8 +95,8 @@
 	Dispatch
 	// Forward: pass the part on to the caller.
 	Forward
-	// Ask: give the ticket back and ask for another one, without Excluded.
-	Ask
+	// RequestTicket: give the ticket back and ask for another one, without Excluded.
+	RequestTicket
 	// Finish: answer the caller with Code and give the ticket back.
 	Finish
 )
@@ -139,8 +139,8 @@
 // Excluded returns the targets that failed this request.
 func (m *Machine) Excluded() []uint64 { return m.excluded }
 
-// MayHaveRun reports whether a target may have run the request.
-func (m *Machine) MayHaveRun() bool { return m.earlier || m.current }
+// MayHaveExecuted reports whether a target may have run the request.
+func (m *Machine) MayHaveExecuted() bool { return m.earlier || m.current }
 
 // Step takes one event and returns what to do.
 func (m *Machine) Step(ev Event) Action {
@@ -148,25 +148,25 @@
 		return Action{}
 	}
 	switch ev := ev.(type) {
-	case Granted:
+	case TicketGranted:
 		return m.granted(ev)
-	case Refused:
+	case TicketRefused:
 		return m.finish(m.refusal(ev.Code))
-	case DeadlineCame:
+	case DeadlinePassed:
 		return m.deadline()
-	case CallerLeft:
+	case CallerDisconnected:
 		return m.finish(code.CallerGone)
 	case NotSent:
 		return m.ifCurrent(ev.Attempt, m.notSent)
-	case Wrote:
+	case WriteStarted:
 		return m.ifCurrent(ev.Attempt, m.wrote)
-	case TurnedAway:
+	case TargetRefused:
 		return m.ifCurrent(ev.Attempt, m.turnedAway)
 	case Part:
 		return m.ifCurrent(ev.Attempt, func() Action { return m.part(ev) })
 	case End:
 		return m.ifCurrent(ev.Attempt, func() Action { return m.end(ev) })
-	case Broken:
+	case ConnectionFailed:
 		return m.ifCurrent(ev.Attempt, func() Action { return m.broken(m.brokenCode()) })
 	}
 	return Action{}
@@ -179,7 +179,7 @@
 	return do()
 }
 
-func (m *Machine) granted(ev Granted) Action {
+func (m *Machine) granted(ev TicketGranted) Action {
 	if m.state != Waiting {
 		return Action{}
 	}
@@ -270,11 +270,11 @@
 	m.earlier = m.earlier || m.current
 	m.current = false
 	var a Action
-	if m.attempt-min(m.unrun, m.spec.MaxUnrun) >= m.spec.MaxAttempts {
+	if m.attempt-min(m.unrun, m.spec.MaxNotExecuted) >= m.spec.MaxAttempts {
 		a = m.finish(m.refusal(c))
 	} else {
 		m.state = Waiting
-		a = Action{Kind: Ask}
+		a = Action{Kind: RequestTicket}
 	}
 	a.TargetFailed, a.CloseConnection = failed, failed
 	return a
@@ -283,7 +283,7 @@
 // refusal turns a "not run" code into one that is true after an attempt that
 // may have run.
 func (m *Machine) refusal(c code.Code) code.Code {
-	if !m.MayHaveRun() || c.Lookup().Ran != code.RanNo {
+	if !m.MayHaveExecuted() || c.Lookup().Execution != code.NotExecuted {
 		return c
 	}
 	switch {
@@ -300,7 +300,7 @@
 
 func (m *Machine) deadline() Action {
 	switch {
-	case !m.MayHaveRun() && m.state != Dispatched:
+	case !m.MayHaveExecuted() && m.state != Dispatched:
 		return m.finish(code.DeadlineTooShort)
 	case !m.spec.Idempotent:
 		return m.finish(code.OutcomeUnknown)
--- a/internal/core/attempt/attempt_test.go
+++ b/internal/core/attempt/attempt_test.go
@@ -32,10 +32,10 @@
 
 // step hands an event to the machine and checks its action against the books.
 func (b *book) step(ev attempt.Event) attempt.Action {
-	if w, ok := ev.(attempt.Wrote); ok && b.dispatched && w.Attempt == b.attempt {
+	if w, ok := ev.(attempt.WriteStarted); ok && b.dispatched && w.Attempt == b.attempt {
 		b.written = true
 	}
-	if w, ok := ev.(attempt.TurnedAway); ok && b.dispatched && w.Attempt == b.attempt && !b.answering {
+	if w, ok := ev.(attempt.TargetRefused); ok && b.dispatched && w.Attempt == b.attempt && !b.answering {
 		b.written = false
 	}
 	a := b.m.Step(ev)
@@ -57,7 +57,7 @@
 		}
 		b.forwarded = append(b.forwarded, a.Offset)
 		b.written, b.answering = true, true
-	case attempt.Ask, attempt.Finish:
+	case attempt.RequestTicket, attempt.Finish:
 		b.mayHaveRun = b.mayHaveRun || b.written
 		b.dispatched, b.written = false, false
 	}
@@ -72,8 +72,8 @@
 		b.broken = "finished twice"
 	}
 	b.finish = &a
-	ran := a.Code.Lookup().Ran
-	if a.Code != code.OK && ran == code.RanNo && b.mayHaveRun {
+	ran := a.Code.Lookup().Execution
+	if a.Code != code.OK && ran == code.NotExecuted && b.mayHaveRun {
 		b.broken = fmt.Sprintf("said %d, not run, for a request that may have run", a.Code)
 	}
 }
@@ -84,20 +84,20 @@
 	events func() []attempt.Event
 }{
 	{"waiting for a ticket", func() []attempt.Event { return nil }},
-	{"dispatched", func() []attempt.Event { return []attempt.Event{attempt.Granted{Target: 1}} }},
+	{"dispatched", func() []attempt.Event { return []attempt.Event{attempt.TicketGranted{Target: 1}} }},
 	{"sent", func() []attempt.Event {
-		return []attempt.Event{attempt.Granted{Target: 1}, attempt.Wrote{Attempt: 1}}
+		return []attempt.Event{attempt.TicketGranted{Target: 1}, attempt.WriteStarted{Attempt: 1}}
 	}},
 	{"answering", func() []attempt.Event {
 		return []attempt.Event{
-			attempt.Granted{Target: 1}, attempt.Wrote{Attempt: 1},
+			attempt.TicketGranted{Target: 1}, attempt.WriteStarted{Attempt: 1},
 			attempt.Part{Attempt: 1, Echo: 1, Offset: 0}, attempt.Part{Attempt: 1, Echo: 1, Offset: 1},
 		}
 	}},
 	{"second attempt sent", func() []attempt.Event {
 		return []attempt.Event{
-			attempt.Granted{Target: 1}, attempt.NotSent{Attempt: 1},
-			attempt.Granted{Target: 2}, attempt.Wrote{Attempt: 2},
+			attempt.TicketGranted{Target: 1}, attempt.NotSent{Attempt: 1},
+			attempt.TicketGranted{Target: 2}, attempt.WriteStarted{Attempt: 2},
 		}
 	}},
 }
@@ -108,8 +108,8 @@
 	event func(n int) attempt.Event
 }{
 	{"target killed before a byte was written", func(n int) attempt.Event { return attempt.NotSent{Attempt: n} }},
-	{"connection cut", func(n int) attempt.Event { return attempt.Broken{Attempt: n} }},
-	{"silence", func(n int) attempt.Event { return attempt.Broken{Attempt: n} }},
+	{"connection cut", func(n int) attempt.Event { return attempt.ConnectionFailed{Attempt: n} }},
+	{"silence", func(n int) attempt.Event { return attempt.ConnectionFailed{Attempt: n} }},
 	{"late answer of an earlier attempt", func(n int) attempt.Event { return attempt.Part{Attempt: n - 1, Echo: n - 1} }},
 	{"late end of an earlier attempt", func(n int) attempt.Event { return attempt.End{Attempt: n - 1, Echo: n - 1} }},
 	{"crossed answer", func(n int) attempt.Event { return attempt.Part{Attempt: n, Echo: -1} }},
@@ -117,22 +117,22 @@
 	{"duplicate part", func(n int) attempt.Event { return attempt.Part{Attempt: n, Echo: n, Offset: 0} }},
 	{"gap in the parts", func(n int) attempt.Event { return attempt.Part{Attempt: n, Echo: n, Offset: 7} }},
 	{"end before the last part", func(n int) attempt.Event { return attempt.End{Attempt: n, Echo: n, Total: 9} }},
-	{"target turns the request away", func(n int) attempt.Event { return attempt.TurnedAway{Attempt: n} }},
-	{"no ticket", func(int) attempt.Event { return attempt.Refused{Code: code.QueueFull} }},
-	{"router stale", func(int) attempt.Event { return attempt.Refused{Code: code.StaleConfig} }},
-	{"retry budget spent", func(int) attempt.Event { return attempt.Refused{Code: code.RetryBudget} }},
-	{"deadline", func(int) attempt.Event { return attempt.DeadlineCame{} }},
-	{"caller gone", func(int) attempt.Event { return attempt.CallerLeft{} }},
+	{"target turns the request away", func(n int) attempt.Event { return attempt.TargetRefused{Attempt: n} }},
+	{"no ticket", func(int) attempt.Event { return attempt.TicketRefused{Code: code.QueueFull} }},
+	{"router stale", func(int) attempt.Event { return attempt.TicketRefused{Code: code.StaleConfig} }},
+	{"retry budget spent", func(int) attempt.Event { return attempt.TicketRefused{Code: code.RetryBudget} }},
+	{"deadline", func(int) attempt.Event { return attempt.DeadlinePassed{} }},
+	{"caller gone", func(int) attempt.Event { return attempt.CallerDisconnected{} }},
 }
 
 // answer carries a request to a whole answer of four parts if it is still open.
 func (b *book) answer() {
 	for b.finish == nil && b.attempt < 4 {
 		if b.m.State() == attempt.Waiting {
-			b.step(attempt.Granted{Target: 9})
+			b.step(attempt.TicketGranted{Target: 9})
 		}
 		n := b.attempt
-		b.step(attempt.Wrote{Attempt: n})
+		b.step(attempt.WriteStarted{Attempt: n})
 		for i := len(b.forwarded); i < 4; i++ {
 			b.step(attempt.Part{Attempt: n, Echo: n, Offset: i})
 		}
@@ -174,12 +174,12 @@
 				n := b.attempt - rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "age")
 				echo := n - rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "echo")
 				ev := rapid.SampledFrom([]attempt.Event{
-					attempt.Granted{Target: rapid.Uint64Range(1, 5).Draw(t, "target")},
-					attempt.Refused{Code: code.QueueFull}, attempt.NotSent{Attempt: n}, attempt.Wrote{Attempt: n},
-					attempt.TurnedAway{Attempt: n}, attempt.Broken{Attempt: n},
+					attempt.TicketGranted{Target: rapid.Uint64Range(1, 5).Draw(t, "target")},
+					attempt.TicketRefused{Code: code.QueueFull}, attempt.NotSent{Attempt: n}, attempt.WriteStarted{Attempt: n},
+					attempt.TargetRefused{Attempt: n}, attempt.ConnectionFailed{Attempt: n},
 					attempt.Part{Attempt: n, Echo: echo, Offset: rapid.IntRange(0, 4).Draw(t, "offset")},
 					attempt.End{Attempt: n, Echo: echo, Total: rapid.IntRange(0, 4).Draw(t, "total")},
-					attempt.DeadlineCame{}, attempt.CallerLeft{},
+					attempt.DeadlinePassed{}, attempt.CallerDisconnected{},
 				}).Draw(t, "event")
 				if _, ok := ev.(attempt.NotSent); ok && b.written {
 					continue // the adapter sends it only before Wrote
@@ -197,18 +197,18 @@
 	// Cause: the refusal of the second ticket is passed on as "not run".
 	It("that may have run is never reported as not run", func() {
 		b := newBook(true)
-		b.step(attempt.Granted{Target: 1})
-		b.step(attempt.Wrote{Attempt: 1})
-		b.step(attempt.Broken{Attempt: 1})
-		a := b.step(attempt.Refused{Code: code.QueueFull})
+		b.step(attempt.TicketGranted{Target: 1})
+		b.step(attempt.WriteStarted{Attempt: 1})
+		b.step(attempt.ConnectionFailed{Attempt: 1})
+		a := b.step(attempt.TicketRefused{Code: code.QueueFull})
 		Expect(a.Code).To(Equal(code.AttemptsSpent))
 	})
 
 	It("that a target turned away may go elsewhere even if it is not idempotent", func() {
 		b := newBook(false)
-		b.step(attempt.Granted{Target: 1})
-		b.step(attempt.Wrote{Attempt: 1})
-		Expect(b.step(attempt.TurnedAway{Attempt: 1}).Kind).To(Equal(attempt.Ask))
-		Expect(b.step(attempt.Refused{Code: code.QueueFull}).Code).To(Equal(code.QueueFull))
+		b.step(attempt.TicketGranted{Target: 1})
+		b.step(attempt.WriteStarted{Attempt: 1})
+		Expect(b.step(attempt.TargetRefused{Attempt: 1}).Kind).To(Equal(attempt.RequestTicket))
+		Expect(b.step(attempt.TicketRefused{Code: code.QueueFull}).Code).To(Equal(code.QueueFull))
 	})
 })
--- a/internal/core/attempt/silence.go
+++ b/internal/core/attempt/silence.go
@@ -6,15 +6,15 @@
 // Timers of a busy small VM are late by tens of milliseconds.
 const pausedFor = 200 * time.Millisecond
 
-// Watch watches for the silence of a target. The zero Watch has no due time.
-type Watch struct{ due time.Time }
+// SilenceWatch watches for the silence of a target. The zero SilenceWatch has no due time.
+type SilenceWatch struct{ due time.Time }
 
-// Until sets when the target counts as silent.
-func (w *Watch) Until(due time.Time) { w.due = due }
+// SetDeadline sets when the target counts as silent.
+func (w *SilenceWatch) SetDeadline(due time.Time) { w.due = due }
 
-// Silent reports whether the target was silent, when the timer fires. A timer that is
+// IsSilent reports whether the target was silent, when the timer fires. A timer that is
 // late shows that this process was paused: the answers have arrived meanwhile and are
 // not read yet. Believed, it would end every attempt under way and suspend all targets.
-func (w *Watch) Silent(now time.Time) bool {
+func (w *SilenceWatch) IsSilent(now time.Time) bool {
 	return !w.due.IsZero() && !now.Before(w.due) && now.Sub(w.due) < pausedFor
 }
--- a/internal/core/attempt/silence_test.go
+++ b/internal/core/attempt/silence_test.go
@@ -15,11 +15,11 @@
 	// fire before the answers that wait are read. Cause: the timers were believed.
 	It("does not take the pause of its own process for a target's silence", func() {
 		start := time.Unix(1000, 0)
-		var w attempt.Watch
-		Expect(w.Silent(start)).To(BeFalse())
-		w.Until(start.Add(time.Second))
-		Expect(w.Silent(start.Add(900 * time.Millisecond))).To(BeFalse())
-		Expect(w.Silent(start.Add(1010 * time.Millisecond))).To(BeTrue())
-		Expect(w.Silent(start.Add(5 * time.Second))).To(BeFalse())
+		var w attempt.SilenceWatch
+		Expect(w.IsSilent(start)).To(BeFalse())
+		w.SetDeadline(start.Add(time.Second))
+		Expect(w.IsSilent(start.Add(900 * time.Millisecond))).To(BeFalse())
+		Expect(w.IsSilent(start.Add(1010 * time.Millisecond))).To(BeTrue())
+		Expect(w.IsSilent(start.Add(5 * time.Second))).To(BeFalse())
 	})
 })
--- a/internal/core/code/code.go
+++ b/internal/core/code/code.go
@@ -4,24 +4,24 @@
 
 import "fmt"
 
-// Ran says whether the request that a code answers may have run at a target.
-type Ran int
+// Execution says whether the request that a code answers may have run at a target.
+type Execution int
 
 const (
-	// RanNo promises that no target ran the request.
-	RanNo Ran = iota
-	// RanYes says that a target ran the request, at least in part.
-	RanYes
-	// RanUnknown says that the request may or may not have run.
-	RanUnknown
+	// NotExecuted promises that no target ran the request.
+	NotExecuted Execution = iota
+	// Executed says that a target ran the request, at least in part.
+	Executed
+	// ExecutionUnknown says that the request may or may not have run.
+	ExecutionUnknown
 )
 
 // String returns the word used in response bodies and in docs/ERRORS.md.
-func (r Ran) String() string {
+func (r Execution) String() string {
 	switch r {
-	case RanNo:
+	case NotExecuted:
 		return "no"
-	case RanYes:
+	case Executed:
 		return "yes"
 	default:
 		return "unknown"
@@ -86,58 +86,58 @@
 
 // Info describes one code.
 type Info struct {
-	Name   string
-	Status int // HTTP status sent with the code
-	Ran    Ran
-	Remedy string
+	Name      string
+	Status    int // HTTP status sent with the code
+	Execution Execution
+	Remedy    string
 }
 
 var table = map[Code]Info{
-	OK:               {"ok", 200, RanYes, "None; the caller has a target's answer."},
-	BadBody:          {"bad_body", 400, RanNo, "Correct the request body."},
-	BodyTooLarge:     {"body_too_large", 413, RanNo, "Send a smaller body or raise limits.maxBodyBytes."},
-	UnknownTeam:      {"unknown_team", 403, RanNo, "Send a known team in X-Team, or create the Team."},
-	UnknownPool:      {"unknown_pool", 404, RanNo, "Name an existing pool or model, or create the Pool."},
-	BadHeader:        {"bad_header", 400, RanNo, "Correct the named header."},
-	KeyReused:        {"key_reused", 422, RanNo, "Use a new Idempotency-Key for a different request."},
-	NotFound:         {"not_found", 404, RanNo, "Correct the path."},
-	UnknownKey:       {"unknown_key", 401, RanNo, "Send a key that a team of the desired state holds."},
-	NotReady:         {"not_ready", 503, RanNo, "Wait for the router to load its configuration."},
-	QueueFull:        {"queue_full", 503, RanNo, "Come back after Retry-After; add targets if it lasts."},
-	DeadlineTooShort: {"deadline_too_short", 503, RanNo, "Come back after Retry-After or allow more time."},
-	TeamLimit:        {"team_limit", 429, RanNo, "Come back after Retry-After or raise the Team's limit."},
-	NoTarget:         {"no_target", 503, RanNo, "Come back after Retry-After; check the pool's targets."},
-	ClaimStoreDown:   {"claim_store_down", 503, RanNo, "Come back after Retry-After; the table service is down."},
-	StaleConfig:      {"stale_config", 503, RanNo, "Use another router; this one may miss a change."},
-	TargetRefused:    {"target_refused", 503, RanNo, "Come back after Retry-After; the target turned it away."},
-	ShuttingDown:     {"shutting_down", 503, RanNo, "Use another router; this one is stopping."},
-	InProgress:       {"in_progress", 409, RanUnknown, "Ask again later with the same Idempotency-Key."},
-	Poison:           {"poison", 503, RanNo, "Come back after Retry-After; targets have ended under this request."},
-	TargetsPaused:    {"targets_paused", 503, RanNo, "Come back after Retry-After; all targets of the pool want nothing for now."},
-	Evacuated:        {"evacuated", 503, RanNo, "Come back after Retry-After; take the order to evacuate back if the pool is to serve."},
-	TargetsCold:      {"targets_cold", 503, RanNo, "Come back after Retry-After; all targets of the pool have just started."},
-	AttemptsSpent:    {"attempts_spent", 502, RanYes, "Ask again; every attempt failed."},
-	DeadlinePassed:   {"deadline_passed", 504, RanYes, "Ask again with a later deadline."},
-	StreamCut:        {"stream_cut", 502, RanYes, "Ask again; the stream ended before its end marker."},
-	RetryBudget:      {"retry_budget", 503, RanYes, "Come back after Retry-After; retries are suspended."},
-	AnswerMismatch:   {"answer_mismatch", 502, RanYes, "Ask again; the target answered another request."},
-	CallerGone:       {"caller_gone", 499, RanYes, "None; the caller closed the connection."},
-	OutcomeUnknown:   {"outcome_unknown", 502, RanUnknown, "Check at the service before asking again."},
-	ChangeUnknown:    {"change_unknown", 503, RanUnknown, "Ask for the named operation until it settles."},
-	BadResource:      {"bad_resource", 422, RanNo, "Correct the field that the message names."},
-	Conflict:         {"conflict", 409, RanNo, "Read the resource again and repeat the change on it."},
-	NoSuchResource:   {"no_such_resource", 404, RanNo, "Check kind and name."},
-	StoreDown:        {"store_down", 503, RanNo, "Try again when the table service is back."},
-	BadReference:     {"bad_reference", 422, RanNo, "Create the resource that the field refers to first."},
-	NoSuchOperation:  {"no_such_operation", 404, RanNo, "The change was not accepted; send it again."},
-	BadSettings:      {"bad_settings", 0, RanNo, "Correct the settings file at the named line."},
-	BadUsage:         {"bad_usage", 0, RanNo, "See --help."},
-	BadDesiredState:  {"bad_desired_state", 0, RanNo, "Correct the desired state; the last good one stays in force."},
-	BadTargetEntry:   {"bad_target_entry", 0, RanNo, "Correct the named target's entry; the others stay in force."},
-	BadProtocol:      {"bad_protocol", 400, RanNo, "Run the same release on every VM."},
-	UnknownRouter:    {"unknown_router", 403, RanNo, "List the router in settings.peers."},
-	OldIncarnation:   {"old_incarnation", 409, RanNo, "None; an earlier process of the router spoke late."},
-	RouterSilent:     {"router_silent", 0, RanNo, "Check the URL, and that the router runs; the report lacks its requests."},
+	OK:               {"ok", 200, Executed, "None; the caller has a target's answer."},
+	BadBody:          {"bad_body", 400, NotExecuted, "Correct the request body."},
+	BodyTooLarge:     {"body_too_large", 413, NotExecuted, "Send a smaller body or raise limits.maxBodyBytes."},
+	UnknownTeam:      {"unknown_team", 403, NotExecuted, "Send a known team in X-Team, or create the Team."},
+	UnknownPool:      {"unknown_pool", 404, NotExecuted, "Name an existing pool or model, or create the Pool."},
+	BadHeader:        {"bad_header", 400, NotExecuted, "Correct the named header."},
+	KeyReused:        {"key_reused", 422, NotExecuted, "Use a new Idempotency-Key for a different request."},
+	NotFound:         {"not_found", 404, NotExecuted, "Correct the path."},
+	UnknownKey:       {"unknown_key", 401, NotExecuted, "Send a key that a team of the desired state holds."},
+	NotReady:         {"not_ready", 503, NotExecuted, "Wait for the router to load its configuration."},
+	QueueFull:        {"queue_full", 503, NotExecuted, "Come back after Retry-After; add targets if it lasts."},
+	DeadlineTooShort: {"deadline_too_short", 503, NotExecuted, "Come back after Retry-After or allow more time."},
+	TeamLimit:        {"team_limit", 429, NotExecuted, "Come back after Retry-After or raise the Team's limit."},
+	NoTarget:         {"no_target", 503, NotExecuted, "Come back after Retry-After; check the pool's targets."},
+	ClaimStoreDown:   {"claim_store_down", 503, NotExecuted, "Come back after Retry-After; the table service is down."},
+	StaleConfig:      {"stale_config", 503, NotExecuted, "Use another router; this one may miss a change."},
+	TargetRefused:    {"target_refused", 503, NotExecuted, "Come back after Retry-After; the target turned it away."},
+	ShuttingDown:     {"shutting_down", 503, NotExecuted, "Use another router; this one is stopping."},
+	InProgress:       {"in_progress", 409, ExecutionUnknown, "Ask again later with the same Idempotency-Key."},
+	Poison:           {"poison", 503, NotExecuted, "Come back after Retry-After; targets have ended under this request."},
+	TargetsPaused:    {"targets_paused", 503, NotExecuted, "Come back after Retry-After; all targets of the pool want nothing for now."},
+	Evacuated:        {"evacuated", 503, NotExecuted, "Come back after Retry-After; take the order to evacuate back if the pool is to serve."},
+	TargetsCold:      {"targets_cold", 503, NotExecuted, "Come back after Retry-After; all targets of the pool have just started."},
+	AttemptsSpent:    {"attempts_spent", 502, Executed, "Ask again; every attempt failed."},
+	DeadlinePassed:   {"deadline_passed", 504, Executed, "Ask again with a later deadline."},
+	StreamCut:        {"stream_cut", 502, Executed, "Ask again; the stream ended before its end marker."},
+	RetryBudget:      {"retry_budget", 503, Executed, "Come back after Retry-After; retries are suspended."},
+	AnswerMismatch:   {"answer_mismatch", 502, Executed, "Ask again; the target answered another request."},
+	CallerGone:       {"caller_gone", 499, Executed, "None; the caller closed the connection."},
+	OutcomeUnknown:   {"outcome_unknown", 502, ExecutionUnknown, "Check at the service before asking again."},
+	ChangeUnknown:    {"change_unknown", 503, ExecutionUnknown, "Ask for the named operation until it settles."},
+	BadResource:      {"bad_resource", 422, NotExecuted, "Correct the field that the message names."},
+	Conflict:         {"conflict", 409, NotExecuted, "Read the resource again and repeat the change on it."},
+	NoSuchResource:   {"no_such_resource", 404, NotExecuted, "Check kind and name."},
+	StoreDown:        {"store_down", 503, NotExecuted, "Try again when the table service is back."},
+	BadReference:     {"bad_reference", 422, NotExecuted, "Create the resource that the field refers to first."},
+	NoSuchOperation:  {"no_such_operation", 404, NotExecuted, "The change was not accepted; send it again."},
+	BadSettings:      {"bad_settings", 0, NotExecuted, "Correct the settings file at the named line."},
+	BadUsage:         {"bad_usage", 0, NotExecuted, "See --help."},
+	BadDesiredState:  {"bad_desired_state", 0, NotExecuted, "Correct the desired state; the last good one stays in force."},
+	BadTargetEntry:   {"bad_target_entry", 0, NotExecuted, "Correct the named target's entry; the others stay in force."},
+	BadProtocol:      {"bad_protocol", 400, NotExecuted, "Run the same release on every VM."},
+	UnknownRouter:    {"unknown_router", 403, NotExecuted, "List the router in settings.peers."},
+	OldIncarnation:   {"old_incarnation", 409, NotExecuted, "None; an earlier process of the router spoke late."},
+	RouterSilent:     {"router_silent", 0, NotExecuted, "Check the URL, and that the router runs; the report lacks its requests."},
 }
 
 // Lookup returns the description of c. Unlisted codes are described as unknown
@@ -145,7 +145,7 @@
 func (c Code) Lookup() Info {
 	info, ok := table[c]
 	if !ok {
-		return Info{Name: "unlisted", Status: 500, Ran: RanUnknown}
+		return Info{Name: "unlisted", Status: 500, Execution: ExecutionUnknown}
 	}
 	return info
 }
@@ -172,8 +172,8 @@
 	return &Error{Code: c, Message: fmt.Sprintf(format, args...)}
 }
 
-// AtField returns an *Error about one field.
-func AtField(c Code, field, format string, args ...any) *Error {
+// NewFieldError returns an *Error about one field.
+func NewFieldError(c Code, field, format string, args ...any) *Error {
 	return &Error{Code: c, Field: field, Message: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/core/code/code_test.go
+++ b/internal/core/code/code_test.go
@@ -19,7 +19,7 @@
 	if info.Status != 0 {
 		status = fmt.Sprint(info.Status)
 	}
-	return fmt.Sprintf("| %d | %s | %s | %s | %s |", int(c), info.Name, status, info.Ran, info.Remedy)
+	return fmt.Sprintf("| %d | %s | %s | %s | %s |", int(c), info.Name, status, info.Execution, info.Remedy)
 }
 
 var _ = Describe("docs/ERRORS.md", func() {
@@ -39,19 +39,19 @@
 
 var _ = Describe("codes", func() {
 	It("never call an unlisted outcome not run", func() {
-		Expect(code.Code(9999).Lookup().Ran).To(Equal(code.RanUnknown))
+		Expect(code.Code(9999).Lookup().Execution).To(Equal(code.ExecutionUnknown))
 	})
 
 	It("that refuse before dispatch all promise not run, and no later one does", func() {
 		for c, info := range code.All() {
 			switch int(c) / 1000 {
 			case 3:
-				Expect(info.Ran).To(Equal(code.RanYes), info.Name)
+				Expect(info.Execution).To(Equal(code.Executed), info.Name)
 			case 4:
-				Expect(info.Ran).To(Equal(code.RanUnknown), info.Name)
+				Expect(info.Execution).To(Equal(code.ExecutionUnknown), info.Name)
 			case 2:
 				if c != code.InProgress {
-					Expect(info.Ran).To(Equal(code.RanNo), info.Name)
+					Expect(info.Execution).To(Equal(code.NotExecuted), info.Name)
 				}
 			}
 		}
--- a/internal/core/fleet/events.go
+++ b/internal/core/fleet/events.go
@@ -105,7 +105,7 @@
 // News is what goes out at once, and what this router holds of it.
 type News struct {
 	Departures []placement.Departure
-	Poison     poison.News
+	Poison     poison.Report
 	// Held are all suspects that this router holds, HeldKnown says that it has learned whom the others suspect.
 	Held      []poison.Suspect
 	HeldKnown bool
@@ -162,7 +162,7 @@
 		Outcomes   []placement.Outcomes
 		Prompts    []placement.Read
 		Departures []placement.Departure
-		Poison     poison.News
+		Poison     poison.Report
 		// Partial: only prompts, departures and poison are told.
 		Partial bool
 	}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -134,7 +134,7 @@
 	outcomes   []placement.Outcomes
 	prompts    []placement.Read // not told yet
 	departures []placement.Departure
-	poison     poison.News
+	poison     poison.Report
 	suspects   suspects
 	differ     []Address // hold other suspects, and are told of all
 
--- a/internal/core/fleet/net_test.go
+++ b/internal/core/fleet/net_test.go
@@ -212,7 +212,7 @@
 	for _, a := range append([]fleet.Action(nil), x.core.Step(n.now, ev)...) {
 		n.act(x, a)
 	}
-	if x.fresh || x.detector.Fresh() {
+	if x.fresh || x.detector.HasUrgentReport() {
 		n.step(x, fleet.Learned{News: x.news(n.now)})
 	}
 }
@@ -284,7 +284,7 @@
 
 // news returns what is to be told at once.
 func (x *node) news(now time.Time) fleet.News {
-	return fleet.News{Departures: x.tell(), Poison: x.detector.TakeNews(now), Held: x.detector.All(now), HeldKnown: x.knowsSuspects}
+	return fleet.News{Departures: x.tell(), Poison: x.detector.NextReport(now), Held: x.detector.ListSuspects(now), HeldKnown: x.knowsSuspects}
 }
 
 // hear takes in what others told, and passes news of departures on as the gateway does.
@@ -295,7 +295,7 @@
 	for _, d := range a.Departures {
 		x.learn(now, d)
 	}
-	x.detector.Heard(now, a.Poison)
+	x.detector.ReceiveReport(now, a.Poison)
 }
 
 // heard is what a source told last.
--- a/internal/core/fleet/poison_test.go
+++ b/internal/core/fleet/poison_test.go
@@ -28,15 +28,15 @@
 	for _, o := range x.core.AliveAddresses(n.now) {
 		others = append(others, string(o))
 	}
-	v := x.detector.Admit(n.now, f, func() bool { return f.Home(string(a), others) })
+	v := x.detector.Admit(n.now, f, func() bool { return f.IsHomeRouter(string(a), others) })
 	return !v.Refused
 }
 
 // ends tells a router that a target ended under a request.
 func (n *net) ends(a fleet.Address, f poison.Fingerprint, target uint64) {
 	x := n.nodes[a]
-	x.detector.Ended(n.now, f, target)
-	if x.detector.Fresh() {
+	x.detector.RecordExit(n.now, f, target)
+	if x.detector.HasUrgentReport() {
 		n.step(x, fleet.Learned{News: x.news(n.now)})
 	}
 }
@@ -65,7 +65,7 @@
 		}
 		n.run(200 * time.Millisecond)
 		// A fourth router has an answer to the other request that was there.
-		n.nodes[address(routers/3)].detector.Ran(n.now, harmless)
+		n.nodes[address(routers/3)].detector.RecordAnswer(n.now, harmless)
 	}
 	n.run(refusedWithin - 200*time.Millisecond)
 	Expect(n.senders(poisonous)).To(BeEmpty())
@@ -106,7 +106,7 @@
 		tried := n.senders(poisonous)
 		Expect(tried).To(HaveLen(1))
 		n.ends(tried[0], poisonous, 104)
-		n.nodes[tried[0]].detector.TrialOver(n.now, poisonous)
+		n.nodes[tried[0]].detector.EndTrial(n.now, poisonous)
 		n.run(60 * time.Second)
 		Expect(n.senders(poisonous)).To(BeEmpty())
 	})
@@ -120,7 +120,7 @@
 		n.run(12 * time.Second)
 		tried := n.senders(poisonous)
 		Expect(tried).To(HaveLen(1))
-		n.nodes[tried[0]].detector.Ran(n.now, poisonous)
+		n.nodes[tried[0]].detector.RecordAnswer(n.now, poisonous)
 		n.run(time.Second)
 		Expect(n.senders(poisonous)).To(HaveLen(24))
 	})
@@ -134,7 +134,7 @@
 		}
 		n.run(11 * time.Minute)
 		for i := range 9 {
-			Expect(n.nodes[address(i)].detector.All(n.now)).To(BeEmpty())
+			Expect(n.nodes[address(i)].detector.ListSuspects(n.now)).To(BeEmpty())
 		}
 	})
 
@@ -178,7 +178,7 @@
 				if x := n.nodes[a]; x.up && !x.frozen && !n.now.Before(x.startsAt) && n.sends(a, poisonous) {
 					target++
 					n.ends(a, poisonous, target)
-					x.detector.TrialOver(n.now, poisonous)
+					x.detector.EndTrial(n.now, poisonous)
 					if target == 1003 {
 						third = n.now
 					}
--- a/internal/core/fleet/suspects.go
+++ b/internal/core/fleet/suspects.go
@@ -24,7 +24,7 @@
 }
 
 func (c *Core) hold(n News) {
-	c.suspects = suspects{held: n.Held, sum: poison.Sum(n.Held), known: n.HeldKnown}
+	c.suspects = suspects{held: n.Held, sum: poison.Checksum(n.Held), known: n.HeldKnown}
 }
 
 // compareSuspects notes whether the sender of a digest holds the same suspects as this router.
@@ -64,7 +64,7 @@
 }
 
 // hasNews reports whether there is something that is told at once.
-func (c *Core) hasNews() bool { return len(c.departures) > 0 || !c.poison.Empty() }
+func (c *Core) hasNews() bool { return len(c.departures) > 0 || !c.poison.IsEmpty() }
 
 // setNews adds what is told at once.
 func (c *Core) setNews(d *peerv1.Digest) {
@@ -75,11 +75,11 @@
 		d.LeftSaid = append(d.LeftSaid, left.Said)
 		d.LeftEnded = append(d.LeftEnded, left.Ended)
 	}
-	for _, e := range c.poison.Ends {
+	for _, e := range c.poison.Exits {
 		d.EndedRequest = append(d.EndedRequest, uint64(e.Request))
 		d.EndedTarget = append(d.EndedTarget, e.Target)
 	}
-	for _, f := range c.poison.Ran {
+	for _, f := range c.poison.Answered {
 		d.RanRequest = append(d.RanRequest, uint64(f))
 	}
 	d.Suspects = encodeSuspects(c.poison.Suspects)
@@ -90,25 +90,25 @@
 	for _, s := range in {
 		out = append(out, &peerv1.Suspect{
 			Request: uint64(s.Request), Generation: s.Generation, Level: uint32(s.Level),
-			WaitMillis: uint32(s.Wait.Milliseconds()), LastsMillis: uint32(s.Lasts.Milliseconds()),
+			WaitMillis: uint32(s.RefusedFor.Milliseconds()), LastsMillis: uint32(s.ExpiresIn.Milliseconds()),
 		})
 	}
 	return out
 }
 
 // poisonOf decodes the news of requests under which targets end.
-func poisonOf(d *peerv1.Digest) poison.News {
-	var n poison.News
+func poisonOf(d *peerv1.Digest) poison.Report {
+	var n poison.Report
 	for i := range min(len(d.GetEndedRequest()), len(d.GetEndedTarget())) {
-		n.Ends = append(n.Ends, poison.End{Request: poison.Fingerprint(d.GetEndedRequest()[i]), Target: d.GetEndedTarget()[i]})
+		n.Exits = append(n.Exits, poison.Exit{Request: poison.Fingerprint(d.GetEndedRequest()[i]), Target: d.GetEndedTarget()[i]})
 	}
 	for _, f := range d.GetRanRequest() {
-		n.Ran = append(n.Ran, poison.Fingerprint(f))
+		n.Answered = append(n.Answered, poison.Fingerprint(f))
 	}
 	for _, s := range d.GetSuspects() {
 		n.Suspects = append(n.Suspects, poison.Suspect{
 			Request: poison.Fingerprint(s.GetRequest()), Generation: s.GetGeneration(), Level: int(s.GetLevel()),
-			Wait: time.Duration(s.GetWaitMillis()) * time.Millisecond, Lasts: time.Duration(s.GetLastsMillis()) * time.Millisecond,
+			RefusedFor: time.Duration(s.GetWaitMillis()) * time.Millisecond, ExpiresIn: time.Duration(s.GetLastsMillis()) * time.Millisecond,
 		})
 	}
 	return n
--- a/internal/core/fleet/tell.go
+++ b/internal/core/fleet/tell.go
@@ -67,7 +67,7 @@
 		c.digestCentre(now)
 		c.digestFleet(now)
 	}
-	c.prompts, c.departures, c.poison = c.prompts[:0], nil, poison.News{}
+	c.prompts, c.departures, c.poison = c.prompts[:0], nil, poison.Report{}
 }
 
 // digestSelf tells the relays of the own data centre what this router has open, and those of the others if all
--- a/internal/core/ledger/bench_test.go
+++ b/internal/core/ledger/bench_test.go
@@ -19,7 +19,7 @@
 			var top rendezvous.Top
 			b.ReportAllocs()
 			for i := range b.N {
-				p.Rank(uint64(i)*7919, &top, 8)
+				p.RankTargets(uint64(i)*7919, &top, 8)
 			}
 		})
 	}
--- a/internal/core/ledger/target.go
+++ b/internal/core/ledger/target.go
@@ -103,7 +103,7 @@
 	if l.settings.Memory > 0 {
 		return l.leastLoaded(now, limit, it)
 	}
-	l.pool.Rank(it.Chat, &l.top, candidates)
+	l.pool.RankTargets(it.Chat, &l.top, candidates)
 	for i := range l.top.Len {
 		uid := l.pool.Targets[l.top.Index[i]].UID
 		if l.fits(now, uid, limit, it) {
@@ -189,7 +189,7 @@
 
 // fits reports whether an ask may be granted a target below the limit.
 func (l *Ledger) fits(now time.Time, uid uint64, limit int, it fairqueue.Item) bool {
-	i, ok := l.pool.Index(uid)
+	i, ok := l.pool.TargetIndex(uid)
 	if !ok || !l.takes(now, int(i), it) {
 		return false
 	}
@@ -199,7 +199,7 @@
 
 // usable reports whether a target takes new work of an ask.
 func (l *Ledger) usable(now time.Time, uid uint64, it fairqueue.Item) bool {
-	i, ok := l.pool.Index(uid)
+	i, ok := l.pool.TargetIndex(uid)
 	return ok && l.takes(now, int(i), it)
 }
 
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -41,7 +41,7 @@
 			ejected++
 		}
 	}
-	always := ablate.Off(ablate.PanicShares)
+	always := ablate.IsOff(ablate.PanicThreshold)
 	suspend := always || float64(suspended) <= panicShare*float64(staying)
 	eject := always || float64(suspended+ejected) <= ejectShare*float64(staying)
 	return func(t *target) bool {
@@ -77,7 +77,7 @@
 			return t, rule
 		}
 	}
-	if a.Stale && !ablate.Off(ablate.Short) {
+	if a.Stale && !ablate.IsOff(ablate.ShortWork) {
 		return b.atRandom(now, p, a, skip), RuleRandom
 	}
 	return b.leastLoaded(now, p, a, skip), RuleLeast
@@ -155,7 +155,7 @@
 // holdersFirst puts the first target that holds the chat's prompt before the others: what spills goes
 // where it has spilled to before.
 func (b *Board) holdersFirst(now time.Time, a Ask, targets []*target) {
-	if len(a.Prompt) == 0 || ablate.Off(ablate.Holders) {
+	if len(a.Prompt) == 0 || ablate.IsOff(ablate.CacheHolders) {
 		return
 	}
 	whole := a.Prompt[len(a.Prompt)-1].Hash
@@ -175,7 +175,7 @@
 	if c.home {
 		rule = RuleHome
 	}
-	if ablate.Off(ablate.Pace) {
+	if ablate.IsOff(ablate.TargetSpeed) {
 		return first, rule
 	}
 	late := b.expected(now, a, first)
@@ -252,7 +252,7 @@
 
 func (b *Board) cost(now time.Time, t *target) float64 {
 	cost := (float64(t.open()) + b.rand.Float64()) * b.pace(now, t)
-	if t.DataCentre != b.settings.DataCentre && !ablate.Off(ablate.RemoteCost) {
+	if t.DataCentre != b.settings.DataCentre && !ablate.IsOff(ablate.RemoteCost) {
 		cost += remoteCost
 	}
 	return cost
--- a/internal/core/placement/ended.go
+++ b/internal/core/placement/ended.go
@@ -27,7 +27,7 @@
 // news. Each router would learn it by a request of its own otherwise.
 func (b *Board) Ended(now time.Time, uid uint64) (news bool) {
 	t, ok := b.byUID[uid]
-	if !ok || ablate.Off(ablate.Suspension) || (!t.ended.IsZero() && now.Sub(t.ended) < endedRest) {
+	if !ok || ablate.IsOff(ablate.Suspension) || (!t.ended.IsZero() && now.Sub(t.ended) < endedRest) {
 		return false
 	}
 	t.ended = now
--- a/internal/core/placement/health.go
+++ b/internal/core/placement/health.go
@@ -78,7 +78,7 @@
 // suspend takes the target out for a while. Requests that were sent before it began
 // and fail in it say nothing new.
 func (h *health) suspend(now time.Time) {
-	if h.until.After(now) || ablate.Off(ablate.Suspension) {
+	if h.until.After(now) || ablate.IsOff(ablate.Suspension) {
 		return
 	}
 	h.until = now.Add(min(suspendBase<<min(h.suspensions, 8), suspendMax))
--- a/internal/core/placement/inventory.go
+++ b/internal/core/placement/inventory.go
@@ -64,7 +64,7 @@
 
 // read notes that a target has read a prompt of this router.
 func (v *inventory) read(now time.Time, prompt []Part, target uint64) {
-	if ablate.Off(ablate.Inventory) {
+	if ablate.IsOff(ablate.Inventory) {
 		return
 	}
 	for _, p := range prompt {
@@ -170,7 +170,7 @@
 
 // HeardRead takes in what another router saw read.
 func (b *Board) HeardRead(now time.Time, read []Read) {
-	if ablate.Off(ablate.Told) {
+	if ablate.IsOff(ablate.CacheReports) {
 		return
 	}
 	for _, r := range read {
--- a/internal/core/placement/loads.go
+++ b/internal/core/placement/loads.go
@@ -18,7 +18,7 @@
 	for _, l := range p.loads {
 		b.addPeer(l, -1)
 	}
-	if ablate.Off(ablate.Loads) {
+	if ablate.IsOff(ablate.FleetLoads) {
 		loads = nil
 	}
 	p.heard, p.loads = now, loads
--- a/internal/core/placement/model.go
+++ b/internal/core/placement/model.go
@@ -96,7 +96,7 @@
 // answers of a target that has just turned slow come late.
 func (b *Board) pace(now time.Time, t *target) float64 {
 	m := t.pool.model
-	if !m.known() || ablate.Off(ablate.Pace) {
+	if !m.known() || ablate.IsOff(ablate.TargetSpeed) {
 		return 1
 	}
 	seen := b.outcomesAt(now, t)
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -87,7 +87,7 @@
 			passedOver[t.centre]++
 		}
 	}
-	if ablate.Off(ablate.Centres) {
+	if ablate.IsOff(ablate.DataCentreOrder) {
 		return o
 	}
 	var score [maxCentres]float64
--- a/internal/core/placement/outlier.go
+++ b/internal/core/placement/outlier.go
@@ -135,7 +135,7 @@
 // router sees a sliver of its requests: alone it would take most of a minute to notice, and
 // every lost answer is one that its caller waits for in vain.
 func (b *Board) detect(now time.Time, t *target) bool {
-	if t.ejected(now) || ablate.Off(ablate.Outliers) {
+	if t.ejected(now) || ablate.IsOff(ablate.Outliers) {
 		return false
 	}
 	all := b.outcomesAt(now, t)
--- a/internal/core/placement/source.go
+++ b/internal/core/placement/source.go
@@ -17,7 +17,7 @@
 // A target that is known to have read all of the prompt comes first. If there is none, rendezvous order
 // tells who had the chat, if anybody; a chat that is new fetches what others share with it.
 func (b *Board) source(now time.Time, p *pool, a Ask, t *target) string {
-	if a.Chat == 0 || ablate.Off(ablate.Fetch) {
+	if a.Chat == 0 || ablate.IsOff(ablate.CacheFetch) {
 		return ""
 	}
 	held := b.held.at(now, a.Prompt, t.UID)
--- a/internal/core/poison/detector.go
+++ b/internal/core/poison/detector.go
@@ -29,11 +29,11 @@
 
 // Change is something that an operator sees.
 type Change struct {
-	Request Fingerprint
-	Kind    ChangeKind
-	Ends    int           // targets that ended under it
-	Wait    time.Duration // for which it is refused
-	Level   int           // how often it was tried again and ended a target, from 1
+	Request    Fingerprint
+	Kind       ChangeKind
+	Exits      int           // targets that ended under it
+	RefusedFor time.Duration // for which it is refused
+	Level      int           // how often it was tried again and ended a target, from 1
 }
 
 // ChangeKind says what happened to a suspicion.
@@ -41,10 +41,10 @@
 
 // The changes.
 const (
-	Suspected ChangeKind = "suspected" // refused from now on
-	Again     ChangeKind = "again"     // it was tried, and ended a target again
-	Cleared   ChangeKind = "cleared"   // it was answered
-	Forgotten ChangeKind = "forgotten" // nobody sent it for long
+	Suspected   ChangeKind = "suspected" // refused from now on
+	TrialFailed ChangeKind = "again"     // it was tried, and ended a target again
+	Cleared     ChangeKind = "cleared"   // it was answered
+	Forgotten   ChangeKind = "forgotten" // nobody sent it for long
 )
 
 // Detector counts which requests targets end under. It is not safe for concurrent use.
@@ -61,8 +61,8 @@
 	return &Detector{evidence: make(map[Fingerprint]*evidence), suspects: make(map[Fingerprint]*suspect)}
 }
 
-// Ran takes in that a request was answered by a target that went on running.
-func (d *Detector) Ran(now time.Time, f Fingerprint) {
+// RecordAnswer takes in that a request was answered by a target that went on running.
+func (d *Detector) RecordAnswer(now time.Time, f Fingerprint) {
 	s := d.suspects[f]
 	_, held := d.evidence[f]
 	d.ran.add(now, f)
@@ -75,8 +75,10 @@
 	}
 }
 
-// Ended takes in that a target ended while a request was under way there, as this router saw it.
-func (d *Detector) Ended(now time.Time, f Fingerprint, target uint64) { d.ended(now, f, target, false) }
+// RecordExit takes in that a target ended while a request was under way there, as this router saw it.
+func (d *Detector) RecordExit(now time.Time, f Fingerprint, target uint64) {
+	d.ended(now, f, target, false)
+}
 
 func (d *Detector) ended(now time.Time, f Fingerprint, target uint64, told bool) {
 	if s := d.suspects[f]; s != nil && s.level > 0 {
--- a/internal/core/poison/detector_test.go
+++ b/internal/core/poison/detector_test.go
@@ -44,7 +44,7 @@
 func (a *alone) refused(f poison.Fingerprint) bool {
 	v := a.Admit(a.now, f, here)
 	if v.Trial {
-		a.TrialOver(a.now, f)
+		a.EndTrial(a.now, f)
 	}
 	return v.Refused
 }
@@ -52,7 +52,7 @@
 // end ends targets under a request, a second apart.
 func (a *alone) end(f poison.Fingerprint, targets ...uint64) {
 	for _, t := range targets {
-		a.Ended(a.now, f, t)
+		a.RecordExit(a.now, f, t)
 		a.pass(time.Second)
 	}
 }
@@ -71,14 +71,14 @@
 	It("is not suspected if it was answered in between, or a while before", func() {
 		a := newAlone()
 		a.end(bad, 1, 2)
-		a.Ran(a.now, bad)
+		a.RecordAnswer(a.now, bad)
 		a.end(bad, 3, 4, 5)
 		Expect(a.refused(bad)).To(BeFalse())
 	})
 
 	It("is suspected although it was answered long ago: a release of targets may have changed that", func() {
 		a := newAlone()
-		a.Ran(a.now, bad)
+		a.RecordAnswer(a.now, bad)
 		a.pass(61 * time.Second)
 		a.end(bad, 1, 2, 3)
 		Expect(a.refused(bad)).To(BeTrue())
@@ -99,12 +99,12 @@
 
 	It("is answered at once that it was blamed in error, by a router that has an answer", func() {
 		a := newAlone()
-		a.Ended(a.now, proper, 1)
-		a.Ended(a.now, proper, 2)
-		a.Ended(a.now, proper, 3)
+		a.RecordExit(a.now, proper, 1)
+		a.RecordExit(a.now, proper, 2)
+		a.RecordExit(a.now, proper, 3)
 		a.pass(tick)
 		Expect(a.refused(proper)).To(BeFalse(), "others may object")
-		a.Heard(a.now, poison.News{Ran: []poison.Fingerprint{proper}})
+		a.ReceiveReport(a.now, poison.Report{Answered: []poison.Fingerprint{proper}})
 		a.pass(time.Second)
 		Expect(a.refused(proper)).To(BeFalse())
 	})
@@ -116,8 +116,8 @@
 		Expect(a.Admit(a.now, bad, elsewhere).Refused).To(BeTrue(), "another router tries")
 		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
 		Expect(a.Admit(a.now, bad, here).Refused).To(BeTrue(), "one at a time")
-		a.Ended(a.now, bad, 4)
-		a.TrialOver(a.now, bad)
+		a.RecordExit(a.now, bad, 4)
+		a.EndTrial(a.now, bad)
 		a.pass(5*time.Minute - time.Second)
 		Expect(a.refused(bad)).To(BeTrue())
 		a.pass(2 * time.Second)
@@ -129,8 +129,8 @@
 		a.end(bad, 1, 2, 3)
 		a.pass(10 * time.Second)
 		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
-		a.Ran(a.now, bad)
-		a.TrialOver(a.now, bad)
+		a.RecordAnswer(a.now, bad)
+		a.EndTrial(a.now, bad)
 		Expect(a.refused(bad)).To(BeFalse())
 		Expect(a.pass(tick)).To(ContainElement(HaveField("Kind", poison.Cleared)))
 	})
@@ -140,12 +140,12 @@
 		a.end(bad, 1, 2, 3)
 		a.pass(10 * time.Second)
 		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
-		a.TrialOver(a.now, bad)
+		a.EndTrial(a.now, bad)
 		Expect(a.refused(bad)).To(BeTrue())
 		a.pass(10 * time.Second)
 		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
-		a.Ended(a.now, bad, 4)
-		a.TrialOver(a.now, bad)
+		a.RecordExit(a.now, bad, 4)
+		a.EndTrial(a.now, bad)
 		a.pass(11 * time.Second)
 		Expect(a.refused(bad)).To(BeTrue(), "five minutes by now")
 	})
@@ -154,15 +154,15 @@
 		a := newAlone()
 		a.end(bad, 1, 2, 3)
 		Expect(a.pass(11 * time.Minute)).To(ContainElement(HaveField("Kind", poison.Forgotten)))
-		Expect(a.Suspects()).To(BeZero())
+		Expect(a.SuspectCount()).To(BeZero())
 	})
 
 	It("is the same after the store has kept it", func() {
 		a, b := newAlone(), newAlone()
 		a.end(bad, 1, 2, 3)
-		b.Restore(b.now, a.All(a.now))
+		b.Restore(b.now, a.ListSuspects(a.now))
 		Expect(b.refused(bad)).To(BeTrue())
-		Expect(poison.Sum(b.All(b.now))).To(Equal(poison.Sum(a.All(a.now))))
+		Expect(poison.Checksum(b.ListSuspects(b.now))).To(Equal(poison.Checksum(a.ListSuspects(a.now))))
 	})
 
 	// A hostile caller can have targets end under as many requests as they run.
@@ -170,23 +170,23 @@
 		a := newAlone()
 		a.end(bad, 1, 2)
 		for i := range 20_000 {
-			a.Ended(a.now, poison.Fingerprint(1000+i), 7)
+			a.RecordExit(a.now, poison.Fingerprint(1000+i), 7)
 		}
 		a.end(bad, 3)
 		Expect(a.refused(bad)).To(BeTrue())
 		news := 0
 		for range 200 {
-			n := a.TakeNews(a.now)
-			news += len(n.Ends)
+			n := a.NextReport(a.now)
+			news += len(n.Exits)
 		}
 		Expect(news).To(BeNumerically("<=", 3*1024))
 		for f := poison.Fingerprint(1); f < 600; f++ {
-			a.Ended(a.now, 50_000+f, uint64(100+3*f))
-			a.Ended(a.now, 50_000+f, uint64(101+3*f))
-			a.Ended(a.now, 50_000+f, uint64(102+3*f))
+			a.RecordExit(a.now, 50_000+f, uint64(100+3*f))
+			a.RecordExit(a.now, 50_000+f, uint64(101+3*f))
+			a.RecordExit(a.now, 50_000+f, uint64(102+3*f))
 		}
 		a.pass(time.Second)
-		Expect(len(a.All(a.now))).To(BeNumerically("<=", 256))
+		Expect(len(a.ListSuspects(a.now))).To(BeNumerically("<=", 256))
 	})
 })
 
@@ -203,11 +203,11 @@
 			for i := range 400 {
 				a.pass(tick)
 				if random.IntN(4) > 0 { // one of four ticks without an answer
-					a.Ran(a.now, proper)
+					a.RecordAnswer(a.now, proper)
 				}
 				if i%every == every-1 {
 					for range rack {
-						a.Ended(a.now, proper, lifetime)
+						a.RecordExit(a.now, proper, lifetime)
 						lifetime++
 					}
 				}
@@ -225,6 +225,6 @@
 	now := time.Unix(1_000_000, 0)
 	b.ReportAllocs()
 	for i := range b.N {
-		d.Ran(now.Add(time.Duration(i)*8*time.Millisecond), poison.Fingerprint(i))
+		d.RecordAnswer(now.Add(time.Duration(i)*8*time.Millisecond), poison.Fingerprint(i))
 	}
 }
--- a/internal/core/poison/news.go
+++ b/internal/core/poison/news.go
@@ -8,21 +8,23 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/rendezvous"
 )
 
-// End is the news that a target ended under a request.
-type End struct {
+// Exit is the news that a target ended under a request.
+type Exit struct {
 	Request Fingerprint
 	Target  uint64 // its lifetime
 }
 
-// News is what routers tell each other at once. Whoever hears something new tells it on.
-type News struct {
-	Ends     []End
-	Ran      []Fingerprint // answered, whatever ended under them
+// Report is what routers tell each other at once. Whoever hears something new tells it on.
+type Report struct {
+	Exits    []Exit
+	Answered []Fingerprint // answered, whatever ended under them
 	Suspects []Suspect
 }
 
-// Empty reports whether there is nothing to tell.
-func (n News) Empty() bool { return len(n.Ends) == 0 && len(n.Ran) == 0 && len(n.Suspects) == 0 }
+// IsEmpty reports whether there is nothing to tell.
+func (n Report) IsEmpty() bool {
+	return len(n.Exits) == 0 && len(n.Answered) == 0 && len(n.Suspects) == 0
+}
 
 const (
 	// newsTold is in how many digests a router tells something: with three in ten lost, one of each router arrives in 97 of 100
@@ -108,18 +110,18 @@
 	return out
 }
 
-// Fresh reports whether there is something that is to be told at once.
-func (d *Detector) Fresh() bool { return d.news.fresh }
+// HasUrgentReport reports whether there is something that is to be told at once.
+func (d *Detector) HasUrgentReport() bool { return d.news.fresh }
 
-// TakeNews returns what the next digest tells.
-func (d *Detector) TakeNews(now time.Time) News {
-	var n News
+// NextReport returns what the next digest tells.
+func (d *Detector) NextReport(now time.Time) Report {
+	var n Report
 	for _, one := range d.news.take([itemKinds]int{itemSuspect: suspectsPerDigest, itemRan: ranPerDigest, itemEnded: endsPerDigest}) {
 		switch one.kind {
 		case itemEnded:
-			n.Ends = append(n.Ends, End{Request: one.request, Target: one.target})
+			n.Exits = append(n.Exits, Exit{Request: one.request, Target: one.target})
 		case itemRan:
-			n.Ran = append(n.Ran, one.request)
+			n.Answered = append(n.Answered, one.request)
 		case itemSuspect:
 			if s := d.suspects[one.request]; s != nil {
 				n.Suspects = append(n.Suspects, s.tell(now, one.request))
@@ -132,26 +134,26 @@
 func (s *suspect) tell(now time.Time, f Fingerprint) Suspect {
 	return Suspect{
 		Request: f, Generation: s.generation, Level: s.level,
-		Wait: max(s.until.Sub(now), 0), Lasts: max(s.lasts.Sub(now), 0),
+		RefusedFor: max(s.until.Sub(now), 0), ExpiresIn: max(s.lasts.Sub(now), 0),
 	}
 }
 
-// Heard takes in what another router tells. What is new is told on.
-func (d *Detector) Heard(now time.Time, n News) {
-	for _, f := range n.Ran {
+// ReceiveReport takes in what another router tells. What is new is told on.
+func (d *Detector) ReceiveReport(now time.Time, n Report) {
+	for _, f := range n.Answered {
 		d.heardRan(now, f)
 	}
 	for _, s := range n.Suspects {
 		d.heardSuspect(now, s)
 	}
-	for _, e := range n.Ends {
+	for _, e := range n.Exits {
 		d.ended(now, e.Request, e.Target, true)
 	}
 }
 
 func (d *Detector) heardRan(now time.Time, f Fingerprint) {
 	known := d.ran.has(now, f)
-	d.Ran(now, f)
+	d.RecordAnswer(now, f)
 	if !known {
 		d.news.add(item{kind: itemRan, request: f})
 	}
@@ -160,9 +162,9 @@
 // heardSuspect takes in another router's word if it is newer. Of two changes at once, that it was answered counts.
 func (d *Detector) heardSuspect(now time.Time, t Suspect) {
 	s, ok := d.suspects[t.Request]
-	lasts := now.Add(min(t.Lasts, waits[len(waits)-1]+probation))
+	lasts := now.Add(min(t.ExpiresIn, waits[len(waits)-1]+probation))
 	switch {
-	case !ok && t.Lasts < nearlyForgotten:
+	case !ok && t.ExpiresIn < nearlyForgotten:
 		return
 	case ok && (t.Generation < s.generation || (t.Generation == s.generation && (s.level == 0 || t.Level > 0))):
 		if t.Generation == s.generation && lasts.After(s.lasts) {
@@ -176,7 +178,7 @@
 	}
 	before := s.level
 	s.generation, s.level, s.lasts, s.probation = t.Generation, max(t.Level, 0), lasts, false
-	s.until = now.Add(min(max(t.Wait, 0), waits[len(waits)-1]))
+	s.until = now.Add(min(max(t.RefusedFor, 0), waits[len(waits)-1]))
 	if e, held := d.evidence[t.Request]; held {
 		delete(d.evidence, t.Request)
 		s.ends = e.ends
@@ -186,7 +188,7 @@
 	}
 	switch {
 	case s.level > before && before > 0:
-		d.changed(t.Request, s, Again)
+		d.changed(t.Request, s, TrialFailed)
 	case s.level > 0:
 		d.changed(t.Request, s, Suspected)
 	case before > 0:
@@ -201,8 +203,8 @@
 func (d *Detector) Restore(now time.Time, kept []Suspect) {
 	for _, s := range kept {
 		if s.Level > 0 {
-			s.Wait = wait(s.Level)
-			s.Lasts = s.Wait + probation
+			s.RefusedFor = wait(s.Level)
+			s.ExpiresIn = s.RefusedFor + probation
 			d.heardSuspect(now, s)
 		}
 	}
@@ -212,8 +214,8 @@
 // tenths of a second apart, and would tell each other of it for ever.
 const nearlyForgotten = 5 * time.Second
 
-// All returns what this router holds of suspects, for one that holds something else.
-func (d *Detector) All(now time.Time) []Suspect {
+// ListSuspects returns what this router holds of suspects, for one that holds something else.
+func (d *Detector) ListSuspects(now time.Time) []Suspect {
 	out := make([]Suspect, 0, len(d.suspects))
 	for f, s := range d.suspects {
 		if s.lasts.Sub(now) >= nearlyForgotten {
@@ -224,8 +226,8 @@
 	return out
 }
 
-// Sum returns a number that differs if two routers hold different suspects; 0 if there are none.
-func Sum(held []Suspect) uint64 {
+// Checksum returns a number that differs if two routers hold different suspects; 0 if there are none.
+func Checksum(held []Suspect) uint64 {
 	sum := uint64(0)
 	for _, s := range held {
 		sum ^= rendezvous.Mix(uint64(s.Request), uint64(s.Generation)<<8|uint64(min(s.Level, 255)))
--- a/internal/core/poison/suspect.go
+++ b/internal/core/poison/suspect.go
@@ -37,8 +37,8 @@
 	Request    Fingerprint
 	Generation uint32
 	Level      int // 0: cleared
-	Wait       time.Duration
-	Lasts      time.Duration
+	RefusedFor time.Duration
+	ExpiresIn  time.Duration
 }
 
 func wait(level int) time.Duration { return waits[min(level, len(waits))-1] }
@@ -66,9 +66,9 @@
 }
 
 func (d *Detector) changed(f Fingerprint, s *suspect, kind ChangeKind) {
-	c := Change{Request: f, Kind: kind, Ends: len(s.ends), Level: s.level}
+	c := Change{Request: f, Kind: kind, Exits: len(s.ends), Level: s.level}
 	if s.level > 0 {
-		c.Wait = wait(s.level)
+		c.RefusedFor = wait(s.level)
 	}
 	d.changes = append(d.changes, c)
 	d.news.add(item{kind: itemSuspect, request: f})
@@ -92,7 +92,7 @@
 	s := d.suspects[f]
 	delete(d.suspects, f)
 	if s.level > 0 {
-		d.changes = append(d.changes, Change{Request: f, Kind: Forgotten, Ends: len(s.ends), Level: s.level})
+		d.changes = append(d.changes, Change{Request: f, Kind: Forgotten, Exits: len(s.ends), Level: s.level})
 	}
 }
 
@@ -111,7 +111,7 @@
 	s.refresh(now)
 	if s.probation {
 		s.set(now, s.level+1)
-		d.changed(f, s, Again)
+		d.changed(f, s, TrialFailed)
 	}
 }
 
@@ -139,39 +139,39 @@
 	}
 }
 
-// Verdict says what becomes of a request.
-type Verdict struct {
-	Refused bool
-	Wait    time.Duration // until it makes sense to come back, if refused
+// Decision says what becomes of a request.
+type Decision struct {
+	Refused    bool
+	RetryAfter time.Duration // until it makes sense to come back, if refused
 	// Trial: it is a suspect, and the one that is let through; TrialOver has to follow.
 	Trial bool
 }
 
 // Admit decides whether a request is sent. After its wait a suspect is tried once at a time, by the router that is its home
 // alone, which home is asked for only then: each router trying for itself would end a target each.
-func (d *Detector) Admit(now time.Time, f Fingerprint, home func() bool) Verdict {
+func (d *Detector) Admit(now time.Time, f Fingerprint, home func() bool) Decision {
 	s := d.suspects[f]
 	if s == nil || s.level == 0 {
-		return Verdict{}
+		return Decision{}
 	}
 	s.refresh(now)
 	left := s.until.Sub(now)
 	switch {
 	case left > 0:
-		return Verdict{Refused: true, Wait: left}
+		return Decision{Refused: true, RetryAfter: left}
 	case s.trial || !home():
-		return Verdict{Refused: true, Wait: trialLasts}
+		return Decision{Refused: true, RetryAfter: trialLasts}
 	}
 	s.trial = true
-	return Verdict{Trial: true}
+	return Decision{Trial: true}
 }
 
 // trialLasts is when to come back while another one is tried, or may be at another router.
 const trialLasts = time.Second
 
-// TrialOver takes in that the one that was let through has ended. If it was neither answered nor ended its target, the
+// EndTrial takes in that the one that was let through has ended. If it was neither answered nor ended its target, the
 // next one waits as at first.
-func (d *Detector) TrialOver(now time.Time, f Fingerprint) {
+func (d *Detector) EndTrial(now time.Time, f Fingerprint) {
 	s := d.suspects[f]
 	if s == nil || !s.trial {
 		return
@@ -182,8 +182,8 @@
 	}
 }
 
-// Suspects reports how many requests are refused.
-func (d *Detector) Suspects() int {
+// SuspectCount reports how many requests are refused.
+func (d *Detector) SuspectCount() int {
 	n := 0
 	for _, s := range d.suspects {
 		if s.level > 0 {
@@ -193,9 +193,9 @@
 	return n
 }
 
-// Home reports whether a router is the one of several that tries a suspect and keeps it in the store: the first in
+// IsHomeRouter reports whether a router is the one of several that tries a suspect and keeps it in the store: the first in
 // rendezvous order, which all routers compute alike.
-func (f Fingerprint) Home(self string, others []string) bool {
+func (f Fingerprint) IsHomeRouter(self string, others []string) bool {
 	own := rendezvous.Mix(uint64(f), rendezvous.Hash(self))
 	return !slices.ContainsFunc(others, func(o string) bool {
 		return rendezvous.Mix(uint64(f), rendezvous.Hash(o)) > own
--- a/internal/core/resource/decode.go
+++ b/internal/core/resource/decode.go
@@ -13,10 +13,10 @@
 	dec := json.NewDecoder(bytes.NewReader(spec))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
-		return code.AtField(code.BadResource, "spec", "%s", err)
+		return code.NewFieldError(code.BadResource, "spec", "%s", err)
 	}
 	if dec.More() {
-		return code.AtField(code.BadResource, "spec", "has text after its end")
+		return code.NewFieldError(code.BadResource, "spec", "has text after its end")
 	}
 	return nil
 }
@@ -30,7 +30,7 @@
 			return err
 		}
 		if !exists(Key{KindPool, spec.Pool}) {
-			return code.AtField(code.BadReference, "spec.pool", "no Pool %q", spec.Pool)
+			return code.NewFieldError(code.BadReference, "spec.pool", "no Pool %q", spec.Pool)
 		}
 	case KindPlannedChange:
 		var spec PlannedChangeSpec
@@ -38,7 +38,7 @@
 			return err
 		}
 		if !exists(Key{KindTarget, spec.Target}) {
-			return code.AtField(code.BadReference, "spec.target", "no Target %q", spec.Target)
+			return code.NewFieldError(code.BadReference, "spec.target", "no Target %q", spec.Target)
 		}
 	}
 	return nil
--- a/internal/core/resource/resource.go
+++ b/internal/core/resource/resource.go
@@ -137,7 +137,7 @@
 // Validate checks one resource on its own. References are checked by CheckReferences.
 func Validate(r Resource) error {
 	if !namePattern.MatchString(r.Metadata.Name) {
-		return code.AtField(code.BadResource, "metadata.name", "%q is not lower-case letters, digits, dots and dashes, 1 to 63 long", r.Metadata.Name)
+		return code.NewFieldError(code.BadResource, "metadata.name", "%q is not lower-case letters, digits, dots and dashes, 1 to 63 long", r.Metadata.Name)
 	}
 	switch r.Kind {
 	case KindPool:
@@ -149,7 +149,7 @@
 	case KindPlannedChange:
 		return validatePlannedChange(r)
 	default:
-		return code.AtField(code.BadResource, "kind", "%q is not Pool, Team, Target or PlannedChange", r.Kind)
+		return code.NewFieldError(code.BadResource, "kind", "%q is not Pool, Team, Target or PlannedChange", r.Kind)
 	}
 }
 
@@ -159,13 +159,13 @@
 		return err
 	}
 	if spec.Protocol != ProtocolModel && spec.Protocol != ProtocolService {
-		return code.AtField(code.BadResource, "spec.protocol", "%q is not model or service", spec.Protocol)
+		return code.NewFieldError(code.BadResource, "spec.protocol", "%q is not model or service", spec.Protocol)
 	}
 	if spec.BoundMultiple != 0 && (spec.BoundMultiple < 1.05 || spec.BoundMultiple > 10) {
-		return code.AtField(code.BadResource, "spec.boundMultiple", "%v is not between 1.05 and 10", spec.BoundMultiple)
+		return code.NewFieldError(code.BadResource, "spec.boundMultiple", "%v is not between 1.05 and 10", spec.BoundMultiple)
 	}
 	if spec.MaxPerTarget < 0 {
-		return code.AtField(code.BadResource, "spec.maxPerTarget", "%d is negative", spec.MaxPerTarget)
+		return code.NewFieldError(code.BadResource, "spec.maxPerTarget", "%d is negative", spec.MaxPerTarget)
 	}
 	return nil
 }
@@ -176,16 +176,16 @@
 		return err
 	}
 	if spec.Weight < 0 || spec.Weight > 1000 {
-		return code.AtField(code.BadResource, "spec.weight", "%d is not between 0 and 1000", spec.Weight)
+		return code.NewFieldError(code.BadResource, "spec.weight", "%d is not between 0 and 1000", spec.Weight)
 	}
 	if spec.MaxOutstanding < 0 {
-		return code.AtField(code.BadResource, "spec.maxOutstanding", "%d is negative", spec.MaxOutstanding)
+		return code.NewFieldError(code.BadResource, "spec.maxOutstanding", "%d is negative", spec.MaxOutstanding)
 	}
 	if spec.FirstTokenMillis < 0 {
-		return code.AtField(code.BadResource, "spec.firstTokenMillis", "%d is negative", spec.FirstTokenMillis)
+		return code.NewFieldError(code.BadResource, "spec.firstTokenMillis", "%d is negative", spec.FirstTokenMillis)
 	}
 	if spec.ObjectivePercent < 0 || spec.ObjectivePercent >= 100 {
-		return code.AtField(code.BadResource, "spec.objectivePercent", "%v is not at least 0 and below 100", spec.ObjectivePercent)
+		return code.NewFieldError(code.BadResource, "spec.objectivePercent", "%v is not at least 0 and below 100", spec.ObjectivePercent)
 	}
 	return nil
 }
@@ -198,10 +198,10 @@
 		return err
 	}
 	if spec.Pool == "" {
-		return code.AtField(code.BadResource, "spec.pool", "is empty")
+		return code.NewFieldError(code.BadResource, "spec.pool", "is empty")
 	}
 	if !addressPattern.MatchString(spec.Address) {
-		return code.AtField(code.BadResource, "spec.address", "%q is not an IP number and port", spec.Address)
+		return code.NewFieldError(code.BadResource, "spec.address", "%q is not an IP number and port", spec.Address)
 	}
 	return nil
 }
@@ -212,16 +212,16 @@
 		return err
 	}
 	if spec.Target == "" {
-		return code.AtField(code.BadResource, "spec.target", "is empty")
+		return code.NewFieldError(code.BadResource, "spec.target", "is empty")
 	}
 	switch spec.Action {
 	case ActionDrain:
 	case ActionRole, ActionLoad:
 		if spec.Argument == "" {
-			return code.AtField(code.BadResource, "spec.argument", "is empty, but %q needs one", spec.Action)
+			return code.NewFieldError(code.BadResource, "spec.argument", "is empty, but %q needs one", spec.Action)
 		}
 	default:
-		return code.AtField(code.BadResource, "spec.action", "%q is not drain, role or load", spec.Action)
+		return code.NewFieldError(code.BadResource, "spec.action", "%q is not drain, role or load", spec.Action)
 	}
 	return nil
 }
--- a/internal/core/retry/retry.go
+++ b/internal/core/retry/retry.go
@@ -11,8 +11,8 @@
 }
 
 const (
-	// Share is how many retries each request earns.
-	Share = 0.1
+	// TokensPerRequest is how many retries each request earns.
+	TokensPerRequest = 0.1
 	// Burst is the largest number of saved-up retries.
 	Burst = 10
 )
@@ -20,14 +20,14 @@
 // NewBudget returns a Budget with a full bucket.
 func NewBudget() *Budget { return &Budget{tokens: Burst} }
 
-// Earn records a first attempt.
-func (b *Budget) Earn() { b.tokens = min(b.tokens+Share, Burst) }
+// Deposit records a first attempt.
+func (b *Budget) Deposit() { b.tokens = min(b.tokens+TokensPerRequest, Burst) }
 
-// Available reports whether a retry may be spent.
-func (b *Budget) Available() bool { return b.tokens >= 1 }
+// HasTokens reports whether a retry may be spent.
+func (b *Budget) HasTokens() bool { return b.tokens >= 1 }
 
-// Spend takes one retry.
-func (b *Budget) Spend() { b.tokens-- }
+// Withdraw takes one retry.
+func (b *Budget) Withdraw() { b.tokens-- }
 
 // Backoff returns the pause before a retry with full jitter: a share, drawn
 // uniformly from [0, 1), of the base doubled for each earlier retry, at most the
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -50,10 +50,10 @@
 // settle is how long routers take to learn of one that has started, and it of them.
 const settle = 2 * time.Second
 
-// SlackAfter returns for how long a process that has started uses none of the slack. The one before it on its VM, or the VM in whose place it
+// SlackDelay returns for how long a process that has started uses none of the slack. The one before it on its VM, or the VM in whose place it
 // came, may have used its part a moment ago, and no memory of that is left: with a part for each start, targets would get many times
 // the budget while routers start again and again.
-func SlackAfter(span time.Duration) time.Duration { return span + settle }
+func SlackDelay(span time.Duration) time.Duration { return span + settle }
 
 // slackHeadroom is the part of the slack that is used: a repeat may reach its target a
 // moment after it was counted, in a span that the router has no longer in view.
@@ -72,37 +72,37 @@
 	return &Window{start: now, slot: span / spanBuckets}
 }
 
-// Request counts the first send of a request.
-func (w *Window) Request(now time.Time) { w.at(now).requests++ }
+// RecordRequest counts the first send of a request.
+func (w *Window) RecordRequest(now time.Time) { w.at(now).requests++ }
 
-// Room is what is left of this router's part of the budget.
-type Room struct {
-	Repeats  int     // that lie in the span with the least room
+// Headroom is what is left of this router's part of the budget.
+type Headroom struct {
+	Retries  int     // that lie in the span with the least room
 	Requests float64 // that count for it
 	Slack    float64 // this router's part
 	Allowed  float64
 }
 
 // ok reports whether one more repeat has room.
-func (r Room) ok() bool { return float64(r.Repeats+1) <= r.Allowed }
+func (r Headroom) ok() bool { return float64(r.Retries+1) <= r.Allowed }
 
-// Repeat counts a further send if the budget has room for it in every span that it will
+// TryRetry counts a further send if the budget has room for it in every span that it will
 // lie in, whatever comes.
-func (w *Window) Repeat(now time.Time, l Limits) bool {
-	if !w.Room(now, l).ok() {
+func (w *Window) TryRetry(now time.Time, l Limits) bool {
+	if !w.TightestHeadroom(now, l).ok() {
 		return false
 	}
 	w.at(now).repeats++
 	return true
 }
 
-// Room returns what is left in the span with the least room of those that a repeat would lie in.
-func (w *Window) Room(now time.Time, l Limits) Room {
-	least := Room{Slack: l.slackPart()}
+// TightestHeadroom returns what is left in the span with the least room of those that a repeat would lie in.
+func (w *Window) TightestHeadroom(now time.Time, l Limits) Headroom {
+	least := Headroom{Slack: l.slackPart()}
 	for ends := range int64(spanBuckets + 1) {
 		requests, repeats := w.spanEnding(now, ends)
-		r := Room{Repeats: repeats, Requests: requests, Slack: least.Slack, Allowed: l.Ratio*requests + least.Slack}
-		if ends == 0 || r.Allowed-float64(r.Repeats) < least.Allowed-float64(least.Repeats) {
+		r := Headroom{Retries: repeats, Requests: requests, Slack: least.Slack, Allowed: l.Ratio*requests + least.Slack}
+		if ends == 0 || r.Allowed-float64(r.Retries) < least.Allowed-float64(least.Retries) {
 			least = r
 		}
 	}
--- a/internal/core/retry/window_test.go
+++ b/internal/core/retry/window_test.go
@@ -58,11 +58,11 @@
 					load = rapid.SampledFrom([]int{0, 0, 10, 100}).Draw(t, "load")
 				}
 				for j := range rapid.IntRange(load/2, load).Draw(t, "requests") {
-					windows[j%serving].Request(now)
+					windows[j%serving].RecordRequest(now)
 					c.requests++
 				}
 				for j := range rapid.IntRange(0, 50).Draw(t, "wanted") {
-					if windows[j%routers].Repeat(now, limits) {
+					if windows[j%routers].TryRetry(now, limits) {
 						c.repeats++
 					}
 				}
@@ -101,16 +101,16 @@
 				}
 				var c count
 				for j := range load {
-					processes[j%routers].window.Request(now)
+					processes[j%routers].window.RecordRequest(now)
 					c.requests++
 				}
 				for j := range rapid.SampledFrom([]int{0, 0, 20, 200}).Draw(t, "wanted") {
 					p := processes[j%routers]
 					limits := retry.Limits{Ratio: 0.2, Slack: 58}
-					if p.first || now.Sub(p.began) >= retry.SlackAfter(span) {
+					if p.first || now.Sub(p.began) >= retry.SlackDelay(span) {
 						limits.Routers = routers
 					}
-					if p.window.Repeat(now, limits) {
+					if p.window.TryRetry(now, limits) {
 						c.repeats++
 					}
 				}
@@ -130,8 +130,8 @@
 		allowed := 0
 		for i := range 4000 {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
-			w.Request(now)
-			if i >= 2000 && w.Repeat(now, l) {
+			w.RecordRequest(now)
+			if i >= 2000 && w.TryRetry(now, l) {
 				allowed++
 			}
 		}
@@ -147,7 +147,7 @@
 		repeats := 0
 		for range 8 {
 			w := retry.NewWindow(start, 10*time.Second)
-			for w.Repeat(start, l) {
+			for w.TryRetry(start, l) {
 				repeats++
 			}
 		}
@@ -158,9 +158,9 @@
 		start := time.Unix(1000, 0)
 		w := retry.NewWindow(start, 10*time.Second)
 		l := retry.Limits{Ratio: 0.2, Slack: 16, Routers: 9}
-		Expect(w.Repeat(start, l)).To(BeTrue())
-		Expect(w.Repeat(start, l)).To(BeFalse())
-		Expect(w.Repeat(start.Add(9*time.Second), l)).To(BeFalse())
-		Expect(w.Repeat(start.Add(11*time.Second), l)).To(BeTrue())
+		Expect(w.TryRetry(start, l)).To(BeTrue())
+		Expect(w.TryRetry(start, l)).To(BeFalse())
+		Expect(w.TryRetry(start.Add(9*time.Second), l)).To(BeFalse())
+		Expect(w.TryRetry(start.Add(11*time.Second), l)).To(BeTrue())
 	})
 })
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -25,8 +25,8 @@
 	Stream
 )
 
-// Share is one pool's part of a route's traffic.
-type Share struct {
+// WeightedPool is one pool's part of a route's traffic.
+type WeightedPool struct {
 	Pool   string
 	Weight int // relative to the sum of the route's weights
 }
@@ -37,7 +37,7 @@
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	Split  []Share
+	Split  []WeightedPool
 
 	// Timeout is the longest a request may be kept waiting; 0 means no limit.
 	Timeout time.Duration
@@ -54,8 +54,8 @@
 	Resumable bool // streams may go on at another target
 }
 
-// Repeatable reports whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+// AllowsRetry reports whether a request of the route may run more than once.
+func (r *Route) AllowsRetry() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
@@ -64,10 +64,10 @@
 	Name string
 	// MaxConnections is what one target accepts from all routers together; 0 if unknown.
 	MaxConnections int
-	// ColdPerSecond is how many requests a second a target bears that is cold, 0 if that is not bounded, and ColdFor how long one
+	// ColdRequestsPerSecond is how many requests a second a target bears that is cold, 0 if that is not bounded, and ColdFor how long one
 	// is cold that has started.
-	ColdPerSecond float64
-	ColdFor       time.Duration
+	ColdRequestsPerSecond float64
+	WarmUpTime            time.Duration
 }
 
 // Team is whoever a request is charged to.
@@ -78,8 +78,8 @@
 	Priority *int
 }
 
-// State is one whole desired state.
-type State struct {
+// DesiredState is one whole desired state.
+type DesiredState struct {
 	Version uint64
 	Routes  []Route
 	Pools   []Pool
@@ -99,7 +99,7 @@
 }
 
 // Build derives a Table from a State.
-func Build(s *State) *Table {
+func Build(s *DesiredState) *Table {
 	t := &Table{
 		Version: s.Version, MaxBodyBytes: s.MaxBodyBytes,
 		byHost: make(map[string][]*Route), pools: make(map[string]Pool),
@@ -139,8 +139,8 @@
 	return nil, false
 }
 
-// NamesPool reports whether the state names a pool at all.
-func (t *Table) NamesPool(name string) bool { return t.named[name] }
+// ReferencesPool reports whether the state names a pool at all.
+func (t *Table) ReferencesPool(name string) bool { return t.named[name] }
 
 // Pools returns the pools that the state defines, by name. It is not to be changed.
 func (t *Table) Pools() map[string]Pool { return t.pools }
@@ -153,8 +153,8 @@
 	return strings.ToLower(host)
 }
 
-// HasTeams reports whether requests need a key at all.
-func (t *Table) HasTeams() bool { return len(t.byKey) > 0 }
+// RequiresKey reports whether requests need a key at all.
+func (t *Table) RequiresKey() bool { return len(t.byKey) > 0 }
 
 // TeamByKey returns the team that holds a key.
 func (t *Table) TeamByKey(key string) (*Team, bool) {
@@ -162,9 +162,9 @@
 	return team, ok
 }
 
-// Choose returns the pool for a request with a hash: the same hash gets the same
+// ChoosePool returns the pool for a request with a hash: the same hash gets the same
 // pool while the weights stay, so a returning chat finds its cache.
-func (r *Route) Choose(hash uint64) string {
+func (r *Route) ChoosePool(hash uint64) string {
 	total := 0
 	for _, s := range r.Split {
 		total += s.Weight
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -10,7 +10,7 @@
 )
 
 func table() *route.Table {
-	return route.Build(&route.State{
+	return route.Build(&route.DesiredState{
 		Version: 3,
 		Routes: []route.Route{
 			{Name: "short", Host: "a.example", Prefix: "/x/"},
@@ -51,21 +51,21 @@
 	})
 
 	It("splits by weight and sends the same hash to the same pool", func() {
-		r := route.Route{Name: "r", Split: []route.Share{{Pool: "p", Weight: 90}, {Pool: "q", Weight: 10}}}
+		r := route.Route{Name: "r", Split: []route.WeightedPool{{Pool: "p", Weight: 90}, {Pool: "q", Weight: 10}}}
 		count := map[string]int{}
 		for i := range uint64(10_000) {
-			pool := r.Choose(i)
-			Expect(r.Choose(i)).To(Equal(pool))
+			pool := r.ChoosePool(i)
+			Expect(r.ChoosePool(i)).To(Equal(pool))
 			count[pool]++
 		}
 		Expect(count["q"]).To(BeNumerically("~", 1000, 150), fmt.Sprint(count))
-		Expect((&route.Route{}).Choose(1)).To(BeEmpty())
+		Expect((&route.Route{}).ChoosePool(1)).To(BeEmpty())
 	})
 
 	It("allows repeats by kind alone", func() {
-		Expect((&route.Route{Kind: route.Safe}).Repeatable()).To(BeTrue())
-		Expect((&route.Route{Kind: route.Unsafe, Resumable: true}).Repeatable()).To(BeFalse())
-		Expect((&route.Route{Kind: route.Stream}).Repeatable()).To(BeFalse())
-		Expect((&route.Route{Kind: route.Stream, Resumable: true}).Repeatable()).To(BeTrue())
+		Expect((&route.Route{Kind: route.Safe}).AllowsRetry()).To(BeTrue())
+		Expect((&route.Route{Kind: route.Unsafe, Resumable: true}).AllowsRetry()).To(BeFalse())
+		Expect((&route.Route{Kind: route.Stream}).AllowsRetry()).To(BeFalse())
+		Expect((&route.Route{Kind: route.Stream, Resumable: true}).AllowsRetry()).To(BeTrue())
 	})
 })
--- a/internal/core/router/requests.go
+++ b/internal/core/router/requests.go
@@ -47,15 +47,15 @@
 	}
 	pool, team := c.budget("pool/"+ev.Pool), c.budget("team/"+ev.Team)
 	if !ev.Retry {
-		pool.Earn()
-		team.Earn()
+		pool.Deposit()
+		team.Deposit()
 		return code.OK, false
 	}
-	if !pool.Available() || !team.Available() {
+	if !pool.HasTokens() || !team.HasTokens() {
 		return code.RetryBudget, true
 	}
-	pool.Spend()
-	team.Spend()
+	pool.Withdraw()
+	team.Withdraw()
 	return code.OK, false
 }
 
@@ -112,7 +112,7 @@
 // the pool. Routers whose views differ follow different owners for a while; the
 // ledger's rules keep the bound meanwhile.
 func (c *Core) followOwners(now time.Time) {
-	pools := c.table.Pools()
+	pools := c.table.PoolNames()
 	if len(pools) == 0 {
 		return
 	}
@@ -262,7 +262,7 @@
 	if !ok {
 		return nil, routing.Target{}, false
 	}
-	i, ok := p.Index(uid)
+	i, ok := p.TargetIndex(uid)
 	if !ok || p.Targets[i].Leaving {
 		return nil, routing.Target{}, false
 	}
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -213,8 +213,8 @@
 	return p, ok
 }
 
-// Pools returns the pool names in order.
-func (t *Table) Pools() []string {
+// PoolNames returns the pool names in order.
+func (t *Table) PoolNames() []string {
 	names := make([]string, 0, len(t.pools))
 	for name := range t.pools {
 		names = append(names, name)
@@ -245,18 +245,18 @@
 	return team.Spec.Weight, team.Spec.MaxOutstanding
 }
 
-// Teams returns the number of teams.
-func (t *Table) Teams() int { return len(t.teams) }
+// TeamCount returns the number of teams.
+func (t *Table) TeamCount() int { return len(t.teams) }
 
-// Index returns the position of a target in p.Targets.
-func (p *Pool) Index(uid uint64) (int32, bool) {
+// TargetIndex returns the position of a target in p.Targets.
+func (p *Pool) TargetIndex(uid uint64) (int32, bool) {
 	i, ok := p.byUID[uid]
 	return i, ok
 }
 
-// Rank fills top with the best limit targets for a chat, leaving ones left out.
+// RankTargets fills top with the best limit targets for a chat, leaving ones left out.
 // It allocates nothing.
-func (p *Pool) Rank(chat uint64, top *rendezvous.Top, limit int) {
+func (p *Pool) RankTargets(chat uint64, top *rendezvous.Top, limit int) {
 	top.Reset()
 	for i := range p.Targets {
 		if p.Targets[i].Leaving {
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -38,11 +38,11 @@
 // shape is what traffic sees of a table.
 func shape(t *routing.Table) map[string]any {
 	out := make(map[string]any)
-	for _, name := range t.Pools() {
+	for _, name := range t.PoolNames() {
 		p, _ := t.Pool(name)
 		out["pool "+name] = fmt.Sprint(p.Spec, p.Targets)
 		for _, target := range p.Targets {
-			i, ok := p.Index(target.UID)
+			i, ok := p.TargetIndex(target.UID)
 			out[fmt.Sprintf("index %s %d", name, target.UID)] = fmt.Sprint(i, ok)
 		}
 	}
@@ -95,8 +95,8 @@
 		after, _ := routing.Build(2, resources).Pool("p")
 		var a, b rendezvous.Top
 		for chat := range uint64(500) {
-			before.Rank(chat*7919, &a, 1)
-			after.Rank(chat*7919, &b, 1)
+			before.RankTargets(chat*7919, &a, 1)
+			after.RankTargets(chat*7919, &b, 1)
 			home := before.Targets[a.Index[0]].UID
 			if home != resources[3].Metadata.UID {
 				Expect(after.Targets[b.Index[0]].UID).To(Equal(home))
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -11,7 +11,7 @@
 func NewErrorBody(e *code.Error) ErrorBody {
 	info := e.Code.Lookup()
 	return ErrorBody{Error: ErrorDetail{
-		Code: int(e.Code), Name: info.Name, Message: e.Message, Ran: info.Ran.String(), Field: e.Field,
+		Code: int(e.Code), Name: info.Name, Message: e.Message, Ran: info.Execution.String(), Field: e.Field,
 	}}
 }
 
