--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -273,7 +273,7 @@
 	c.view.board.HeardRead(now, a.Prompts)
 	c.view.mu.Unlock()
 	c.heardDepartures(now, a.Departures)
-	if !a.Poison.IsEmpty() {
+	if !a.Poison.Empty() {
 		c.poisonFresh = c.view.guard.heard(now, a.Poison) || c.poisonFresh
 	}
 	for _, id := range ejected {
--- a/internal/core/fleet/sums.go
+++ b/internal/core/fleet/sums.go
@@ -39,7 +39,7 @@
 	if !h.Partial {
 		h.Loads, h.Outcomes = loads, outcomes
 	}
-	if !h.Partial || len(h.Prompts) > 0 || len(h.Departures) > 0 || !h.Poison.IsEmpty() {
+	if !h.Partial || len(h.Prompts) > 0 || len(h.Departures) > 0 || !h.Poison.Empty() {
 		c.emit(h)
 	}
 }
--- a/internal/core/fleet/suspects.go
+++ b/internal/core/fleet/suspects.go
@@ -64,7 +64,7 @@
 }
 
 // hasNews reports whether there is something that is told at once.
-func (c *Core) hasNews() bool { return len(c.departures) > 0 || !c.poison.IsEmpty() }
+func (c *Core) hasNews() bool { return len(c.departures) > 0 || !c.poison.Empty() }
 
 // setNews adds what is told at once.
 func (c *Core) setNews(d *peerv1.Digest) {
@@ -79,7 +79,7 @@
 		d.EndedRequest = append(d.EndedRequest, uint64(e.Request))
 		d.EndedTarget = append(d.EndedTarget, e.Target)
 	}
-	for _, f := range c.poison.Answered {
+	for _, f := range c.poison.Answers {
 		d.RanRequest = append(d.RanRequest, uint64(f))
 	}
 	d.Suspects = encodeSuspects(c.poison.Suspects)
@@ -103,7 +103,7 @@
 		n.Exits = append(n.Exits, poison.Exit{Request: poison.Fingerprint(d.GetEndedRequest()[i]), Target: d.GetEndedTarget()[i]})
 	}
 	for _, f := range d.GetRanRequest() {
-		n.Answered = append(n.Answered, poison.Fingerprint(f))
+		n.Answers = append(n.Answers, poison.Fingerprint(f))
 	}
 	for _, s := range d.GetSuspects() {
 		n.Suspects = append(n.Suspects, poison.Suspect{
--- a/internal/core/poison/detector.go
+++ b/internal/core/poison/detector.go
@@ -5,197 +5,199 @@
 	"time"
 )
 
-// A request is suspected once endsNeeded targets have ended under it with no run answered in between, by the
-// count of the whole fleet. Others that run on a target when it ends are nearly always answered elsewhere, which clears
-// them; and an end that a suspect explains counts against nobody else.
+// A request becomes a suspect once exitsToSuspect targets of the whole fleet have exited while they
+// executed it and no target has answered it in between. Other requests that run on a target when it
+// exits are nearly always answered by another target, which clears them. An exit that a suspect
+// explains does not count against any other request.
 const (
-	endsNeeded = 3
-	// objection is how long routers that have had an answer to the request may say so: news takes some tenths of a
-	// second across the fleet.
-	objection = 250 * time.Millisecond
-	// evidenceLasts bounds how far apart the ends may be, evidenceMost how many requests are remembered for them.
-	evidenceLasts = 10 * time.Minute
-	evidenceMost  = 4096
-	// endsKept bounds the targets that are remembered for one request.
-	endsKept = 32
+	exitsToSuspect = 3
+	// objectionPeriod is how long routers that have seen an answer to the request may report it. A
+	// report reaches the whole fleet within some tenths of a second.
+	objectionPeriod = 250 * time.Millisecond
+	// evidenceMaxAge bounds the time between two exits that count together, maxEvidence the number
+	// of requests with evidence.
+	evidenceMaxAge = 10 * time.Minute
+	maxEvidence    = 4096
+	// maxExits bounds the exited targets that are stored for one suspect.
+	maxExits = 32
 )
 
-// evidence is what is held against a request that is not suspected.
+// evidence lists the exits that count against a request that is not a suspect.
 type evidence struct {
-	ends []uint64  // targets that ended under it
-	last time.Time // of the newest end
-	due  time.Time // when it becomes a suspect; zero while too few targets ended
+	exits      []uint64  // UIDs of the targets that exited while they executed the request
+	lastExitAt time.Time // time of the newest exit
+	dueAt      time.Time // when the request becomes a suspect; zero while there are too few exits
 }
 
-// Change is something that an operator sees.
+// Change is a change of a suspicion, for the operator's log.
 type Change struct {
 	Request    Fingerprint
 	Kind       ChangeKind
-	Exits      int           // targets that ended under it
-	RefusedFor time.Duration // for which it is refused
-	Level      int           // how often it was tried again and ended a target, from 1
+	Exits      int           // number of targets that exited while they executed the request
+	RefusedFor time.Duration // how long the request is refused from now on
+	Level      int           // 1 plus the number of trials in which a target exited
 }
 
-// ChangeKind says what happened to a suspicion.
+// ChangeKind is what happened to a suspicion. Its value is the field change of log lines.
 type ChangeKind string
 
-// The changes.
+// The kinds of change.
 const (
-	Suspected   ChangeKind = "suspected" // refused from now on
-	TrialFailed ChangeKind = "again"     // it was tried, and ended a target again
-	Cleared     ChangeKind = "cleared"   // it was answered
-	Forgotten   ChangeKind = "forgotten" // nobody sent it for long
+	Suspected   ChangeKind = "suspected" // the request is refused from now on
+	TrialFailed ChangeKind = "again"     // the request was tried, and its target exited
+	Cleared     ChangeKind = "cleared"   // the request was answered
+	Forgotten   ChangeKind = "forgotten" // the suspicion expired, as nobody sent the request
 )
 
-// Detector counts which requests targets end under. It is not safe for concurrent use.
+// Detector finds the requests that make targets exit. It is not safe for concurrent use.
 type Detector struct {
-	ran      memory
+	answers  answerHistory
 	evidence map[Fingerprint]*evidence
 	suspects map[Fingerprint]*suspect
-	news     newsQueue
+	queue    reportQueue
 	changes  []Change
 }
 
-// NewDetector returns a Detector that suspects nobody.
+// NewDetector returns a Detector without suspects.
 func NewDetector() *Detector {
 	return &Detector{evidence: make(map[Fingerprint]*evidence), suspects: make(map[Fingerprint]*suspect)}
 }
 
-// RecordAnswer takes in that a request was answered by a target that went on running.
+// RecordAnswer records that a target answered a request and went on running.
 func (d *Detector) RecordAnswer(now time.Time, f Fingerprint) {
 	s := d.suspects[f]
-	_, held := d.evidence[f]
-	d.ran.add(now, f)
+	_, hasEvidence := d.evidence[f]
+	d.answers.add(now, f)
 	delete(d.evidence, f)
 	if s != nil && s.level > 0 {
 		d.clear(now, f, s)
 	}
-	if held {
-		d.news.add(item{kind: itemRan, request: f})
+	if hasEvidence {
+		d.queue.add(item{kind: itemAnswer, request: f})
 	}
 }
 
-// RecordExit takes in that a target ended while a request was under way there, as this router saw it.
-func (d *Detector) RecordExit(now time.Time, f Fingerprint, target uint64) {
-	d.ended(now, f, target, false)
-}
+// RecordExit records that this router saw a target exit while a request was open there.
+func (d *Detector) RecordExit(now time.Time, f Fingerprint, uid uint64) { d.exited(now, f, uid, false) }
 
-func (d *Detector) ended(now time.Time, f Fingerprint, target uint64, told bool) {
+func (d *Detector) exited(now time.Time, f Fingerprint, target uint64, reported bool) {
 	if s := d.suspects[f]; s != nil && s.level > 0 {
-		d.endedAgain(now, f, s, target)
+		d.recordSuspectExit(now, f, s, target)
 		return
 	}
 	switch {
-	case d.ran.has(now, f):
-		if told { // and held against the request by whoever hears of it
-			d.news.add(item{kind: itemRan, request: f})
+	case d.answers.has(now, f):
+		if reported { // the router that reported the exit has not seen the answer
+			d.queue.add(item{kind: itemAnswer, request: f})
 		}
 		return
-	case d.explained(target):
+	case d.isExplained(target):
 		return
 	}
 	e, ok := d.evidence[f]
 	if !ok {
-		d.makeRoom()
+		d.evictEvidence()
 		e = &evidence{}
 		d.evidence[f] = e
 	}
-	if slices.Contains(e.ends, target) {
+	if slices.Contains(e.exits, target) {
 		return
 	}
-	if !e.last.IsZero() && now.Sub(e.last) > evidenceLasts {
-		e.ends = nil
+	if !e.lastExitAt.IsZero() && now.Sub(e.lastExitAt) > evidenceMaxAge {
+		e.exits = nil
 	}
-	e.ends, e.last = append(e.ends, target), now
-	if len(e.ends) >= endsNeeded && e.due.IsZero() {
-		e.due = now.Add(objection)
+	e.exits, e.lastExitAt = append(e.exits, target), now
+	if len(e.exits) >= exitsToSuspect && e.dueAt.IsZero() {
+		e.dueAt = now.Add(objectionPeriod)
 	}
-	d.news.add(item{kind: itemEnded, request: f, target: target, urgency: len(e.ends)})
+	d.queue.add(item{kind: itemExit, request: f, target: target, urgency: len(e.exits)})
 }
 
-// explained reports whether a target ended under a request that is suspected.
-func (d *Detector) explained(target uint64) bool {
+// isExplained reports whether a target exited while it executed a suspect.
+func (d *Detector) isExplained(target uint64) bool {
 	for _, s := range d.suspects {
-		if s.level > 0 && slices.Contains(s.ends, target) {
+		if s.level > 0 && slices.Contains(s.exits, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// makeRoom forgets the evidence that says least if there is too much of it: of the requests with the fewest ends the one
-// whose last is the oldest. A flood of requests under which one target ended pushes out none with two.
-func (d *Detector) makeRoom() {
-	if len(d.evidence) < evidenceMost {
+// evictEvidence drops the weakest evidence if there is too much: among the requests with the fewest
+// exits the one whose last exit is the oldest. So a flood of requests with one exit each can't
+// evict a request with two.
+func (d *Detector) evictEvidence() {
+	if len(d.evidence) < maxEvidence {
 		return
 	}
 	var least Fingerprint
 	for f, e := range d.evidence {
-		held, ok := d.evidence[least]
-		if !ok || len(e.ends) < len(held.ends) || (len(e.ends) == len(held.ends) && e.last.Before(held.last)) {
+		current, ok := d.evidence[least]
+		if !ok || len(e.exits) < len(current.exits) || (len(e.exits) == len(current.exits) && e.lastExitAt.Before(current.lastExitAt)) {
 			least = f
 		}
 	}
 	delete(d.evidence, least)
 }
 
-// Tick lets time pass and returns what has changed since the last one.
+// Tick starts and expires suspicions that are due, and returns the changes since the last call.
 func (d *Detector) Tick(now time.Time) []Change {
-	d.suspect(now)
+	d.startDueSuspicions(now)
 	for f, e := range d.evidence {
-		if now.Sub(e.last) > evidenceLasts {
+		if now.Sub(e.lastExitAt) > evidenceMaxAge {
 			delete(d.evidence, f)
 		}
 	}
-	d.expire(now)
+	d.expireSuspects(now)
 	out := d.changes
 	d.changes = nil
 	return out
 }
 
-// suspect begins the suspicions that are due, those with most ends first: what they explain is not held against others.
-// Requests that the same targets ended under can't be told apart. All of them are refused, and each is tried.
-func (d *Detector) suspect(now time.Time) {
+// startDueSuspicions turns requests whose objection period has passed into suspects, those with the
+// most exits first, so that their exits do not count against others. Requests with the same exited
+// targets can't be told apart: all of them become suspects, and each gets its own trials.
+func (d *Detector) startDueSuspicions(now time.Time) {
 	for {
 		var worst *evidence
 		for _, e := range d.evidence {
-			if e.isDue(now) && (worst == nil || len(e.ends) > len(worst.ends)) {
+			if e.isDue(now) && (worst == nil || len(e.exits) > len(worst.exits)) {
 				worst = e
 			}
 		}
 		if worst == nil {
 			return
 		}
-		var alike []Fingerprint
+		var indistinguishable []Fingerprint
 		for f, e := range d.evidence {
-			if e.isDue(now) && sameTargets(e.ends, worst.ends) {
-				alike = append(alike, f)
+			if e.isDue(now) && sameTargets(e.exits, worst.exits) {
+				indistinguishable = append(indistinguishable, f)
 			}
 		}
-		slices.Sort(alike)
-		for _, f := range alike {
-			d.begin(now, f, worst.ends)
+		slices.Sort(indistinguishable)
+		for _, f := range indistinguishable {
+			d.startSuspicion(now, f, worst.exits)
 		}
-		for _, target := range worst.ends {
-			d.explain(target)
+		for _, target := range worst.exits {
+			d.explainExit(target)
 		}
 	}
 }
 
-func (e *evidence) isDue(now time.Time) bool { return !e.due.IsZero() && !now.Before(e.due) }
+func (e *evidence) isDue(now time.Time) bool { return !e.dueAt.IsZero() && !now.Before(e.dueAt) }
 
 func sameTargets(a, b []uint64) bool {
 	return len(a) == len(b) && !slices.ContainsFunc(a, func(t uint64) bool { return !slices.Contains(b, t) })
 }
 
-// explain takes a target's end off all requests but suspects.
-func (d *Detector) explain(target uint64) {
+// explainExit removes a target's exit from the evidence against all requests but suspects.
+func (d *Detector) explainExit(target uint64) {
 	for f, e := range d.evidence {
-		e.ends = slices.DeleteFunc(e.ends, func(t uint64) bool { return t == target })
-		if len(e.ends) < endsNeeded {
-			e.due = time.Time{}
+		e.exits = slices.DeleteFunc(e.exits, func(t uint64) bool { return t == target })
+		if len(e.exits) < exitsToSuspect {
+			e.dueAt = time.Time{}
 		}
-		if len(e.ends) == 0 {
+		if len(e.exits) == 0 {
 			delete(d.evidence, f)
 		}
 	}
--- a/internal/core/poison/detector_test.go
+++ b/internal/core/poison/detector_test.go
@@ -15,203 +15,204 @@
 )
 
 const (
-	bad    = poison.Fingerprint(1)
-	proper = poison.Fingerprint(2)
-	tick   = 100 * time.Millisecond
+	poisonous = poison.Fingerprint(1)
+	harmless  = poison.Fingerprint(2)
+	tick      = 100 * time.Millisecond
 )
 
-// Whether this router is a request's home.
+// here and elsewhere answer whether this router is a request's home router.
 func here() bool      { return true }
 func elsewhere() bool { return false }
 
-// alone is a detector of one router, with a clock.
-type alone struct {
+// router is the detector of a single router, with a clock.
+type router struct {
 	*poison.Detector
 	now time.Time
 }
 
-func newAlone() *alone { return &alone{poison.NewDetector(), time.Unix(1_000_000, 0)} }
+func newRouter() *router { return &router{poison.NewDetector(), time.Unix(1_000_000, 0)} }
 
-// pass lets time pass and returns the changes.
-func (a *alone) pass(d time.Duration) (out []poison.Change) {
-	for end := a.now.Add(d); a.now.Before(end); {
-		a.now = a.now.Add(tick)
-		out = append(out, a.Tick(a.now)...)
+// advance moves the clock and returns the changes.
+func (r *router) advance(d time.Duration) (out []poison.Change) {
+	for end := r.now.Add(d); r.now.Before(end); {
+		r.now = r.now.Add(tick)
+		out = append(out, r.Tick(r.now)...)
 	}
 	return out
 }
 
-func (a *alone) refused(f poison.Fingerprint) bool {
-	v := a.Admit(a.now, f, here)
-	if v.Trial {
-		a.EndTrial(a.now, f)
+func (r *router) refused(f poison.Fingerprint) bool {
+	decision := r.Admit(r.now, f, here)
+	if decision.Trial {
+		r.EndTrial(r.now, f)
 	}
-	return v.Refused
+	return decision.Refused
 }
 
-// end ends targets under a request, a second apart.
-func (a *alone) end(f poison.Fingerprint, targets ...uint64) {
+// exitTargets makes targets exit while they execute a request, a second apart.
+func (r *router) exitTargets(f poison.Fingerprint, targets ...uint64) {
 	for _, t := range targets {
-		a.RecordExit(a.now, f, t)
-		a.pass(time.Second)
+		r.RecordExit(r.now, f, t)
+		r.advance(time.Second)
 	}
 }
 
-var _ = Describe("what targets end under", func() {
-	It("is suspected after three, and never before", func() {
-		a := newAlone()
-		a.end(bad, 1, 2)
-		a.end(bad, 2) // another copy there
-		Expect(a.refused(bad)).To(BeFalse())
-		a.end(bad, 3)
-		Expect(a.refused(bad)).To(BeTrue())
-		Expect(a.refused(proper)).To(BeFalse())
+var _ = Describe("a request under which targets exit", func() {
+	It("is suspected after three exits and never before", func() {
+		r := newRouter()
+		r.exitTargets(poisonous, 1, 2)
+		r.exitTargets(poisonous, 2) // another copy of the request on the same target
+		Expect(r.refused(poisonous)).To(BeFalse())
+		r.exitTargets(poisonous, 3)
+		Expect(r.refused(poisonous)).To(BeTrue())
+		Expect(r.refused(harmless)).To(BeFalse())
 	})
 
-	It("is not suspected if it was answered in between, or a while before", func() {
-		a := newAlone()
-		a.end(bad, 1, 2)
-		a.RecordAnswer(a.now, bad)
-		a.end(bad, 3, 4, 5)
-		Expect(a.refused(bad)).To(BeFalse())
+	It("is not suspected if it was answered between the exits, or a while before", func() {
+		r := newRouter()
+		r.exitTargets(poisonous, 1, 2)
+		r.RecordAnswer(r.now, poisonous)
+		r.exitTargets(poisonous, 3, 4, 5)
+		Expect(r.refused(poisonous)).To(BeFalse())
 	})
 
-	It("is suspected although it was answered long ago: a release of targets may have changed that", func() {
-		a := newAlone()
-		a.RecordAnswer(a.now, bad)
-		a.pass(61 * time.Second)
-		a.end(bad, 1, 2, 3)
-		Expect(a.refused(bad)).To(BeTrue())
+	It("is suspected if it was last answered long ago, as a new release of targets may have changed that", func() {
+		r := newRouter()
+		r.RecordAnswer(r.now, poisonous)
+		r.advance(61 * time.Second)
+		r.exitTargets(poisonous, 1, 2, 3)
+		Expect(r.refused(poisonous)).To(BeTrue())
 	})
 
-	// A proper request under which as many targets end as under the one that ends them is mostly a copy that was sent again
-	// to targets that ended as well.
-	It("is not suspected of ends that a suspect explains", func() {
-		a := newAlone()
-		a.end(proper, 1)
-		a.end(bad, 1, 2, 3, 4)
-		a.end(proper, 2, 3)
-		a.end(bad, 5, 6)
-		a.end(proper, 5, 6)
-		Expect(a.refused(bad)).To(BeTrue())
-		Expect(a.refused(proper)).To(BeFalse())
+	// Guards against a harmless request that is suspected along with the poisonous one. It has as
+	// many exits if it was retried on targets that the poisonous request made exit as well.
+	It("is not suspected for exits that a suspect explains", func() {
+		r := newRouter()
+		r.exitTargets(harmless, 1)
+		r.exitTargets(poisonous, 1, 2, 3, 4)
+		r.exitTargets(harmless, 2, 3)
+		r.exitTargets(poisonous, 5, 6)
+		r.exitTargets(harmless, 5, 6)
+		Expect(r.refused(poisonous)).To(BeTrue())
+		Expect(r.refused(harmless)).To(BeFalse())
 	})
 
-	It("is answered at once that it was blamed in error, by a router that has an answer", func() {
-		a := newAlone()
-		a.RecordExit(a.now, proper, 1)
-		a.RecordExit(a.now, proper, 2)
-		a.RecordExit(a.now, proper, 3)
-		a.pass(tick)
-		Expect(a.refused(proper)).To(BeFalse(), "others may object")
-		a.ReceiveReport(a.now, poison.Report{Answered: []poison.Fingerprint{proper}})
-		a.pass(time.Second)
-		Expect(a.refused(proper)).To(BeFalse())
+	It("is not suspected if another router reports an answer within the objection period", func() {
+		r := newRouter()
+		r.RecordExit(r.now, harmless, 1)
+		r.RecordExit(r.now, harmless, 2)
+		r.RecordExit(r.now, harmless, 3)
+		r.advance(tick)
+		Expect(r.refused(harmless)).To(BeFalse(), "other routers may still object")
+		r.ReceiveReport(r.now, poison.Report{Answers: []poison.Fingerprint{harmless}})
+		r.advance(time.Second)
+		Expect(r.refused(harmless)).To(BeFalse())
 	})
 
-	It("is let through once at a time by one router after its wait, and waits longer if a target ends again", func() {
-		a := newAlone()
-		a.end(bad, 1, 2, 3)
-		a.pass(10 * time.Second)
-		Expect(a.Admit(a.now, bad, elsewhere).Refused).To(BeTrue(), "another router tries")
-		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
-		Expect(a.Admit(a.now, bad, here).Refused).To(BeTrue(), "one at a time")
-		a.RecordExit(a.now, bad, 4)
-		a.EndTrial(a.now, bad)
-		a.pass(5*time.Minute - time.Second)
-		Expect(a.refused(bad)).To(BeTrue())
-		a.pass(2 * time.Second)
-		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
+	It("is tried once at a time by its home router after the refusal period, which grows if a target exits again", func() {
+		r := newRouter()
+		r.exitTargets(poisonous, 1, 2, 3)
+		r.advance(10 * time.Second)
+		Expect(r.Admit(r.now, poisonous, elsewhere).Refused).To(BeTrue(), "another router sends the trial")
+		Expect(r.Admit(r.now, poisonous, here).Trial).To(BeTrue())
+		Expect(r.Admit(r.now, poisonous, here).Refused).To(BeTrue(), "one trial at a time")
+		r.RecordExit(r.now, poisonous, 4)
+		r.EndTrial(r.now, poisonous)
+		r.advance(5*time.Minute - time.Second)
+		Expect(r.refused(poisonous)).To(BeTrue())
+		r.advance(2 * time.Second)
+		Expect(r.Admit(r.now, poisonous, here).Trial).To(BeTrue())
 	})
 
-	It("is cleared when the one that is let through is answered", func() {
-		a := newAlone()
-		a.end(bad, 1, 2, 3)
-		a.pass(10 * time.Second)
-		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
-		a.RecordAnswer(a.now, bad)
-		a.EndTrial(a.now, bad)
-		Expect(a.refused(bad)).To(BeFalse())
-		Expect(a.pass(tick)).To(ContainElement(HaveField("Kind", poison.Cleared)))
+	It("is cleared when the trial is answered", func() {
+		r := newRouter()
+		r.exitTargets(poisonous, 1, 2, 3)
+		r.advance(10 * time.Second)
+		Expect(r.Admit(r.now, poisonous, here).Trial).To(BeTrue())
+		r.RecordAnswer(r.now, poisonous)
+		r.EndTrial(r.now, poisonous)
+		Expect(r.refused(poisonous)).To(BeFalse())
+		Expect(r.advance(tick)).To(ContainElement(HaveField("Kind", poison.Cleared)))
 	})
 
-	It("is tried again soon if it is not known what came of it", func() {
-		a := newAlone()
-		a.end(bad, 1, 2, 3)
-		a.pass(10 * time.Second)
-		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
-		a.EndTrial(a.now, bad)
-		Expect(a.refused(bad)).To(BeTrue())
-		a.pass(10 * time.Second)
-		Expect(a.Admit(a.now, bad, here).Trial).To(BeTrue())
-		a.RecordExit(a.now, bad, 4)
-		a.EndTrial(a.now, bad)
-		a.pass(11 * time.Second)
-		Expect(a.refused(bad)).To(BeTrue(), "five minutes by now")
+	It("is tried again soon if the trial had neither an answer nor an exit", func() {
+		r := newRouter()
+		r.exitTargets(poisonous, 1, 2, 3)
+		r.advance(10 * time.Second)
+		Expect(r.Admit(r.now, poisonous, here).Trial).To(BeTrue())
+		r.EndTrial(r.now, poisonous)
+		Expect(r.refused(poisonous)).To(BeTrue())
+		r.advance(10 * time.Second)
+		Expect(r.Admit(r.now, poisonous, here).Trial).To(BeTrue())
+		r.RecordExit(r.now, poisonous, 4)
+		r.EndTrial(r.now, poisonous)
+		r.advance(11 * time.Second)
+		Expect(r.refused(poisonous)).To(BeTrue(), "the second refusal period is five minutes")
 	})
 
 	It("is forgotten when nobody sends it", func() {
-		a := newAlone()
-		a.end(bad, 1, 2, 3)
-		Expect(a.pass(11 * time.Minute)).To(ContainElement(HaveField("Kind", poison.Forgotten)))
-		Expect(a.SuspectCount()).To(BeZero())
+		r := newRouter()
+		r.exitTargets(poisonous, 1, 2, 3)
+		Expect(r.advance(11 * time.Minute)).To(ContainElement(HaveField("Kind", poison.Forgotten)))
+		Expect(r.SuspectCount()).To(BeZero())
 	})
 
-	It("is the same after the store has kept it", func() {
-		a, b := newAlone(), newAlone()
-		a.end(bad, 1, 2, 3)
-		b.Restore(b.now, a.ListSuspects(a.now))
-		Expect(b.refused(bad)).To(BeTrue())
-		Expect(poison.Checksum(b.ListSuspects(b.now))).To(Equal(poison.Checksum(a.ListSuspects(a.now))))
+	It("is suspected as before after it was restored from the store", func() {
+		r, restored := newRouter(), newRouter()
+		r.exitTargets(poisonous, 1, 2, 3)
+		restored.Restore(restored.now, r.ListSuspects(r.now))
+		Expect(restored.refused(poisonous)).To(BeTrue())
+		Expect(poison.Checksum(restored.ListSuspects(restored.now))).To(Equal(poison.Checksum(r.ListSuspects(r.now))))
 	})
 
-	// A hostile caller can have targets end under as many requests as they run.
-	It("takes bounded memory, and forgets what has the least against it", func() {
-		a := newAlone()
-		a.end(bad, 1, 2)
+	// A hostile caller can have targets exit under as many requests as the targets execute.
+	It("takes bounded memory, and the request with the fewest exits is forgotten", func() {
+		r := newRouter()
+		r.exitTargets(poisonous, 1, 2)
 		for i := range 20_000 {
-			a.RecordExit(a.now, poison.Fingerprint(1000+i), 7)
+			r.RecordExit(r.now, poison.Fingerprint(1000+i), 7)
 		}
-		a.end(bad, 3)
-		Expect(a.refused(bad)).To(BeTrue())
-		news := 0
+		r.exitTargets(poisonous, 3)
+		Expect(r.refused(poisonous)).To(BeTrue())
+		exits := 0
 		for range 200 {
-			n := a.NextReport(a.now)
-			news += len(n.Exits)
+			n := r.NextReport(r.now)
+			exits += len(n.Exits)
 		}
-		Expect(news).To(BeNumerically("<=", 3*1024))
+		Expect(exits).To(BeNumerically("<=", 3*1024))
 		for f := poison.Fingerprint(1); f < 600; f++ {
-			a.RecordExit(a.now, 50_000+f, uint64(100+3*f))
-			a.RecordExit(a.now, 50_000+f, uint64(101+3*f))
-			a.RecordExit(a.now, 50_000+f, uint64(102+3*f))
+			r.RecordExit(r.now, 50_000+f, uint64(100+3*f))
+			r.RecordExit(r.now, 50_000+f, uint64(101+3*f))
+			r.RecordExit(r.now, 50_000+f, uint64(102+3*f))
 		}
-		a.pass(time.Second)
-		Expect(len(a.ListSuspects(a.now))).To(BeNumerically("<=", 256))
+		r.advance(time.Second)
+		Expect(len(r.ListSuspects(r.now))).To(BeNumerically("<=", 256))
 	})
 })
 
-// The hottest request is at every target. Targets end for other reasons: one, a rack of them or all, many times over.
-var _ = Describe("a proper request that is sent often", func() {
-	It("is never refused, whatever ends", func() {
+// The request that is sent most often is open at every target. Targets exit for other reasons: one,
+// a rack of them or all, many times over.
+var _ = Describe("a harmless request that is sent often", func() {
+	It("is never refused, whatever targets exit", func() {
 		testkit.Check("300", func(t *rapid.T) {
-			a := newAlone()
+			r := newRouter()
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 			targets := rapid.IntRange(3, 40).Draw(t, "targets")
 			rack := rapid.IntRange(1, targets).Draw(t, "rack")
-			every := rapid.IntRange(1, 50).Draw(t, "ticks between ends")
+			every := rapid.IntRange(1, 50).Draw(t, "ticks between exits")
 			lifetime := uint64(1)
 			for i := range 400 {
-				a.pass(tick)
-				if random.IntN(4) > 0 { // one of four ticks without an answer
-					a.RecordAnswer(a.now, proper)
+				r.advance(tick)
+				if random.IntN(4) > 0 { // one of four ticks is without an answer
+					r.RecordAnswer(r.now, harmless)
 				}
 				if i%every == every-1 {
 					for range rack {
-						a.RecordExit(a.now, proper, lifetime)
+						r.RecordExit(r.now, harmless, lifetime)
 						lifetime++
 					}
 				}
-				if i > 20 && a.refused(proper) {
+				if i > 20 && r.refused(harmless) {
 					t.Fatalf("refused at %d, %s", i, fmt.Sprint(targets, rack, every))
 				}
 			}
@@ -219,8 +220,9 @@
 	})
 })
 
-// What a request costs a router in the common case: it is answered, and nobody is suspected.
-func BenchmarkRan(b *testing.B) {
+// BenchmarkRecordAnswer measures the common case for a router: the request is answered, and there are no
+// suspects.
+func BenchmarkRecordAnswer(b *testing.B) {
 	d := poison.NewDetector()
 	now := time.Unix(1_000_000, 0)
 	b.ReportAllocs()
--- a/internal/core/poison/fingerprint.go
+++ b/internal/core/poison/fingerprint.go
@@ -1,5 +1,5 @@
-// Package poison finds requests that end the targets which run them, so that they are not sent to one target after the
-// other. It does no I/O and reads no clock.
+// Package poison detects requests that make the targets that execute them exit, so that routers
+// stop sending them to one target after another. It does no I/O and reads no clock.
 package poison
 
 import (
@@ -8,22 +8,22 @@
 	"strconv"
 )
 
-// Fingerprint names the content of a request: what comes again with the same method, path, caller and body is the same,
-// whatever its id and its query. 0 names none.
+// Fingerprint identifies the content of a request. Requests of one caller with the same method,
+// host, path and body have the same fingerprint, whatever their ids and queries. 0 means none.
 type Fingerprint uint64
 
-// String returns the fingerprint as logs and the platform's store have it.
+// String returns the fingerprint in hexadecimal, as in log lines and in the platform's store.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
 
-// ParseFingerprint is the reverse of String; false if the text names none.
+// ParseFingerprint is the inverse of String. It returns false if the text is not a fingerprint.
 func ParseFingerprint(text string) (Fingerprint, bool) {
 	v, err := strconv.ParseUint(text, 16, 64)
 	return Fingerprint(v), err == nil && v > 0
 }
 
-// FingerprintOf returns the fingerprint of a request. The caller is named by what it can't choose: a request that
-// looked like another team's would be blamed on that team. For the same reason the hash is one for which
-// nobody can find a second text.
+// FingerprintOf returns the fingerprint of a request. The caller is identified by a name that it
+// can't choose: otherwise a team could have requests of another team refused by sending the same
+// content. The hash is collision-resistant for the same reason.
 func FingerprintOf(caller, method, host, path string, body []byte) Fingerprint {
 	h := sha256.New()
 	var size [8]byte
--- a/internal/core/poison/fingerprint_test.go
+++ b/internal/core/poison/fingerprint_test.go
@@ -15,7 +15,7 @@
 	of := func(caller, method, host, path string, body []byte) poison.Fingerprint {
 		return poison.FingerprintOf(caller, method, host, path, body)
 	}
-	It("is the same for the same content, and differs with each part of it", func() {
+	It("is the same for the same content, and differs if any part differs", func() {
 		one := of("team", "POST", "h", "/a", body)
 		Expect(of("team", "POST", "h", "/a", []byte("list"))).To(Equal(one))
 		for _, other := range []poison.Fingerprint{
@@ -28,7 +28,7 @@
 	})
 })
 
-// A body of 8 KB, as a prompt of 2,000 tokens.
+// BenchmarkFingerprint hashes a body of 8 KB, about a prompt of 2,000 tokens.
 func BenchmarkFingerprint(b *testing.B) {
 	body := bytes.Repeat([]byte("x"), 8<<10)
 	b.ReportAllocs()
--- a/internal/core/poison/news.go
+++ b/internal/core/poison/news.go
@@ -8,228 +8,235 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/rendezvous"
 )
 
-// Exit is the news that a target ended under a request.
+// Exit reports that a target exited while it executed a request.
 type Exit struct {
 	Request Fingerprint
-	Target  uint64 // its lifetime
+	Target  uint64 // the UID of its lifetime
 }
 
-// Report is what routers tell each other at once. Whoever hears something new tells it on.
+// Report is a poison report, which routers send each other in digests without waiting for the
+// store. A router that receives new entries sends them on.
 type Report struct {
 	Exits    []Exit
-	Answered []Fingerprint // answered, whatever ended under them
+	Answers  []Fingerprint // requests that a target answered, whatever exits they have
 	Suspects []Suspect
 }
 
-// IsEmpty reports whether there is nothing to tell.
-func (n Report) IsEmpty() bool {
-	return len(n.Exits) == 0 && len(n.Answered) == 0 && len(n.Suspects) == 0
-}
+// Empty reports whether the report has no entries.
+func (r Report) Empty() bool { return len(r.Exits) == 0 && len(r.Answers) == 0 && len(r.Suspects) == 0 }
 
 const (
-	// newsTold is in how many digests a router tells something: with three in ten lost, one of each router arrives in 97 of 100
-	// cases.
-	newsTold = 3
-	// What one digest tells: 16 bytes an end, 8 an answer, some 25 a suspect. The rest follows with the next.
-	endsPerDigest     = 32
-	ranPerDigest      = 32
+	// digestsPerItem is the number of digests that repeat an entry. With three in ten digests lost,
+	// one of three arrives in 97 of 100 cases.
+	digestsPerItem = 3
+	// Limits of the entries in one digest: an exit takes 16 bytes, an answer 8, a suspect about 25.
+	// Further entries wait for the next digest.
+	exitsPerDigest    = 32
+	answersPerDigest  = 32
 	suspectsPerDigest = 12
-	// newsWaiting bounds what waits. What has the fewest ends is left out.
-	newsWaiting = 1024
+	// maxWaiting bounds the queue. The entries with the fewest exits are dropped.
+	maxWaiting = 1024
 )
 
 type itemKind int
 
 const (
 	itemSuspect itemKind = iota
-	itemRan
-	itemEnded
+	itemAnswer
+	itemExit
 	itemKinds
 )
 
-// item is something that is still to be told.
+// item is an entry that waits to be sent.
 type item struct {
-	kind    itemKind
-	request Fingerprint
-	target  uint64
-	urgency int // ends under the request
-	left    int // how many digests are still to tell it
+	kind      itemKind
+	request   Fingerprint
+	target    uint64
+	urgency   int // number of exits of the request
+	remaining int // number of digests that still have to repeat the entry
 }
 
 func (i item) same(o item) bool {
 	return i.kind == o.kind && i.request == o.request && i.target == o.target
 }
 
-// newsQueue holds what is still to be told.
-type newsQueue struct {
+// reportQueue holds the entries that wait to be sent.
+type reportQueue struct {
 	waiting []item
-	// fresh: a suspicion has never been told. Ends and answers wait for the next digest: many requests are at a target that
-	// ends, each at another router, and a digest for each of them to all would fill relays' links.
-	fresh bool
+	// urgent is true if a change of a suspicion waits that no digest has had yet. Exits and answers
+	// wait for the next regular digest: a target that exits has many open requests, each of another
+	// router, and an extra digest to all routers for each would fill the relays' links.
+	urgent bool
 }
 
-func (q *newsQueue) add(one item) {
-	one.left = newsTold
-	q.fresh = q.fresh || one.kind == itemSuspect
-	if i := slices.IndexFunc(q.waiting, one.same); i >= 0 {
-		q.waiting[i] = one
+func (q *reportQueue) add(entry item) {
+	entry.remaining = digestsPerItem
+	q.urgent = q.urgent || entry.kind == itemSuspect
+	if i := slices.IndexFunc(q.waiting, entry.same); i >= 0 {
+		q.waiting[i] = entry
 		return
 	}
-	q.waiting = append(q.waiting, one)
-	if len(q.waiting) > newsWaiting {
+	q.waiting = append(q.waiting, entry)
+	if len(q.waiting) > maxWaiting {
 		q.sort()
-		q.waiting = q.waiting[:newsWaiting]
+		q.waiting = q.waiting[:maxWaiting]
 	}
 }
 
-// sort puts first what decides most: a request under which more targets have ended.
-func (q *newsQueue) sort() {
+// sort puts the entries first whose requests have the most exits.
+func (q *reportQueue) sort() {
 	slices.SortStableFunc(q.waiting, func(a, b item) int { return cmp.Compare(b.urgency, a.urgency) })
 }
 
-// take returns what the next digest tells, at most so many of each kind.
-func (q *newsQueue) take(most [itemKinds]int) []item {
-	q.fresh = false
+// take returns the entries for the next digest, at most the given number of each kind.
+func (q *reportQueue) take(limits [itemKinds]int) []item {
+	q.urgent = false
 	if len(q.waiting) == 0 {
 		return nil
 	}
 	q.sort()
-	var out, later, again []item
-	for _, one := range q.waiting {
-		if most[one.kind] == 0 {
-			later = append(later, one)
+	var out, deferred, resend []item
+	for _, entry := range q.waiting {
+		if limits[entry.kind] == 0 {
+			deferred = append(deferred, entry)
 			continue
 		}
-		most[one.kind]--
-		out = append(out, one)
-		if one.left--; one.left > 0 {
-			again = append(again, one)
+		limits[entry.kind]--
+		out = append(out, entry)
+		if entry.remaining--; entry.remaining > 0 {
+			resend = append(resend, entry)
 		}
 	}
-	q.waiting = append(later, again...)
+	q.waiting = append(deferred, resend...)
 	return out
 }
 
-// HasUrgentReport reports whether there is something that is to be told at once.
-func (d *Detector) HasUrgentReport() bool { return d.news.fresh }
+// HasUrgentReport reports whether an entry waits that should be sent without waiting for the next
+// regular digest.
+func (d *Detector) HasUrgentReport() bool { return d.queue.urgent }
 
-// NextReport returns what the next digest tells.
+// NextReport returns the entries for the next digest.
 func (d *Detector) NextReport(now time.Time) Report {
-	var n Report
-	for _, one := range d.news.take([itemKinds]int{itemSuspect: suspectsPerDigest, itemRan: ranPerDigest, itemEnded: endsPerDigest}) {
-		switch one.kind {
-		case itemEnded:
-			n.Exits = append(n.Exits, Exit{Request: one.request, Target: one.target})
-		case itemRan:
-			n.Answered = append(n.Answered, one.request)
+	var r Report
+	for _, entry := range d.queue.take([itemKinds]int{itemSuspect: suspectsPerDigest, itemAnswer: answersPerDigest, itemExit: exitsPerDigest}) {
+		switch entry.kind {
+		case itemExit:
+			r.Exits = append(r.Exits, Exit{Request: entry.request, Target: entry.target})
+		case itemAnswer:
+			r.Answers = append(r.Answers, entry.request)
 		case itemSuspect:
-			if s := d.suspects[one.request]; s != nil {
-				n.Suspects = append(n.Suspects, s.tell(now, one.request))
+			if s := d.suspects[entry.request]; s != nil {
+				r.Suspects = append(r.Suspects, s.report(now, entry.request))
 			}
 		}
 	}
-	return n
+	return r
 }
 
-func (s *suspect) tell(now time.Time, f Fingerprint) Suspect {
+func (s *suspect) report(now time.Time, f Fingerprint) Suspect {
 	return Suspect{
 		Request: f, Generation: s.generation, Level: s.level,
-		RefusedFor: max(s.until.Sub(now), 0), ExpiresIn: max(s.lasts.Sub(now), 0),
+		RefusedFor: max(s.refusedUntil.Sub(now), 0), ExpiresIn: max(s.expiresAt.Sub(now), 0),
 	}
 }
 
-// ReceiveReport takes in what another router tells. What is new is told on.
-func (d *Detector) ReceiveReport(now time.Time, n Report) {
-	for _, f := range n.Answered {
-		d.heardRan(now, f)
+// ReceiveReport applies a report of another router. New entries are queued to be sent on.
+func (d *Detector) ReceiveReport(now time.Time, r Report) {
+	for _, f := range r.Answers {
+		d.receiveAnswer(now, f)
 	}
-	for _, s := range n.Suspects {
-		d.heardSuspect(now, s)
+	for _, s := range r.Suspects {
+		d.receiveSuspect(now, s)
 	}
-	for _, e := range n.Exits {
-		d.ended(now, e.Request, e.Target, true)
+	for _, e := range r.Exits {
+		d.exited(now, e.Request, e.Target, true)
 	}
 }
 
-func (d *Detector) heardRan(now time.Time, f Fingerprint) {
-	known := d.ran.has(now, f)
+func (d *Detector) receiveAnswer(now time.Time, f Fingerprint) {
+	known := d.answers.has(now, f)
 	d.RecordAnswer(now, f)
 	if !known {
-		d.news.add(item{kind: itemRan, request: f})
+		d.queue.add(item{kind: itemAnswer, request: f})
 	}
 }
 
-// heardSuspect takes in another router's word if it is newer. Of two changes at once, that it was answered counts.
-func (d *Detector) heardSuspect(now time.Time, t Suspect) {
-	s, ok := d.suspects[t.Request]
-	lasts := now.Add(min(t.ExpiresIn, waits[len(waits)-1]+probation))
+// receiveSuspect applies another router's entry if its generation is newer than the local one. If
+// two routers changed the suspicion at the same time, a clearance wins.
+func (d *Detector) receiveSuspect(now time.Time, received Suspect) {
+	s, ok := d.suspects[received.Request]
+	expiresAt := now.Add(min(received.ExpiresIn, refusalPeriods[len(refusalPeriods)-1]+probation))
 	switch {
-	case !ok && t.ExpiresIn < nearlyForgotten:
+	case !ok && received.ExpiresIn < minReportedExpiry:
 		return
-	case ok && (t.Generation < s.generation || (t.Generation == s.generation && (s.level == 0 || t.Level > 0))):
-		if t.Generation == s.generation && lasts.After(s.lasts) {
-			s.lasts = lasts
+	case ok && (received.Generation < s.generation || (received.Generation == s.generation && (s.level == 0 || received.Level > 0))):
+		if received.Generation == s.generation && expiresAt.After(s.expiresAt) {
+			s.expiresAt = expiresAt
 		}
 		return
 	case !ok:
-		d.makeSuspectRoom()
+		d.evictSuspect()
 		s = &suspect{}
-		d.suspects[t.Request] = s
-	}
-	before := s.level
-	s.generation, s.level, s.lasts, s.probation = t.Generation, max(t.Level, 0), lasts, false
-	s.until = now.Add(min(max(t.RefusedFor, 0), waits[len(waits)-1]))
-	if e, held := d.evidence[t.Request]; held {
-		delete(d.evidence, t.Request)
-		s.ends = e.ends
-		for _, target := range s.ends {
-			d.explain(target)
+		d.suspects[received.Request] = s
+	}
+	previousLevel := s.level
+	s.generation, s.level, s.expiresAt, s.probation = received.Generation, max(received.Level, 0), expiresAt, false
+	s.refusedUntil = now.Add(min(max(received.RefusedFor, 0), refusalPeriods[len(refusalPeriods)-1]))
+	if e, hasEvidence := d.evidence[received.Request]; hasEvidence {
+		delete(d.evidence, received.Request)
+		s.exits = e.exits
+		for _, target := range s.exits {
+			d.explainExit(target)
 		}
 	}
 	switch {
-	case s.level > before && before > 0:
-		d.changed(t.Request, s, TrialFailed)
+	case s.level > previousLevel && previousLevel > 0:
+		d.recordChange(received.Request, s, TrialFailed)
 	case s.level > 0:
-		d.changed(t.Request, s, Suspected)
-	case before > 0:
+		d.recordChange(received.Request, s, Suspected)
+	case previousLevel > 0:
 		s.trial = false
-		d.changed(t.Request, s, Cleared)
+		d.recordChange(received.Request, s, Cleared)
 	default:
-		d.news.add(item{kind: itemSuspect, request: t.Request})
+		d.queue.add(item{kind: itemSuspect, request: received.Request})
 	}
 }
 
-// Restore takes in suspects that the store has kept. Their waits begin anew: nothing tells how long ago they were written.
-func (d *Detector) Restore(now time.Time, kept []Suspect) {
-	for _, s := range kept {
+// Restore adds suspects that were read from the store. Each is refused for its whole period again,
+// as the store does not tell when they were written.
+func (d *Detector) Restore(now time.Time, stored []Suspect) {
+	for _, s := range stored {
 		if s.Level > 0 {
-			s.RefusedFor = wait(s.Level)
+			s.RefusedFor = refusalPeriod(s.Level)
 			s.ExpiresIn = s.RefusedFor + probation
-			d.heardSuspect(now, s)
+			d.receiveSuspect(now, s)
 		}
 	}
 }
 
-// nearlyForgotten is for how long before its end a suspicion is no longer passed on: routers forget it some
-// tenths of a second apart, and would tell each other of it for ever.
-const nearlyForgotten = 5 * time.Second
+// minReportedExpiry is the shortest remaining time for which a suspicion is still sent to other
+// routers. Routers forget it some tenths of a second apart, and would otherwise bring it back to
+// each other for ever.
+const minReportedExpiry = 5 * time.Second
 
-// ListSuspects returns what this router holds of suspects, for one that holds something else.
+// ListSuspects returns the suspects that do not expire soon, ordered by fingerprint, for a router
+// whose Checksum differs.
 func (d *Detector) ListSuspects(now time.Time) []Suspect {
 	out := make([]Suspect, 0, len(d.suspects))
 	for f, s := range d.suspects {
-		if s.lasts.Sub(now) >= nearlyForgotten {
-			out = append(out, s.tell(now, f))
+		if s.expiresAt.Sub(now) >= minReportedExpiry {
+			out = append(out, s.report(now, f))
 		}
 	}
 	slices.SortFunc(out, func(a, b Suspect) int { return cmp.Compare(a.Request, b.Request) })
 	return out
 }
 
-// Checksum returns a number that differs if two routers hold different suspects; 0 if there are none.
-func Checksum(held []Suspect) uint64 {
+// Checksum returns a number that differs if two routers have different suspects; 0 if there are
+// none.
+func Checksum(suspects []Suspect) uint64 {
 	sum := uint64(0)
-	for _, s := range held {
+	for _, s := range suspects {
 		sum ^= rendezvous.Mix(uint64(s.Request), uint64(s.Generation)<<8|uint64(min(s.Level, 255)))
 	}
 	return sum
--- a/internal/core/poison/ran.go
+++ b/internal/core/poison/ran.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// memory remembers which requests were answered lately, the younger half and the older half: what is in neither ran
-// longer ago, or never.
-type memory struct {
-	young, old map[Fingerprint]struct{}
-	began      time.Time // of the young half
+// answerHistory records which requests were answered lately. It consists of a newer and an older
+// half; a request that is in neither was answered longer ago, or never.
+type answerHistory struct {
+	newer, older map[Fingerprint]struct{}
+	newerSince   time.Time // start of the newer half
 }
 
 const (
-	// ranHalf is how long half of the memory collects. What was answered within it before its target
-	// ended is known not to end each target; a release of targets may change that, and is noticed after two halves.
-	ranHalf = 30 * time.Second
-	// ranMost bounds each half: 120 requests a second in ranHalf fill a quarter of it.
-	ranMost = 1 << 14
+	// historyHalf is the time that one half covers. A request that was answered within it before
+	// its target exited does not make every target exit. A new release of the targets may change
+	// that, which is noticed after two halves.
+	historyHalf = 30 * time.Second
+	// maxHistoryHalf bounds each half: 120 requests a second for historyHalf fill a quarter of it.
+	maxHistoryHalf = 1 << 14
 )
 
-func (m *memory) add(now time.Time, f Fingerprint) {
-	if m.young == nil || now.Sub(m.began) >= ranHalf || len(m.young) >= ranMost {
-		m.old, m.young, m.began = m.young, make(map[Fingerprint]struct{}), now
+func (m *answerHistory) add(now time.Time, f Fingerprint) {
+	if m.newer == nil || now.Sub(m.newerSince) >= historyHalf || len(m.newer) >= maxHistoryHalf {
+		m.older, m.newer, m.newerSince = m.newer, make(map[Fingerprint]struct{}), now
 	}
-	m.young[f] = struct{}{}
+	m.newer[f] = struct{}{}
 }
 
-func (m *memory) has(now time.Time, f Fingerprint) bool {
-	age := now.Sub(m.began)
-	if _, ok := m.young[f]; ok && age < 2*ranHalf {
+func (m *answerHistory) has(now time.Time, f Fingerprint) bool {
+	age := now.Sub(m.newerSince)
+	if _, ok := m.newer[f]; ok && age < 2*historyHalf {
 		return true
 	}
-	_, ok := m.old[f]
-	return ok && age < ranHalf
+	_, ok := m.older[f]
+	return ok && age < historyHalf
 }
--- a/internal/core/poison/suspect.go
+++ b/internal/core/poison/suspect.go
@@ -7,81 +7,83 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/rendezvous"
 )
 
-// waits is for how long a suspect is refused, by its level. After that one router lets one through; if its target
-// ends, the next wait follows. The first one is short, so that a proper request that was blamed is cleared soon.
-var waits = []time.Duration{10 * time.Second, 5 * time.Minute, time.Hour}
+// refusalPeriods is how long a suspect is refused, by its level. After the period one router sends
+// one request as a trial; if its target exits, the next period begins. The first period is short,
+// so that a harmless request that became a suspect is cleared soon.
+var refusalPeriods = []time.Duration{10 * time.Second, 5 * time.Minute, time.Hour}
 
 const (
-	// probation is for how long after its wait a suspect is remembered that nobody sends.
+	// probation is how long after its refusal period a suspect is kept that nobody sends.
 	probation = 10 * time.Minute
-	// clearedLasts is for how long it is remembered that one was cleared: routers that were cut off may tell of the suspicion.
-	clearedLasts = time.Minute
-	// suspectsMost bounds the suspects. Each has ended three targets.
-	suspectsMost = 256
+	// clearedRetention is how long a cleared suspect is kept: routers that were cut off may still
+	// report the suspicion.
+	clearedRetention = time.Minute
+	// maxSuspects bounds the suspects. Each has made three targets exit.
+	maxSuspects = 256
 )
 
-// suspect is a request that is refused, or was until it was cleared.
+// suspect is a request that is refused, or was refused until it was cleared.
 type suspect struct {
-	// generation rises with each change, so that routers agree on the newest.
-	generation uint32
-	level      int       // 0: cleared
-	until      time.Time // refused until then
-	lasts      time.Time // forgotten then
-	probation  bool      // until has passed since the level began
-	trial      bool      // this router has let one through, which is under way
-	ends       []uint64  // targets that ended under it
+	// generation rises with each change, so that all routers keep the newest state.
+	generation   uint32
+	level        int       // index into refusalPeriods, from 1; 0 if cleared
+	refusedUntil time.Time // end of the refusal period
+	expiresAt    time.Time // when the suspicion is forgotten
+	probation    bool      // the refusal period of this level is over
+	trial        bool      // this router has sent a trial that is still open
+	exits        []uint64  // UIDs of the targets that exited while they executed the request
 }
 
-// Suspect is what a router tells of one.
+// Suspect is a suspicion as routers report it to each other and as the store keeps it.
 type Suspect struct {
 	Request    Fingerprint
 	Generation uint32
-	Level      int // 0: cleared
-	RefusedFor time.Duration
-	ExpiresIn  time.Duration
+	Level      int           // 0 if cleared
+	RefusedFor time.Duration // remaining refusal period
+	ExpiresIn  time.Duration // remaining time until the suspicion is forgotten
 }
 
-func wait(level int) time.Duration { return waits[min(level, len(waits))-1] }
+func refusalPeriod(level int) time.Duration { return refusalPeriods[min(level, len(refusalPeriods))-1] }
 
-// set puts a level in force.
-func (s *suspect) set(now time.Time, level int) {
+// setLevel sets the level and starts its refusal period.
+func (s *suspect) setLevel(now time.Time, level int) {
 	s.generation++
 	s.level, s.probation = level, false
-	s.until = now.Add(wait(level))
-	s.lasts = s.until.Add(probation)
+	s.refusedUntil = now.Add(refusalPeriod(level))
+	s.expiresAt = s.refusedUntil.Add(probation)
 }
 
-// begin makes a request a suspect.
-func (d *Detector) begin(now time.Time, f Fingerprint, ends []uint64) {
+// startSuspicion makes a request a suspect.
+func (d *Detector) startSuspicion(now time.Time, f Fingerprint, exits []uint64) {
 	s, ok := d.suspects[f]
 	if !ok {
-		d.makeSuspectRoom()
+		d.evictSuspect()
 		s = &suspect{}
 		d.suspects[f] = s
 	}
-	s.ends = slices.Clone(ends)
-	s.set(now, 1)
+	s.exits = slices.Clone(exits)
+	s.setLevel(now, 1)
 	delete(d.evidence, f)
-	d.changed(f, s, Suspected)
+	d.recordChange(f, s, Suspected)
 }
 
-func (d *Detector) changed(f Fingerprint, s *suspect, kind ChangeKind) {
-	c := Change{Request: f, Kind: kind, Exits: len(s.ends), Level: s.level}
+func (d *Detector) recordChange(f Fingerprint, s *suspect, kind ChangeKind) {
+	c := Change{Request: f, Kind: kind, Exits: len(s.exits), Level: s.level}
 	if s.level > 0 {
-		c.RefusedFor = wait(s.level)
+		c.RefusedFor = refusalPeriod(s.level)
 	}
 	d.changes = append(d.changes, c)
-	d.news.add(item{kind: itemSuspect, request: f})
+	d.queue.add(item{kind: itemSuspect, request: f})
 }
 
-// makeSuspectRoom forgets the one that would be forgotten first.
-func (d *Detector) makeSuspectRoom() {
-	if len(d.suspects) < suspectsMost {
+// evictSuspect drops the suspect that would expire first if there are too many.
+func (d *Detector) evictSuspect() {
+	if len(d.suspects) < maxSuspects {
 		return
 	}
 	var first Fingerprint
 	for f, s := range d.suspects {
-		if held, ok := d.suspects[first]; !ok || s.lasts.Before(held.lasts) {
+		if current, ok := d.suspects[first]; !ok || s.expiresAt.Before(current.expiresAt) {
 			first = f
 		}
 	}
@@ -92,97 +94,99 @@
 	s := d.suspects[f]
 	delete(d.suspects, f)
 	if s.level > 0 {
-		d.changes = append(d.changes, Change{Request: f, Kind: Forgotten, Exits: len(s.ends), Level: s.level})
+		d.changes = append(d.changes, Change{Request: f, Kind: Forgotten, Exits: len(s.exits), Level: s.level})
 	}
 }
 
-// endedAgain takes in one more end under a suspect. Copies that were under way when the suspicion began say nothing
-// new; one that was let through since does.
-func (d *Detector) endedAgain(now time.Time, f Fingerprint, s *suspect, target uint64) {
-	if slices.Contains(s.ends, target) {
+// recordSuspectExit records another exit under a suspect. It raises the level only after the
+// refusal period: requests that were open when the suspicion began don't count, the trial does.
+func (d *Detector) recordSuspectExit(now time.Time, f Fingerprint, s *suspect, target uint64) {
+	if slices.Contains(s.exits, target) {
 		return
 	}
-	s.ends = append(s.ends, target)
-	if over := len(s.ends) - endsKept; over > 0 {
-		s.ends = slices.Delete(s.ends, 0, over)
+	s.exits = append(s.exits, target)
+	if excess := len(s.exits) - maxExits; excess > 0 {
+		s.exits = slices.Delete(s.exits, 0, excess)
 	}
-	d.explain(target)
-	d.news.add(item{kind: itemEnded, request: f, target: target, urgency: endsNeeded})
-	s.refresh(now)
+	d.explainExit(target)
+	d.queue.add(item{kind: itemExit, request: f, target: target, urgency: exitsToSuspect})
+	s.extendExpiry(now)
 	if s.probation {
-		s.set(now, s.level+1)
-		d.changed(f, s, TrialFailed)
+		s.setLevel(now, s.level+1)
+		d.recordChange(f, s, TrialFailed)
 	}
 }
 
-// refresh puts off that a suspect is forgotten: it still comes.
-func (s *suspect) refresh(now time.Time) {
-	if lasts := now.Add(probation); lasts.After(s.lasts) {
-		s.lasts = lasts
+// extendExpiry keeps a suspect for another probation, since callers still send it.
+func (s *suspect) extendExpiry(now time.Time) {
+	if expiresAt := now.Add(probation); expiresAt.After(s.expiresAt) {
+		s.expiresAt = expiresAt
 	}
 }
 
 func (d *Detector) clear(now time.Time, f Fingerprint, s *suspect) {
 	s.generation++
-	s.level, s.trial, s.until, s.lasts = 0, false, now, now.Add(clearedLasts)
-	d.changed(f, s, Cleared)
+	s.level, s.trial, s.refusedUntil, s.expiresAt = 0, false, now, now.Add(clearedRetention)
+	d.recordChange(f, s, Cleared)
 }
 
-func (d *Detector) expire(now time.Time) {
+func (d *Detector) expireSuspects(now time.Time) {
 	for f, s := range d.suspects {
 		switch {
-		case !now.Before(s.lasts):
+		case !now.Before(s.expiresAt):
 			d.forget(f)
-		case !now.Before(s.until):
+		case !now.Before(s.refusedUntil):
 			s.probation = true
 		}
 	}
 }
 
-// Decision says what becomes of a request.
+// Decision says whether a request is sent.
 type Decision struct {
 	Refused    bool
-	RetryAfter time.Duration // until it makes sense to come back, if refused
-	// Trial: it is a suspect, and the one that is let through; TrialOver has to follow.
+	RetryAfter time.Duration // when the caller should come back, if refused
+	// Trial is true if the request is the trial of a suspect. EndTrial must be called when it is
+	// over.
 	Trial bool
 }
 
-// Admit decides whether a request is sent. After its wait a suspect is tried once at a time, by the router that is its home
-// alone, which home is asked for only then: each router trying for itself would end a target each.
-func (d *Detector) Admit(now time.Time, f Fingerprint, home func() bool) Decision {
+// Admit decides whether a request is sent. After its refusal period a suspect is sent as a trial,
+// one at a time and only by its home router: if each router tried on its own, each would make a
+// target exit. isHome is called only when a trial is due.
+func (d *Detector) Admit(now time.Time, f Fingerprint, isHome func() bool) Decision {
 	s := d.suspects[f]
 	if s == nil || s.level == 0 {
 		return Decision{}
 	}
-	s.refresh(now)
-	left := s.until.Sub(now)
+	s.extendExpiry(now)
+	remaining := s.refusedUntil.Sub(now)
 	switch {
-	case left > 0:
-		return Decision{Refused: true, RetryAfter: left}
-	case s.trial || !home():
-		return Decision{Refused: true, RetryAfter: trialLasts}
+	case remaining > 0:
+		return Decision{Refused: true, RetryAfter: remaining}
+	case s.trial || !isHome():
+		return Decision{Refused: true, RetryAfter: trialRetryAfter}
 	}
 	s.trial = true
 	return Decision{Trial: true}
 }
 
-// trialLasts is when to come back while another one is tried, or may be at another router.
-const trialLasts = time.Second
+// trialRetryAfter is when to come back while a trial is open here, or may be at another router.
+const trialRetryAfter = time.Second
 
-// EndTrial takes in that the one that was let through has ended. If it was neither answered nor ended its target, the
-// next one waits as at first.
+// EndTrial records that the trial is over. If it was neither answered nor made its target exit, the
+// first refusal period begins again before the next trial.
 func (d *Detector) EndTrial(now time.Time, f Fingerprint) {
 	s := d.suspects[f]
 	if s == nil || !s.trial {
 		return
 	}
 	s.trial = false
-	if s.level > 0 && !now.Before(s.until) {
-		s.until = now.Add(waits[0])
+	if s.level > 0 && !now.Before(s.refusedUntil) {
+		s.refusedUntil = now.Add(refusalPeriods[0])
 	}
 }
 
-// SuspectCount reports how many requests are refused.
+// SuspectCount returns the number of requests that are refused.
 func (d *Detector) SuspectCount() int {
 	n := 0
 	for _, s := range d.suspects {
@@ -193,8 +197,9 @@
 	return n
 }
 
-// IsHomeRouter reports whether a router is the one of several that tries a suspect and keeps it in the store: the first in
-// rendezvous order, which all routers compute alike.
+// IsHomeRouter reports whether the router self is the home router of a suspect, which alone sends
+// its trials and writes it to the store: the first in rendezvous order, which all routers compute
+// alike.
 func (f Fingerprint) IsHomeRouter(self string, others []string) bool {
 	own := rendezvous.Mix(uint64(f), rendezvous.Hash(self))
 	return !slices.ContainsFunc(others, func(o string) bool {
