--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,6 +1,6 @@
-// Package admission decides whether a request that found a target is sent there or
-// refused. A request that can't be answered in the time it has left only delays the
-// others; told so at once, its caller can come back when there is room.
+// Package admission decides whether a request that has a target is sent to it or refused. A request
+// that can't be answered in its remaining time would only delay others. If it is refused at once,
+// its caller can come back when the target has free slots.
 package admission
 
 import (
@@ -10,93 +10,96 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// Load is what the fleet has open at the target that a request would go to.
+// Load is the fleet's load of the target that a request would go to.
 type Load struct {
-	Open  int // this request not counted
-	Slots int // requests that it works on at once; 0 if unknown
-	// ReportAge is how old Open is; 0 if it is exact.
+	Open  int // open requests, without this one
+	Slots int // requests that the target executes at once; 0 if unknown
+	// ReportAge is the load report age of Open; 0 if Open is exact.
 	ReportAge time.Duration
 }
 
-// Request is one request.
+// Request describes a request that asks for admission.
 type Request struct {
-	Team string // empty if it has none
-	Rank int    // 0 is the most urgent; the team's own if it has one
-	// RouteRank is the route's. It decides between requests of equal rank.
+	Team string // empty if the request has no team
+	Rank int    // 0 is the most urgent; the team's rank if it has one
+	// RouteRank is the rank of the route. It decides between requests of equal Rank.
 	RouteRank int
-	Remaining time.Duration // until its caller gives up
-	// Objective is the time to the first byte within which the answer is in time; 0 if
-	// the route names none.
+	Remaining time.Duration // time until the caller gives up
+	// Objective is the longest time to the first byte that counts as in time; 0 if the route has no
+	// objective.
 	Objective time.Duration
 }
 
-// Decision is the decision with the figure that made it.
+// Decision is the result for one request.
 type Decision struct {
-	Code code.Code // OK if the request is sent
-	Wait time.Duration
-	// RetryAfter is when a caller that is refused should come back, before jitter; of a request that is sent, if its target turns
-	// it away, 0 if the code alone says it.
+	Code code.Code     // OK if the request is sent
+	Wait time.Duration // estimated time until a slot is free
+	// RetryAfter is when a refused caller should come back, before jitter. For a request that is
+	// sent it applies if the target refuses it; 0 if the result code alone decides.
 	RetryAfter time.Duration
 }
 
 const (
-	// waitShare is the part of its time that a request of the most urgent rank may
-	// spend waiting; the rest is for its work. A rank further down it is divided by
-	// one more: under overload the less urgent are refused first, while there is
-	// still room for the urgent ones that come next.
-	waitShare = 0.6
-	// objectiveShare is the same of its objective. A pool works off as many requests
-	// behind a short queue as behind a long one, but behind a long one all are late.
+	// maxWaitShare is the share of its remaining time that a request of the most urgent rank may
+	// wait; the rest is for its execution. The share is divided by 2 for the next rank, by 3 for
+	// the one after it, and so on. So the less urgent requests are refused first under overload,
+	// and the queue keeps room for urgent ones that follow.
+	maxWaitShare = 0.6
+	// objectiveShare is the share of its objective that a request may wait. A pool completes as
+	// many requests with a short queue as with a long one, but behind a long queue all answers are
+	// late.
 	objectiveShare = 0.25
-	// yieldShare is the part of the requests that would wait which a route gives up for each more
-	// urgent one that is asked for at its pool. It orders the routes of a pool without starving the last: a shorter wait for
-	// each rank would, as one more urgent request in the queue is enough to keep all others out.
+	// yieldShare is the share of its waiting requests that a route gives up for each more urgent
+	// route with recent requests at the pool. It orders the routes without starving the last one. A
+	// shorter wait per rank would starve it: one more urgent request in the queue would keep out
+	// all others.
 	yieldShare = 0.15
-	// soonShare is the part of its objective after which a caller comes back to a pool of short work.
-	soonShare = 0.35
-	// retryShare is the part of its time after which a refused caller comes back at the
-	// earliest. Overload lasts for seconds; a caller that has time is better off later.
+	// shortWorkRetryShare is the share of the objective after which a caller comes back to a pool
+	// of short work.
+	shortWorkRetryShare = 0.35
+	// retryShare is the share of a refused caller's remaining time after which it comes back at the
+	// earliest. Overload lasts for seconds, so a caller that has time should come back later.
 	retryShare = 0.25
-	// teamShare is how many times the mean of all teams one team may hold before its
-	// requests have to wait less than those of others. Twice leaves room for large
-	// teams, and none for one that sends many times its usual.
-	teamShare = 2.0
-	// overShare is what part of the wait of others a team over its share may cause.
-	// The rest is room in which the others' requests are admitted.
-	overShare = 0.25
-	// teamLeast is what a team may hold before it is looked at: with few requests open
-	// the mean says nothing.
-	teamLeast = 4
-	// askLasts is how long a team or a route without requests counts among those that share.
-	askLasts = 5 * time.Second
-	// maxRank is the last rank that is told apart; it bounds what a gate keeps.
+	// maxTeamShare is the multiple of the mean open requests per team from which a team is over its
+	// share. 2 leaves room for large teams, and none for a team that sends many times its usual
+	// load.
+	maxTeamShare = 2.0
+	// overShareWait is the share of the longest wait from which a team over its share is refused.
+	// The rest of that wait is left to the requests of other teams.
+	overShareWait = 0.25
+	// minTeamRequests is the number of open requests below which a team is never over its share:
+	// with few open requests the mean says nothing.
+	minTeamRequests = 4
+	// demandWindow is how long a team or a route counts as active after its last request.
+	demandWindow = 5 * time.Second
+	// maxRank is the last rank that is distinguished. It bounds the size of Gate.demands.
 	maxRank = 9
-	// durationWeight is the weight of one request in the moving average of durations:
-	// about the last thirty count.
+	// durationWeight is the weight of one request in the moving average of durations: about the
+	// last thirty requests count.
 	durationWeight = 0.033
-	// firstDuration stands for the mean before any request has ended.
-	firstDuration = 100 * time.Millisecond
+	// initialDuration is the mean duration before any request has ended.
+	initialDuration = 100 * time.Millisecond
 )
 
-// Gate decides for one pool by what this router has seen of it. It is not safe for
-// concurrent use.
+// Gate is the admission control of one pool. It decides by this router's own measurements and by
+// load reports. It is not safe for concurrent use.
 type Gate struct {
-	duration time.Duration // mean time that a request holds a place
+	duration time.Duration // mean time that a request holds a slot
 	teams    map[string]*team
 	total    int // open requests of all teams
 	throttle throttle
-	routes   map[urgency]*asking
+	demands  map[urgency]*demand
 }
 
-// asking is what is known of the requests of one urgency.
-type asking struct {
-	objective time.Duration // of the last one; 0 if its route names none
-	asked     time.Time     // last
-	yielded   float64       // the part of a request that is due to more urgent ones
-	throttled float64       // the part of a request that is due to what targets answered
+// demand is what is known of the requests of one urgency.
+type demand struct {
+	objective     time.Duration // of the last request; 0 if its route has none
+	lastRequestAt time.Time     // time of the last request
+	yieldDebt     float64       // fraction of a request still to be refused for more urgent routes
+	throttleDebt  float64       // fraction of a request still to be refused by the throttle
 }
 
-// urgency orders requests: by rank, and by their routes' ranks among equal ones.
+// urgency orders requests by rank, and requests of equal rank by the ranks of their routes.
 type urgency struct{ rank, route int }
 
 func (u urgency) before(o urgency) bool {
@@ -104,120 +107,123 @@
 }
 
 type team struct {
-	open  int
-	asked time.Time // last
+	open          int
+	lastRequestAt time.Time // time of the last request
 }
 
-// NewGate returns a Gate that has seen nothing.
+// NewGate returns a Gate without measurements.
 func NewGate() *Gate {
-	return &Gate{duration: firstDuration, teams: make(map[string]*team), routes: make(map[urgency]*asking)}
+	return &Gate{duration: initialDuration, teams: make(map[string]*team), demands: make(map[urgency]*demand)}
 }
 
-// Decide admits or refuses a request.
-func (g *Gate) Decide(now time.Time, a Request, l Load) Decision {
-	t := g.team(a.Team)
-	t.asked = now
-	u := urgency{rank: min(max(a.Rank, 0), maxRank), route: min(max(a.RouteRank, 0), maxRank)}
-	k := g.asked(now, u, a.Objective)
+// Decide admits or refuses a request. RecordStart and RecordEnd must follow if it is sent.
+func (g *Gate) Decide(now time.Time, r Request, l Load) Decision {
+	t := g.team(r.Team)
+	t.lastRequestAt = now
+	u := urgency{rank: min(max(r.Rank, 0), maxRank), route: min(max(r.RouteRank, 0), maxRank)}
+	d := g.recordDemand(now, u, r.Objective)
 	if g.HasShortWork(l.ReportAge) && !ablate.IsOff(ablate.ShortWork) {
-		return g.byAnswers(now, k, u, t, a)
+		return g.decideByOutcomes(now, d, u, t, r)
 	}
-	wait := g.wait(l)
-	if wait == 0 || ablate.IsOff(ablate.Admission) {
+	estimatedWait := g.estimatedWait(l)
+	if estimatedWait == 0 || ablate.IsOff(ablate.Admission) {
 		return Decision{Code: code.OK}
 	}
-	v := Decision{Code: code.OK, Wait: wait, RetryAfter: max(wait, time.Duration(retryShare*float64(a.Remaining)))}
-	allowed := g.allowed(now, u, a.Remaining)
+	decision := Decision{Code: code.OK, Wait: estimatedWait, RetryAfter: max(estimatedWait, time.Duration(retryShare*float64(r.Remaining)))}
+	maxWait := g.maxWait(now, u, r.Remaining)
 	switch {
-	case float64(wait) > allowed, g.yields(now, u):
-		v.Code = code.QueueFull
-	case float64(wait) > overShare*allowed && g.over(now, t):
-		v.Code = code.TeamLimit
+	case float64(estimatedWait) > maxWait, g.mustYield(now, u):
+		decision.Code = code.QueueFull
+	case float64(estimatedWait) > overShareWait*maxWait && g.isOverShare(now, t):
+		decision.Code = code.TeamLimit
 	}
-	return v
+	return decision
 }
 
-// HasShortWork reports whether a request holds its place for less time than the news of it takes.
-func (g *Gate) HasShortWork(newsAge time.Duration) bool { return g.duration <= newsAge }
+// HasShortWork reports whether requests take less time than a load report of the given age. Such a
+// report no longer describes the target's load, so the pool is throttled by outcomes.
+func (g *Gate) HasShortWork(reportAge time.Duration) bool { return g.duration <= reportAge }
 
-// byAnswers decides where the work takes less time than the news of it. A part of a request is due with each that is admitted, so that
-// the refused ones are spread evenly.
-func (g *Gate) byAnswers(now time.Time, k *asking, u urgency, t *team, a Request) Decision {
-	v := Decision{Code: code.OK, RetryAfter: soon(a)}
+// decideByOutcomes decides for short work. Each request adds the share to be refused to a sum, and
+// a request is refused when the sum reaches one, so that refusals are spread evenly.
+func (g *Gate) decideByOutcomes(now time.Time, d *demand, u urgency, t *team, r Request) Decision {
+	decision := Decision{Code: code.OK, RetryAfter: shortWorkRetryAfter(r)}
 	if ablate.IsOff(ablate.Admission) {
-		return v
+		return decision
 	}
-	k.throttled += g.throttle.refuses(now, u == g.mostUrgent(now))
+	d.throttleDebt += g.throttle.refusalShare(now, u == g.mostUrgent(now))
 	switch {
-	case k.throttled >= 1:
-		k.throttled--
-		v.Code, v.Wait = code.QueueFull, g.duration
-	case g.throttle.refuses(now, false) > 0 && g.over(now, t):
-		v.Code, v.Wait = code.TeamLimit, g.duration
+	case d.throttleDebt >= 1:
+		d.throttleDebt--
+		decision.Code, decision.Wait = code.QueueFull, g.duration
+	case g.throttle.refusalShare(now, false) > 0 && g.isOverShare(now, t):
+		decision.Code, decision.Wait = code.TeamLimit, g.duration
 	}
-	return v
+	return decision
 }
 
-// soon returns when a caller should come back whom a pool of short work has no room for. Its queues are empty again within some
-// requests' time, and come back within the objective the answer is still in time.
-func soon(a Request) time.Duration {
-	if a.Objective > 0 {
-		return min(time.Duration(soonShare*float64(a.Objective)), a.Remaining)
+// shortWorkRetryAfter returns when a caller should come back to a pool of short work that has no
+// free slot. Its queues are empty again within the time of a few requests, and a caller that comes
+// back within its objective still gets its answer in time.
+func shortWorkRetryAfter(r Request) time.Duration {
+	if r.Objective > 0 {
+		return min(time.Duration(shortWorkRetryShare*float64(r.Objective)), r.Remaining)
 	}
-	return time.Duration(retryShare * float64(a.Remaining))
+	return time.Duration(retryShare * float64(r.Remaining))
 }
 
-// mostUrgent returns the most urgent of what is asked for lately.
+// mostUrgent returns the highest urgency with a recent request.
 func (g *Gate) mostUrgent(now time.Time) urgency {
-	most := urgency{rank: maxRank, route: maxRank}
-	for u, k := range g.routes {
-		if u.before(most) && now.Sub(k.asked) <= askLasts {
-			most = u
+	highest := urgency{rank: maxRank, route: maxRank}
+	for u, d := range g.demands {
+		if u.before(highest) && now.Sub(d.lastRequestAt) <= demandWindow {
+			highest = u
 		}
 	}
-	return most
+	return highest
 }
 
-func (g *Gate) asked(now time.Time, u urgency, objective time.Duration) *asking {
-	k, ok := g.routes[u]
+func (g *Gate) recordDemand(now time.Time, u urgency, objective time.Duration) *demand {
+	d, ok := g.demands[u]
 	if !ok {
-		k = &asking{}
-		g.routes[u] = k
+		d = &demand{}
+		g.demands[u] = d
 	}
-	k.objective, k.asked = objective, now
-	return k
+	d.objective, d.lastRequestAt = objective, now
+	return d
 }
 
-// allowed returns the longest wait that a request may have. It is no longer than that of any
-// more urgent one: a queue that the patient ones fill keeps those out that have to be quick.
-func (g *Gate) allowed(now time.Time, u urgency, left time.Duration) float64 {
-	allowed := waitShare * float64(left)
-	for o, k := range g.routes {
-		if !ablate.IsOff(ablate.Objective) && k.objective > 0 && (o == u || (o.before(u) && now.Sub(k.asked) <= askLasts)) {
-			allowed = min(allowed, objectiveShare*float64(k.objective))
+// maxWait returns the longest wait that a request may have. It is no longer than that of any more
+// urgent request: otherwise requests with a long objective would fill the queue and keep out those
+// with a short one.
+func (g *Gate) maxWait(now time.Time, u urgency, remaining time.Duration) float64 {
+	maxWait := maxWaitShare * float64(remaining)
+	for o, d := range g.demands {
+		if !ablate.IsOff(ablate.Objective) && d.objective > 0 && (o == u || (o.before(u) && now.Sub(d.lastRequestAt) <= demandWindow)) {
+			maxWait = min(maxWait, objectiveShare*float64(d.objective))
 		}
 	}
 	if ablate.IsOff(ablate.Rank) {
-		return allowed
+		return maxWait
 	}
-	return allowed / float64(1+u.rank)
+	return maxWait / float64(1+u.rank)
 }
 
-// yields reports whether a request that would have to wait leaves its place to a more urgent
-// one of a team of the same rank.
-func (g *Gate) yields(now time.Time, u urgency) bool {
-	above := 0
-	for o, k := range g.routes {
-		if o.rank == u.rank && o.route < u.route && now.Sub(k.asked) <= askLasts {
-			above++
+// mustYield reports whether a request that would have to wait is refused in favour of more urgent
+// routes of the same rank.
+func (g *Gate) mustYield(now time.Time, u urgency) bool {
+	moreUrgent := 0
+	for o, d := range g.demands {
+		if o.rank == u.rank && o.route < u.route && now.Sub(d.lastRequestAt) <= demandWindow {
+			moreUrgent++
 		}
 	}
-	k := g.routes[u]
-	k.yielded += min(yieldShare*float64(above), 1)
-	if k.yielded < 1 || ablate.IsOff(ablate.RouteYield) {
+	d := g.demands[u]
+	d.yieldDebt += min(yieldShare*float64(moreUrgent), 1)
+	if d.yieldDebt < 1 || ablate.IsOff(ablate.RouteYield) {
 		return false
 	}
-	k.yielded--
+	d.yieldDebt--
 	return true
 }
 
@@ -230,9 +236,9 @@
 	return t
 }
 
-// wait estimates how long a request waits for a place: each place becomes free once
-// in the mean duration.
-func (g *Gate) wait(l Load) time.Duration {
+// estimatedWait returns the time until a slot is free for a request. Each slot becomes free once in
+// the mean duration.
+func (g *Gate) estimatedWait(l Load) time.Duration {
 	ahead := l.Open + 1 - l.Slots
 	if l.Slots == 0 || ahead <= 0 {
 		return 0
@@ -240,33 +246,33 @@
 	return time.Duration(float64(ahead) / float64(l.Slots) * float64(g.duration))
 }
 
-// over reports whether a team holds more than its share of the open requests.
-func (g *Gate) over(now time.Time, t *team) bool {
-	if t.open < teamLeast || ablate.IsOff(ablate.Team) {
+// isOverShare reports whether a team has more than its share of the open requests.
+func (g *Gate) isOverShare(now time.Time, t *team) bool {
+	if t.open < minTeamRequests || ablate.IsOff(ablate.Team) {
 		return false
 	}
-	sharing := 0
+	activeTeams := 0
 	for name, other := range g.teams {
 		switch {
-		case other.open > 0 || now.Sub(other.asked) <= askLasts:
-			sharing++
+		case other.open > 0 || now.Sub(other.lastRequestAt) <= demandWindow:
+			activeTeams++
 		default:
 			delete(g.teams, name)
 		}
 	}
-	return float64(t.open) >= teamShare*float64(g.total)/float64(max(sharing, 1))
+	return float64(t.open) >= maxTeamShare*float64(g.total)/float64(max(activeTeams, 1))
 }
 
-// RecordStart counts a request that was sent.
-func (g *Gate) RecordStart(name string) {
-	g.team(name).open++
+// RecordStart records that a request of a team was sent.
+func (g *Gate) RecordStart(teamName string) {
+	g.team(teamName).open++
 	g.total++
 }
 
-// RecordEnd takes a request off and learns how long it held its place, and what its target answered.
-func (g *Gate) RecordEnd(now time.Time, name string, took time.Duration, answer Outcome) {
-	g.throttle.answered(now, answer)
+// RecordEnd records that a request has ended, how long it held its slot, and its outcome.
+func (g *Gate) RecordEnd(now time.Time, teamName string, elapsed time.Duration, outcome Outcome) {
+	g.throttle.record(now, outcome)
 	g.total--
-	g.team(name).open--
-	g.duration += time.Duration(durationWeight * float64(took-g.duration))
+	g.team(teamName).open--
+	g.duration += time.Duration(durationWeight * float64(elapsed-g.duration))
 }
--- a/internal/core/admission/retryafter.go
+++ b/internal/core/admission/retryafter.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// retryElsewhere is when callers come back that a stopping router sends away: at
-	// once, since another router gets them.
-	retryElsewhere = 20 * time.Millisecond
-	// retryStarting is the same for a router that has just started: others serve at
-	// once, and it is ready itself within milliseconds of its first peer's digest.
-	retryStarting = 250 * time.Millisecond
+	// stoppingRetryAfter is for callers of a router that is stopping: they come back at once, since
+	// another router serves them.
+	stoppingRetryAfter = 20 * time.Millisecond
+	// startingRetryAfter is for callers of a router that has just started or lags behind: other
+	// routers serve at once, and this one is ready within milliseconds of the first digest from a
+	// peer.
+	startingRetryAfter = 250 * time.Millisecond
 )
 
-// RetryAfter returns when a caller that is refused with a code should come back, before
-// jitter. left is the time that it has. It is 0 if coming back makes no sense.
+// RetryAfter returns when a caller that is refused with a code should come back, before jitter; 0 if
+// coming back does not help. remaining is the time until the caller gives up.
 //
-// A pool without targets is away for seconds, and nobody knows for how many. Callers come
-// back once or twice, so one that has time is better off later; its objective has passed
+// A pool without targets stays unavailable for seconds, and nobody knows for how many. Callers come
+// back once or twice, so a caller that has time should come back later. Its objective has passed
 // either way.
-func RetryAfter(c code.Code, left time.Duration) time.Duration {
+func RetryAfter(c code.Code, remaining time.Duration) time.Duration {
 	switch c {
 	case code.ShuttingDown:
-		return retryElsewhere
+		return stoppingRetryAfter
 	case code.NotReady, code.StaleConfig:
-		return retryStarting
+		return startingRetryAfter
 	case code.NoTarget, code.Evacuated, code.TargetRefused, code.QueueFull:
-		return time.Duration(retryShare * float64(left))
+		return time.Duration(retryShare * float64(remaining))
 	}
 	return 0
 }
--- a/internal/core/admission/short_test.go
+++ b/internal/core/admission/short_test.go
@@ -14,61 +14,62 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/placement"
 )
 
-// plainTarget works on some requests at once, first in first out, and turns away what its queue has no room for.
+// plainTarget executes some requests at once, first in first out, and refuses those that its queue
+// has no room for.
 type plainTarget struct {
 	slots, queue int
-	free         []time.Duration // when each place becomes free
-	waiting      []time.Duration // when each request that waits begins
+	free         []time.Duration // when each slot becomes free
+	waiting      []time.Duration // when each waiting request begins
 }
 
-// take returns when a request that arrives ends, false if it is turned away.
-func (t *plainTarget) take(now, work time.Duration) (time.Duration, bool) {
+// accept returns when a request that arrives now will end, false if it is refused.
+func (t *plainTarget) accept(now, work time.Duration) (time.Duration, bool) {
 	for len(t.waiting) > 0 && t.waiting[0] <= now {
 		t.waiting = t.waiting[1:]
 	}
 	if len(t.waiting) >= t.queue {
 		return 0, false
 	}
-	place := 0
+	slot := 0
 	for i := range t.free {
-		if t.free[i] < t.free[place] {
-			place = i
+		if t.free[i] < t.free[slot] {
+			slot = i
 		}
 	}
-	begins := max(t.free[place], now)
-	if begins > now {
-		t.waiting = append(t.waiting, begins)
+	beginsAt := max(t.free[slot], now)
+	if beginsAt > now {
+		t.waiting = append(t.waiting, beginsAt)
 	}
-	t.free[place] = begins + work
-	return t.free[place], true
+	t.free[slot] = beginsAt + work
+	return t.free[slot], true
 }
 
-// shortLoad is a load of short requests at many routers before a few plain targets.
+// shortLoad is a load of short requests that many routers send to a few plain targets.
 type shortLoad struct {
 	routers, targets int
 	work             time.Duration
 	objective        time.Duration
-	// perSec are the requests of each rank, the most urgent first.
+	// perSec is the rate of requests of each rank, the most urgent rank first.
 	perSec []float64
-	// newsAge is how old what a router hears of the others is; exact is set if they take it for exact.
-	newsAge time.Duration
-	exact   bool
-	// clump is how many requests come at the same moment.
-	clump int
+	// reportAge is the load report age. If exact is set, routers treat the reports as exact.
+	reportAge time.Duration
+	exact     bool
+	// batch is the number of requests that arrive at the same moment.
+	batch int
 }
 
-// arrivals draws how many requests come at a moment at which n come in the mean.
+// arrivals draws the number of requests of one step, n in the mean.
 func (l *shortLoad) arrivals(n float64, rnd *rand.Rand) int {
-	clump := max(l.clump, 1)
-	n /= float64(clump)
+	batch := max(l.batch, 1)
+	n /= float64(batch)
 	whole := int(n)
 	if rnd.Float64() < n-float64(whole) {
 		whole++
 	}
-	return whole * clump
+	return whole * batch
 }
 
-// answer is the way of an answer back to its router.
+// answer is an answer on its way back to its router.
 type answer struct {
 	at     time.Duration
 	router int
@@ -91,8 +92,9 @@
 	return last
 }
 
-// playShort returns what the callers of each rank got in ten seconds, after two, and how many arrivals targets turned away.
-func playShort(l shortLoad, seed uint64) (got []outcome, turnedAway int) {
+// simulateShort returns the results of each rank's requests in ten seconds, after two seconds of
+// warm-up, and how many requests targets refused.
+func simulateShort(l shortLoad, seed uint64) (got []outcome, refusedByTargets int) {
 	const slots, queue, hop, step, span = 6, 24, 3 * time.Millisecond, time.Millisecond, 12 * time.Second
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	list := make([]placement.Target, l.targets)
@@ -109,19 +111,19 @@
 	}
 	got = make([]outcome, len(l.perSec))
 	var running answers
-	var news [][][]placement.Load // of each tick, by router
+	var reports [][][]placement.Load // loads that each router reports, by tick
 	for now := time.Duration(0); now < span; now += step {
 		at := start.Add(now)
 		if now%(100*time.Millisecond) == 0 {
-			told := make([][]placement.Load, l.routers)
+			ownLoads := make([][]placement.Load, l.routers)
 			for i, b := range boards {
-				told[i] = b.Own()
+				ownLoads[i] = b.Own()
 			}
-			news = append(news, told)
+			reports = append(reports, ownLoads)
 		}
-		if old := int((now - l.newsAge/2) / (100 * time.Millisecond)); now%(100*time.Millisecond) == 50*time.Millisecond && old >= 0 {
+		if index := int((now - l.reportAge/2) / (100 * time.Millisecond)); now%(100*time.Millisecond) == 50*time.Millisecond && index >= 0 {
 			for i, b := range boards {
-				for o, loads := range news[old] {
+				for o, loads := range reports[index] {
 					if o != i {
 						b.Heard(at, uint32(o+1), loads, nil)
 					}
@@ -145,7 +147,7 @@
 			case a.sent < 2*time.Second:
 			case !a.ok:
 				got[rank].refused++
-				turnedAway++
+				refusedByTargets++
 			case took <= l.objective:
 				got[rank].inTime++
 			default:
@@ -158,16 +160,16 @@
 					got[rank].asked++
 				}
 				r := rnd.IntN(l.routers)
-				c, ok := boards[r].Place(at, placement.Ask{Pool: "p", Stale: !l.exact && gates[r].HasShortWork(l.newsAge)})
+				c, ok := boards[r].Place(at, placement.Ask{Pool: "p", Stale: !l.exact && gates[r].HasShortWork(l.reportAge)})
 				Expect(ok).To(BeTrue())
-				age := l.newsAge
+				age := l.reportAge
 				if l.exact {
 					age = 0
 				}
-				v := gates[r].Decide(at, admission.Request{Rank: 1, RouteRank: rank, Remaining: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, ReportAge: age})
-				if v.Code != code.OK {
+				decision := gates[r].Decide(at, admission.Request{Rank: 1, RouteRank: rank, Remaining: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, ReportAge: age})
+				if decision.Code != code.OK {
 					boards[r].Done(at, c.Target.UID, placement.Neutral)
-					Expect(v.RetryAfter).To(BeNumerically(">", 0))
+					Expect(decision.RetryAfter).To(BeNumerically(">", 0))
 					if now >= 2*time.Second {
 						got[rank].refused++
 					}
@@ -175,27 +177,27 @@
 				}
 				gates[r].RecordStart("")
 				work := time.Duration(float64(l.work) * (0.5 + rnd.Float64()))
-				ends, ok := engines[c.Target.UID].take(now+hop, work)
+				endsAt, ok := engines[c.Target.UID].accept(now+hop, work)
 				if !ok {
-					ends = now + hop
+					endsAt = now + hop
 				}
-				heap.Push(&running, answer{at: ends + hop, router: r, choice: c, sent: now, ok: ok, rank: rank})
+				heap.Push(&running, answer{at: endsAt + hop, router: r, choice: c, sent: now, ok: ok, rank: rank})
 			}
 		}
 	}
-	return got, turnedAway
+	return got, refusedByTargets
 }
 
-var _ = Describe("admission of work that takes less time than its news", func() {
-	one := func(load float64) shortLoad {
+var _ = Describe("admission of work that takes less time than a load report", func() {
+	newLoad := func(load float64) shortLoad {
 		capacity := 6 / 0.015
 		return shortLoad{
-			routers: 70, targets: 1, work: 15 * time.Millisecond, objective: 120 * time.Millisecond, newsAge: 200 * time.Millisecond,
+			routers: 70, targets: 1, work: 15 * time.Millisecond, objective: 120 * time.Millisecond, reportAge: 200 * time.Millisecond,
 			perSec: []float64{0.3 * load * capacity, 0.7 * load * capacity},
 		}
 	}
-	inTime := func(l shortLoad) (share float64, got []outcome) {
-		got, _ = playShort(l, 1)
+	servedShare := func(l shortLoad) (share float64, got []outcome) {
+		got, _ = simulateShort(l, 1)
 		sum := 0
 		for _, o := range got {
 			sum += o.inTime
@@ -204,54 +206,58 @@
 		return float64(sum) / capacity, got
 	}
 
-	// Guards against half of the requests being refused at a target that could serve nearly all: routers that hear the same old
-	// peak refuse together, then the same trough and send together.
-	DescribeTable("serves what the target can, the urgent first", func(load, least float64) {
-		share, got := inTime(one(load))
-		old := one(load)
-		old.exact = true
-		before, _ := inTime(old)
-		AddReportEntry(fmt.Sprintf("load %.2f: urgent %.2f patient %.2f in time %.3f of the capacity, by counts %.3f; %+v", load, got[0].failureRate(), got[1].failureRate(), share, before, got))
+	// Guards against half of the requests being refused at a target that could execute nearly all:
+	// routers that receive the same outdated peak refuse together, and after the next trough they
+	// send together.
+	DescribeTable("serves up to the capacity of the target, the urgent requests first", func(load, least float64) {
+		share, got := servedShare(newLoad(load))
+		exactLoad := newLoad(load)
+		exactLoad.exact = true
+		exactShare, _ := servedShare(exactLoad)
+		AddReportEntry(fmt.Sprintf("load %.2f: urgent %.2f, less urgent %.2f, in time %.3f of the capacity, with exact counts %.3f; %+v", load, got[0].inTimeShare(), got[1].inTimeShare(), share, exactShare, got))
 		asked := float64(got[0].asked + got[1].asked)
 		Expect(share).To(BeNumerically(">=", least*min(asked/4000, 1)))
-		Expect(got[0].failureRate()).To(BeNumerically(">=", got[1].failureRate()-0.01))
+		Expect(got[0].inTimeShare()).To(BeNumerically(">=", got[1].inTimeShare()-0.01))
 	},
 		Entry("half of its capacity", 0.5, 0.98), Entry("0.8", 0.8, 0.98), Entry("its capacity", 1.0, 0.9), Entry("1.2", 1.2, 0.85), Entry("1.5", 1.5, 0.85), Entry("3", 3.0, 0.8),
 	)
 
-	// Guards against routers that all send to the target which was the least loaded one when they heard of it last, while the others idle.
-	DescribeTable("spreads over several targets", func(load, least float64) {
-		l := one(3 * load)
+	// Guards against all routers sending to the target that had the least load in their last
+	// report, while the other targets are idle.
+	DescribeTable("spreads the load over several targets", func(load, least float64) {
+		l := newLoad(3 * load)
 		l.targets = 3
-		share, got := inTime(l)
+		share, got := servedShare(l)
 		asked := float64(got[0].asked + got[1].asked)
 		Expect(share * 12000).To(BeNumerically(">=", least*asked))
 	},
 		Entry("half of their capacity", 0.5, 0.99), Entry("0.8", 0.8, 0.99), Entry("0.9", 0.9, 0.97), Entry("their capacity", 1.0, 0.9),
 	)
 
-	// Guards against a pool that refuses a fifth of what it could serve because requests come in clumps.
-	DescribeTable("bears clumps of requests", func(load, least float64) {
-		l := one(load)
-		l.clump = 4
-		share, got := inTime(l)
+	// Guards against a pool that refuses a fifth of what it could execute because requests arrive
+	// in batches.
+	DescribeTable("serves requests that arrive in batches", func(load, least float64) {
+		l := newLoad(load)
+		l.batch = 4
+		share, got := servedShare(l)
 		asked := float64(got[0].asked + got[1].asked)
 		Expect(share*4000).To(BeNumerically(">=", least*asked), "%+v", got)
-		Expect(got[0].failureRate()).To(BeNumerically(">=", got[1].failureRate()-0.02))
+		Expect(got[0].inTimeShare()).To(BeNumerically(">=", got[1].inTimeShare()-0.02))
 	},
 		Entry("half of its capacity", 0.5, 0.98), Entry("0.8", 0.8, 0.96), Entry("its capacity", 1.0, 0.88), Entry("1.5", 1.5, 0.6),
 	)
 
-	// Guards against callers of short work that stay away until their answer is late, though there is room a moment later.
-	It("has callers come back within their objective", func() {
+	// Guards against callers of short work that come back only when their answer would be late,
+	// though there are free slots a moment later.
+	It("has refused callers come back within their objective", func() {
 		g := admission.NewGate()
 		load := admission.Load{Slots: 6, ReportAge: 200 * time.Millisecond}
-		ask := admission.Request{Remaining: time.Second, Objective: 120 * time.Millisecond}
+		request := admission.Request{Remaining: time.Second, Objective: 120 * time.Millisecond}
 		refused := 0
 		for range 50 {
-			v := g.Decide(start, ask, load)
-			Expect(v.RetryAfter).To(And(BeNumerically(">", 20*time.Millisecond), BeNumerically("<", 60*time.Millisecond)))
-			if v.Code != code.OK {
+			decision := g.Decide(start, request, load)
+			Expect(decision.RetryAfter).To(And(BeNumerically(">", 20*time.Millisecond), BeNumerically("<", 60*time.Millisecond)))
+			if decision.Code != code.OK {
 				refused++
 				continue
 			}
@@ -261,8 +267,8 @@
 		Expect(refused).To(BeNumerically(">", 10))
 	})
 
-	// Guards against a team that takes the places of all others where their counts are out of date.
-	It("keeps a team that surges from taking the others' places", func() {
+	// Guards against a team that takes the slots of all others while load reports are out of date.
+	It("keeps a team with a surge from taking the other teams' slots", func() {
 		g := admission.NewGate()
 		load := admission.Load{Slots: 6, ReportAge: 200 * time.Millisecond}
 		for range 8 {
@@ -271,7 +277,7 @@
 		}
 		g.Decide(start, admission.Request{Team: "b", Remaining: time.Second}, load)
 		g.Decide(start, admission.Request{Team: "c", Remaining: time.Second}, load)
-		Expect(g.Decide(start, admission.Request{Team: "surge", Remaining: time.Second}, load).Code).To(Equal(code.OK), "nobody is turned away")
+		Expect(g.Decide(start, admission.Request{Team: "surge", Remaining: time.Second}, load).Code).To(Equal(code.OK), "the target refuses no request yet")
 		g.RecordStart("b")
 		g.RecordEnd(start, "b", time.Millisecond, admission.RefusedByTarget)
 		Expect(g.Decide(start, admission.Request{Team: "surge", Remaining: time.Second}, load).Code).To(Equal(code.TeamLimit))
--- a/internal/core/admission/throttle.go
+++ b/internal/core/admission/throttle.go
@@ -5,73 +5,81 @@
 	"time"
 )
 
-// throttle decides by what targets answered, for work that takes less time than the news of it travels: what the fleet has open
-// there is another load by the time it is heard, and all routers that hear the same peak would refuse together, then send
-// together. A target's own queue knows its load exactly. So requests are sent as long as few of them are turned away, and what
-// is over the capacity is refused here, the less urgent first, so that the target's queue is left to the urgent.
+// throttle limits the requests of a pool of short work by the outcomes at its targets. Load reports
+// don't help there: the load has changed by the time a report arrives, and all routers that receive
+// the same peak would refuse together, then send together. A target's own queue knows its load
+// exactly. So requests are sent as long as targets refuse few of them. The load over the capacity
+// is refused here, the less urgent first, so that the target's queue is left to the urgent
+// requests.
 type throttle struct {
-	at time.Time
-	// sent and refused are decayed counts: of the requests that targets answered, and of those of them that they turned away.
+	updatedAt time.Time
+	// sent counts the requests that targets answered, refused those of them that targets refused.
+	// Both decay.
 	sent, refused float64
 }
 
 const (
-	// throttleHalfLife is how fast answers are forgotten. A router sends some a second to a pool.
+	// throttleHalfLife is the half-life of the counts. A router sends a few requests a second to a
+	// pool.
 	throttleHalfLife = time.Second
-	// throttleDoubt is how many answers without a refusal a router begins with.
-	throttleDoubt = 1.0
-	// tolerated is the part that targets may turn away before anything is refused here: requests that come together by chance are
-	// turned away by a target that has room a moment later.
-	tolerated = 0.05
-	// patientGain is how many times the part beyond that is refused here of what is less urgent than the most urgent.
-	patientGain = 4.0
-	// urgentMost is the part that targets may turn away before the most urgent are refused here as well.
-	urgentMost = 0.5
-	// lateCounts is what an answer beyond the objective counts as a refusal: less of them come late if fewer are sent, unless the
-	// target is slow for another reason.
-	lateCounts = 0.1
-	// throttleMost is the largest part that is refused here, or a router would never learn that there is room again.
-	throttleMost = 0.9
+	// throttlePrior is the number of assumed outcomes without a refusal at the start.
+	throttlePrior = 1.0
+	// toleratedRefusals is the share that targets may refuse before anything is refused here. A
+	// target refuses requests that arrive together by chance although it has free slots a moment
+	// later.
+	toleratedRefusals = 0.05
+	// lessUrgentGain multiplies the share beyond toleratedRefusals. The product is the share of the
+	// less urgent requests that is refused here.
+	lessUrgentGain = 4.0
+	// urgentTolerance is the share that targets may refuse before the most urgent requests are
+	// refused here as well.
+	urgentTolerance = 0.5
+	// lateWeight is the part of a refusal that a late answer counts as. Fewer answers are late if
+	// fewer requests are sent, unless the target is slow for another reason.
+	lateWeight = 0.1
+	// maxThrottle is the largest share that is refused here. With no request sent at all, the
+	// router would never learn that there are free slots again.
+	maxThrottle = 0.9
 )
 
 func (t *throttle) decay(now time.Time) {
-	if since := now.Sub(t.at); since > 0 {
-		left := math.Exp2(-since.Seconds() / throttleHalfLife.Seconds())
-		t.sent, t.refused, t.at = t.sent*left, t.refused*left, now
+	if elapsed := now.Sub(t.updatedAt); elapsed > 0 {
+		factor := math.Exp2(-elapsed.Seconds() / throttleHalfLife.Seconds())
+		t.sent, t.refused, t.updatedAt = t.sent*factor, t.refused*factor, now
 	}
 }
 
-// refuses returns the part of requests that is to be refused.
-func (t *throttle) refuses(now time.Time, urgent bool) float64 {
+// refusalShare returns the share of requests to refuse.
+func (t *throttle) refusalShare(now time.Time, urgent bool) float64 {
 	t.decay(now)
-	turnedAway := t.refused / (t.sent + throttleDoubt)
+	refusedShare := t.refused / (t.sent + throttlePrior)
 	if urgent {
-		return min(max((turnedAway-urgentMost)/urgentMost, 0), throttleMost)
+		return min(max((refusedShare-urgentTolerance)/urgentTolerance, 0), maxThrottle)
 	}
-	return min(patientGain*max(turnedAway-tolerated, 0), throttleMost)
+	return min(lessUrgentGain*max(refusedShare-toleratedRefusals, 0), maxThrottle)
 }
 
-// Outcome is how a request that was sent ended, as far as it tells of its target's load.
+// Outcome is how a request that was sent ended, as far as it shows the load of its target.
 type Outcome int
 
-// The answers.
+// The outcomes.
 const (
-	// InTime: the target served it, or nothing speaks of its load.
+	// InTime means that the target served the request in time, or that the end shows no load.
 	InTime Outcome = iota
-	// Late: it was answered after its objective.
+	// Late means that the answer came after the objective.
 	Late
-	// RefusedByTarget: the target had no place for it.
+	// RefusedByTarget means that the target had no room for the request.
 	RefusedByTarget
 )
 
-// answered counts how a request that was sent ended.
-func (t *throttle) answered(now time.Time, a Outcome) {
+// record counts the outcome of a request that was sent.
+func (t *throttle) record(now time.Time, o Outcome) {
 	t.decay(now)
 	t.sent++
-	switch a {
+	switch o {
 	case InTime:
 	case Late:
-		t.refused += lateCounts
+		t.refused += lateWeight
 	case RefusedByTarget:
 		t.refused++
 	}
