--- a/internal/core/attempt/attempt.go
+++ b/internal/core/attempt/attempt.go
@@ -1,75 +1,76 @@
-// Package attempt is the state machine of one request at its targets. It knows
-// the point of no return: from the moment a byte of the request may have reached
-// a target, the request is never reported as not run, and one that is not
-// idempotent is never sent again.
+// Package attempt is the state machine of one request and its attempts at targets. An attempt
+// passes its point of no return when the first byte of the request may have reached a target. From
+// then on the request is never reported as not executed, and it is never sent again unless it is
+// idempotent.
 package attempt
 
 import "github.com/hemlockdyke/hemlockdyke/internal/core/code"
 
-// State is where a request stands.
+// State is the state of a request.
 type State int
 
 // The states.
 const (
-	Waiting    State = iota // for a ticket
+	Waiting    State = iota // waits for a ticket
 	Dispatched              // handed to a connection, nothing written yet
-	Sent                    // past the point of no return
-	Answering               // part of the answer has been forwarded
+	Sent                    // the attempt is past its point of no return
+	Answering               // a part of the answer has been forwarded
 	Finished
 )
 
-// Spec is what the machine needs to know of a request.
+// Spec describes a request to the machine.
 type Spec struct {
-	// Idempotent requests may be sent again after a failure.
+	// Idempotent is true if the request may be sent again after a failure.
 	Idempotent bool
 	// MaxAttempts bounds the number of targets tried.
 	MaxAttempts int
-	// MaxNotExecuted is how many attempts that no target ran don't count towards
-	// MaxAttempts: a request that was turned away may go elsewhere.
+	// MaxNotExecuted is the number of attempts not executed by a target that don't count towards
+	// MaxAttempts: a request that a target refused may go to another one.
 	MaxNotExecuted int
 }
 
-// Event is something that happened to the request.
+// Event is an input of the machine.
 type Event interface{ isEvent() }
 
 // Events of the ticket.
 type (
-	// TicketGranted: the owner granted a ticket for a target.
+	// TicketGranted means that the owner granted a ticket for a target.
 	TicketGranted struct{ Target uint64 }
-	// TicketRefused: no ticket will come; Code says why.
+	// TicketRefused means that there will be no ticket; Code is the reason.
 	TicketRefused struct{ Code code.Code }
 )
 
-// Events of an attempt. Each carries the number of its attempt: an event of an
-// earlier one, such as an answer that arrives late, changes nothing.
+// Events of an attempt. Each has the number of its attempt. An event of an earlier attempt, such as
+// an answer that arrives late, has no effect.
 type (
-	// NotSent: the attempt ended before any byte was written.
+	// NotSent means that the attempt ended before any byte was written.
 	NotSent struct{ Attempt int }
-	// WriteStarted: the first byte may have been written.
+	// WriteStarted means that the first byte may have been written.
 	WriteStarted struct{ Attempt int }
-	// TargetRefused: the target promised that it did not run the request.
+	// TargetRefused means that the target promised not to have executed the request.
 	TargetRefused struct{ Attempt int }
-	// Part: a part of the answer arrived. Echo is the attempt id in the answer.
+	// Part means that a part of the answer arrived. Echo is the number of the attempt in the
+	// answer.
 	Part struct {
 		Attempt int
 		Echo    int
 		Offset  int
 	}
-	// End: the end marker arrived after Total parts.
+	// End means that the end marker arrived after Total parts.
 	End struct {
 		Attempt int
 		Echo    int
 		Total   int
 	}
-	// ConnectionFailed: the connection failed or went silent after Wrote.
+	// ConnectionFailed means that the connection failed or went silent after WriteStarted.
 	ConnectionFailed struct{ Attempt int }
 )
 
-// Events from the caller's side.
+// Events of the caller.
 type (
-	// DeadlinePassed: the request's deadline passed.
+	// DeadlinePassed means that the request's deadline has passed.
 	DeadlinePassed struct{}
-	// CallerDisconnected: the caller closed its connection.
+	// CallerDisconnected means that the caller closed its connection.
 	CallerDisconnected struct{}
 )
 
@@ -84,102 +85,102 @@
 func (DeadlinePassed) isEvent()     {}
 func (CallerDisconnected) isEvent() {}
 
-// ActionKind says what to do next.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The actions.
 const (
-	// None: nothing to do.
+	// None means that there is nothing to do.
 	None ActionKind = iota
-	// Dispatch: send the request to Target, resuming the answer at Offset.
+	// Dispatch sends the request to Target. The answer resumes at Offset.
 	Dispatch
-	// Forward: pass the part on to the caller.
+	// Forward passes the part on to the caller.
 	Forward
-	// RequestTicket: give the ticket back and ask for another one, without Excluded.
+	// RequestTicket gives the ticket back and requests another one, for a target not in Excluded.
 	RequestTicket
-	// Finish: answer the caller with Code and give the ticket back.
+	// Finish answers the caller with Code and gives the ticket back.
 	Finish
 )
 
-// Action is the machine's answer to an event.
+// Action is what the caller of Step must do after an event.
 type Action struct {
 	Kind    ActionKind
 	Target  uint64
 	Attempt int
 	Offset  int
 	Code    code.Code
-	// TargetFailed says that the attempt that ended speaks against its target.
+	// TargetFailed is true if the attempt that ended counts as a failure of its target.
 	TargetFailed bool
-	// CloseConnection says that the attempt's connection must not be used again.
+	// CloseConnection is true if the attempt's connection must not be used again.
 	CloseConnection bool
 }
 
-// Machine is the state of one request. It is not safe for concurrent use.
+// Machine is the state machine of one request. It is not safe for concurrent use.
 type Machine struct {
-	spec     Spec
-	state    State
-	attempt  int
-	target   uint64
-	offset   int
-	unrun    int  // attempts that no target ran
-	earlier  bool // an earlier attempt may have run
-	current  bool // the present attempt passed the point of no return
-	excluded []uint64
+	spec                Spec
+	state               State
+	attempt             int
+	target              uint64
+	offset              int
+	notExecuted         int  // number of attempts that no target executed
+	earlierPastNoReturn bool // an earlier attempt may have been executed
+	pastNoReturn        bool // the current attempt is past its point of no return
+	excluded            []uint64
 }
 
 // New returns a Machine that waits for its first ticket.
 func New(spec Spec) *Machine { return &Machine{spec: spec} }
 
-// State returns where the request stands.
+// State returns the state of the request.
 func (m *Machine) State() State { return m.state }
 
 // Attempts returns the number of dispatches.
 func (m *Machine) Attempts() int { return m.attempt }
 
-// Excluded returns the targets that failed this request.
+// Excluded returns the targets at which an attempt of this request failed.
 func (m *Machine) Excluded() []uint64 { return m.excluded }
 
-// MayHaveExecuted reports whether a target may have run the request.
-func (m *Machine) MayHaveExecuted() bool { return m.earlier || m.current }
+// MayHaveExecuted reports whether a target may have executed the request.
+func (m *Machine) MayHaveExecuted() bool { return m.earlierPastNoReturn || m.pastNoReturn }
 
-// Step takes one event and returns what to do.
+// Step handles one event and returns the action that follows.
 func (m *Machine) Step(ev Event) Action {
 	if m.state == Finished {
 		return Action{}
 	}
 	switch ev := ev.(type) {
 	case TicketGranted:
-		return m.granted(ev)
+		return m.dispatch(ev)
 	case TicketRefused:
-		return m.finish(m.refusal(ev.Code))
+		return m.finish(m.finalCode(ev.Code))
 	case DeadlinePassed:
-		return m.deadline()
+		return m.deadlinePassed()
 	case CallerDisconnected:
 		return m.finish(code.CallerGone)
 	case NotSent:
-		return m.ifCurrent(ev.Attempt, m.notSent)
+		return m.forCurrentAttempt(ev.Attempt, m.notSent)
 	case WriteStarted:
-		return m.ifCurrent(ev.Attempt, m.wrote)
+		return m.forCurrentAttempt(ev.Attempt, m.writeStarted)
 	case TargetRefused:
-		return m.ifCurrent(ev.Attempt, m.turnedAway)
+		return m.forCurrentAttempt(ev.Attempt, m.targetRefused)
 	case Part:
-		return m.ifCurrent(ev.Attempt, func() Action { return m.part(ev) })
+		return m.forCurrentAttempt(ev.Attempt, func() Action { return m.receivePart(ev) })
 	case End:
-		return m.ifCurrent(ev.Attempt, func() Action { return m.end(ev) })
+		return m.forCurrentAttempt(ev.Attempt, func() Action { return m.receiveEnd(ev) })
 	case ConnectionFailed:
-		return m.ifCurrent(ev.Attempt, func() Action { return m.broken(m.brokenCode()) })
+		return m.forCurrentAttempt(ev.Attempt, func() Action { return m.failAttempt(m.failureCode()) })
 	}
 	return Action{}
 }
 
-func (m *Machine) ifCurrent(attempt int, do func() Action) Action {
+func (m *Machine) forCurrentAttempt(attempt int, handle func() Action) Action {
 	if attempt != m.attempt || m.state == Waiting {
 		return Action{}
 	}
-	return do()
+	return handle()
 }
 
-func (m *Machine) granted(ev TicketGranted) Action {
+func (m *Machine) dispatch(ev TicketGranted) Action {
 	if m.state != Waiting {
 		return Action{}
 	}
@@ -189,89 +190,89 @@
 	return Action{Kind: Dispatch, Target: ev.Target, Attempt: m.attempt, Offset: m.offset}
 }
 
-func (m *Machine) wrote() Action {
-	m.current = true
+func (m *Machine) writeStarted() Action {
+	m.pastNoReturn = true
 	if m.state == Dispatched {
 		m.state = Sent
 	}
 	return Action{}
 }
 
-// notSent: the target can't have seen the request, so any request may go
-// elsewhere. If a byte was written all the same, the event is not believed.
+// notSent handles an attempt that can't have reached its target, so that any request may go to
+// another one. If a byte was written all the same, the attempt counts as failed.
 func (m *Machine) notSent() Action {
 	if m.state != Dispatched {
-		return m.broken(m.brokenCode())
+		return m.failAttempt(m.failureCode())
 	}
-	return m.again(code.NoTarget, true)
+	return m.retryOrFinish(code.NoTarget, true)
 }
 
-// turnedAway: the target's promise takes this attempt back before the point of
-// no return. Earlier attempts keep their effect.
-func (m *Machine) turnedAway() Action {
+// targetRefused handles a target's promise not to have executed the request. The promise undoes the
+// current attempt's point of no return, but not that of earlier attempts.
+func (m *Machine) targetRefused() Action {
 	if m.state == Answering {
-		return m.broken(m.brokenCode())
+		return m.failAttempt(m.failureCode())
 	}
-	m.current = false
-	return m.again(code.TargetRefused, false)
+	m.pastNoReturn = false
+	return m.retryOrFinish(code.TargetRefused, false)
 }
 
-// part forwards each part once and in order. An answer to another attempt means
-// that the connection's answers are crossed: nothing on it can be trusted.
-func (m *Machine) part(ev Part) Action {
+// receivePart forwards each part once and in order. An answer to another attempt shows that answers
+// are crossed on the connection, so that none of them can be trusted.
+func (m *Machine) receivePart(ev Part) Action {
 	switch {
 	case ev.Echo != ev.Attempt:
-		return m.broken(code.AnswerMismatch)
+		return m.failAttempt(code.AnswerMismatch)
 	case ev.Offset < m.offset:
 		return Action{}
 	case ev.Offset > m.offset:
-		return m.broken(code.StreamCut)
+		return m.failAttempt(code.StreamCut)
 	}
 	m.state = Answering
-	m.current = true
+	m.pastNoReturn = true
 	m.offset++
 	return Action{Kind: Forward, Offset: ev.Offset}
 }
 
-func (m *Machine) end(ev End) Action {
+func (m *Machine) receiveEnd(ev End) Action {
 	if ev.Echo != ev.Attempt {
-		return m.broken(code.AnswerMismatch)
+		return m.failAttempt(code.AnswerMismatch)
 	}
 	if ev.Total != m.offset {
-		return m.broken(code.StreamCut)
+		return m.failAttempt(code.StreamCut)
 	}
 	return m.finish(code.OK)
 }
 
-func (m *Machine) brokenCode() code.Code {
+func (m *Machine) failureCode() code.Code {
 	if m.offset > 0 {
 		return code.StreamCut
 	}
 	return code.AttemptsSpent
 }
 
-// broken ends an attempt past the point of no return.
-func (m *Machine) broken(c code.Code) Action {
-	m.current = true
+// failAttempt ends an attempt that is past its point of no return.
+func (m *Machine) failAttempt(c code.Code) Action {
+	m.pastNoReturn = true
 	if !m.spec.Idempotent {
 		a := m.finish(code.OutcomeUnknown)
 		a.TargetFailed, a.CloseConnection = true, true
 		return a
 	}
-	return m.again(c, true)
+	return m.retryOrFinish(c, true)
 }
 
-// again asks for another target, or finishes when the attempts are used up.
-func (m *Machine) again(c code.Code, failed bool) Action {
+// retryOrFinish requests a ticket for another target, or finishes when all attempts are used up.
+func (m *Machine) retryOrFinish(c code.Code, failed bool) Action {
 	m.excluded = append(m.excluded, m.target)
-	if !m.current {
-		m.unrun++
+	if !m.pastNoReturn {
+		m.notExecuted++
 	}
-	m.earlier = m.earlier || m.current
-	m.current = false
+	m.earlierPastNoReturn = m.earlierPastNoReturn || m.pastNoReturn
+	m.pastNoReturn = false
 	var a Action
-	if m.attempt-min(m.unrun, m.spec.MaxNotExecuted) >= m.spec.MaxAttempts {
-		a = m.finish(m.refusal(c))
+	if m.attempt-min(m.notExecuted, m.spec.MaxNotExecuted) >= m.spec.MaxAttempts {
+		a = m.finish(m.finalCode(c))
 	} else {
 		m.state = Waiting
 		a = Action{Kind: RequestTicket}
@@ -280,9 +281,8 @@
 	return a
 }
 
-// refusal turns a "not run" code into one that is true after an attempt that
-// may have run.
-func (m *Machine) refusal(c code.Code) code.Code {
+// finalCode replaces a code that promises "not executed" if an attempt may have been executed.
+func (m *Machine) finalCode(c code.Code) code.Code {
 	if !m.MayHaveExecuted() || c.Lookup().Execution != code.NotExecuted {
 		return c
 	}
@@ -298,7 +298,7 @@
 	}
 }
 
-func (m *Machine) deadline() Action {
+func (m *Machine) deadlinePassed() Action {
 	switch {
 	case !m.MayHaveExecuted() && m.state != Dispatched:
 		return m.finish(code.DeadlineTooShort)
--- a/internal/core/attempt/attempt_test.go
+++ b/internal/core/attempt/attempt_test.go
@@ -12,26 +12,26 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-// book follows one request as the outside world sees it.
-type book struct {
-	m          *attempt.Machine
-	idempotent bool
-	attempt    int
-	dispatched bool
-	written    bool // the present attempt passed the point of no return
-	answering  bool // the present attempt has answered in part
-	mayHaveRun bool // some attempt did and no target took it back
-	forwarded  []int
-	finish     *attempt.Action
-	broken     string
+// observer follows one request as its caller and the targets see it.
+type observer struct {
+	m               *attempt.Machine
+	idempotent      bool
+	attempt         int
+	dispatched      bool
+	written         bool // the current attempt is past its point of no return
+	answering       bool // the current attempt has a partial answer
+	mayHaveExecuted bool // an attempt passed that point and no target took it back
+	forwarded       []int
+	finish          *attempt.Action
+	violation       string
 }
 
-func newBook(idempotent bool) *book {
-	return &book{idempotent: idempotent, m: attempt.New(attempt.Spec{Idempotent: idempotent, MaxAttempts: 4})}
+func newObserver(idempotent bool) *observer {
+	return &observer{idempotent: idempotent, m: attempt.New(attempt.Spec{Idempotent: idempotent, MaxAttempts: 4})}
 }
 
-// step hands an event to the machine and checks its action against the books.
-func (b *book) step(ev attempt.Event) attempt.Action {
+// step passes an event to the machine and checks its action.
+func (b *observer) step(ev attempt.Event) attempt.Action {
 	if w, ok := ev.(attempt.WriteStarted); ok && b.dispatched && w.Attempt == b.attempt {
 		b.written = true
 	}
@@ -41,45 +41,45 @@
 	a := b.m.Step(ev)
 	switch a.Kind {
 	case attempt.Dispatch:
-		if b.mayHaveRun && !b.idempotent {
-			b.broken = "a request that is not idempotent was sent again"
+		if b.mayHaveExecuted && !b.idempotent {
+			b.violation = "a request that is not idempotent was sent again"
 		}
 		if a.Offset != len(b.forwarded) {
-			b.broken = fmt.Sprintf("resumed at %d after %d parts", a.Offset, len(b.forwarded))
+			b.violation = fmt.Sprintf("resumed at %d after %d parts", a.Offset, len(b.forwarded))
 		}
 		b.attempt, b.dispatched, b.written, b.answering = a.Attempt, true, false, false
 	case attempt.Forward:
 		if part, ok := ev.(attempt.Part); ok && part.Echo != b.attempt {
-			b.broken = "a part of another attempt's answer was forwarded"
+			b.violation = "a part of another attempt's answer was forwarded"
 		}
 		if a.Offset != len(b.forwarded) {
-			b.broken = fmt.Sprintf("part %d forwarded after %d parts", a.Offset, len(b.forwarded))
+			b.violation = fmt.Sprintf("part %d forwarded after %d parts", a.Offset, len(b.forwarded))
 		}
 		b.forwarded = append(b.forwarded, a.Offset)
 		b.written, b.answering = true, true
 	case attempt.RequestTicket, attempt.Finish:
-		b.mayHaveRun = b.mayHaveRun || b.written
+		b.mayHaveExecuted = b.mayHaveExecuted || b.written
 		b.dispatched, b.written = false, false
 	}
 	if a.Kind == attempt.Finish {
-		b.finished(a)
+		b.checkFinish(a)
 	}
 	return a
 }
 
-func (b *book) finished(a attempt.Action) {
+func (b *observer) checkFinish(a attempt.Action) {
 	if b.finish != nil {
-		b.broken = "finished twice"
+		b.violation = "finished twice"
 	}
 	b.finish = &a
-	ran := a.Code.Lookup().Execution
-	if a.Code != code.OK && ran == code.NotExecuted && b.mayHaveRun {
-		b.broken = fmt.Sprintf("said %d, not run, for a request that may have run", a.Code)
+	execution := a.Code.Lookup().Execution
+	if a.Code != code.OK && execution == code.NotExecuted && b.mayHaveExecuted {
+		b.violation = fmt.Sprintf("code %d promises not executed for a request that may have been executed", a.Code)
 	}
 }
 
-// steps are the points at which a fault can strike, as the events that lead there.
-var steps = []struct {
+// states are the states of a request in which a fault can occur, as the events that lead there.
+var states = []struct {
 	name   string
 	events func() []attempt.Event
 }{
@@ -102,7 +102,7 @@
 	}},
 }
 
-// faults are what can strike, as events for the attempt that is under way.
+// faults are the possible faults, as events of the current attempt.
 var faults = []struct {
 	name  string
 	event func(n int) attempt.Event
@@ -117,16 +117,16 @@
 	{"duplicate part", func(n int) attempt.Event { return attempt.Part{Attempt: n, Echo: n, Offset: 0} }},
 	{"gap in the parts", func(n int) attempt.Event { return attempt.Part{Attempt: n, Echo: n, Offset: 7} }},
 	{"end before the last part", func(n int) attempt.Event { return attempt.End{Attempt: n, Echo: n, Total: 9} }},
-	{"target turns the request away", func(n int) attempt.Event { return attempt.TargetRefused{Attempt: n} }},
+	{"target refuses the request", func(n int) attempt.Event { return attempt.TargetRefused{Attempt: n} }},
 	{"no ticket", func(int) attempt.Event { return attempt.TicketRefused{Code: code.QueueFull} }},
 	{"router stale", func(int) attempt.Event { return attempt.TicketRefused{Code: code.StaleConfig} }},
 	{"retry budget spent", func(int) attempt.Event { return attempt.TicketRefused{Code: code.RetryBudget} }},
 	{"deadline", func(int) attempt.Event { return attempt.DeadlinePassed{} }},
-	{"caller gone", func(int) attempt.Event { return attempt.CallerDisconnected{} }},
+	{"caller disconnected", func(int) attempt.Event { return attempt.CallerDisconnected{} }},
 }
 
-// answer carries a request to a whole answer of four parts if it is still open.
-func (b *book) answer() {
+// complete leads an unfinished request to a whole answer of four parts.
+func (b *observer) complete() {
 	for b.finish == nil && b.attempt < 4 {
 		if b.m.State() == attempt.Waiting {
 			b.step(attempt.TicketGranted{Target: 9})
@@ -141,21 +141,21 @@
 }
 
 var _ = Describe("fault matrix of a request", func() {
-	// Every fault at every step, for requests that are idempotent and that are not.
-	// Symptoms: an answer cut, crossed or doubled; a notice sent twice; "not run"
-	// for a notice that was sent. The table is made of the two lists, so no cell is
-	// left out unseen.
+	// Every fault in every state, for requests that are idempotent and that are not. Guards against
+	// answers that are cut, crossed or forwarded twice, against a request that is executed twice,
+	// and against "not executed" for a request that was sent. The table is the product of both
+	// lists.
 	for _, idempotent := range []bool{true, false} {
-		for _, step := range steps {
+		for _, state := range states {
 			for _, fault := range faults {
-				It(fmt.Sprintf("%s, %s, idempotent=%t", step.name, fault.name, idempotent), func() {
-					b := newBook(idempotent)
-					for _, ev := range step.events() {
+				It(fmt.Sprintf("%s, %s, idempotent=%t", state.name, fault.name, idempotent), func() {
+					b := newObserver(idempotent)
+					for _, ev := range state.events() {
 						b.step(ev)
 					}
 					b.step(fault.event(b.attempt))
-					b.answer()
-					Expect(b.broken).To(BeEmpty())
+					b.complete()
+					Expect(b.violation).To(BeEmpty())
 					Expect(b.finish).NotTo(BeNil(), "the request has an answer")
 					if b.finish.Code == code.OK {
 						Expect(b.forwarded).To(Equal([]int{0, 1, 2, 3}))
@@ -167,9 +167,9 @@
 })
 
 var _ = Describe("a request", func() {
-	It("keeps its promises in any sequence of events", func() {
+	It("is answered consistently after any sequence of events", func() {
 		testkit.Check("2000", func(t *rapid.T) {
-			b := newBook(rapid.Bool().Draw(t, "idempotent"))
+			b := newObserver(rapid.Bool().Draw(t, "idempotent"))
 			for range 25 {
 				n := b.attempt - rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "age")
 				echo := n - rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "echo")
@@ -182,21 +182,21 @@
 					attempt.DeadlinePassed{}, attempt.CallerDisconnected{},
 				}).Draw(t, "event")
 				if _, ok := ev.(attempt.NotSent); ok && b.written {
-					continue // the adapter sends it only before Wrote
+					continue // the adapter sends NotSent only before WriteStarted
 				}
 				b.step(ev)
-				if b.broken != "" {
-					t.Fatal(b.broken)
+				if b.violation != "" {
+					t.Fatal(b.violation)
 				}
 			}
 		})
 	})
 
-	// Symptom: the caller repeats a recall notice that was sent. Sequence: the
-	// notice is written, the connection breaks, and no other target is free.
-	// Cause: the refusal of the second ticket is passed on as "not run".
-	It("that may have run is never reported as not run", func() {
-		b := newBook(true)
+	// Guards against callers that repeat a request which a target may have executed. The request is
+	// written, the connection fails, no other target is free, and the code of the refused second
+	// ticket promises that no target has executed the request.
+	It("that may have been executed is never reported as not executed", func() {
+		b := newObserver(true)
 		b.step(attempt.TicketGranted{Target: 1})
 		b.step(attempt.WriteStarted{Attempt: 1})
 		b.step(attempt.ConnectionFailed{Attempt: 1})
@@ -204,8 +204,8 @@
 		Expect(a.Code).To(Equal(code.AttemptsSpent))
 	})
 
-	It("that a target turned away may go elsewhere even if it is not idempotent", func() {
-		b := newBook(false)
+	It("that a target refused may go to another target even if it is not idempotent", func() {
+		b := newObserver(false)
 		b.step(attempt.TicketGranted{Target: 1})
 		b.step(attempt.WriteStarted{Attempt: 1})
 		Expect(b.step(attempt.TargetRefused{Attempt: 1}).Kind).To(Equal(attempt.RequestTicket))
--- a/internal/core/attempt/silence.go
+++ b/internal/core/attempt/silence.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// pausedFor is by how much a timer may fire late before the process counts as paused.
-// Timers of a busy small VM are late by tens of milliseconds.
-const pausedFor = 200 * time.Millisecond
+// stallThreshold is how late a timer may fire before the process counts as stalled. Timers of a
+// busy small VM are late by tens of milliseconds.
+const stallThreshold = 200 * time.Millisecond
 
-// SilenceWatch watches for the silence of a target. The zero SilenceWatch has no due time.
-type SilenceWatch struct{ due time.Time }
+// SilenceWatch detects that a target is silent. The zero SilenceWatch has no deadline.
+type SilenceWatch struct{ deadline time.Time }
 
-// SetDeadline sets when the target counts as silent.
-func (w *SilenceWatch) SetDeadline(due time.Time) { w.due = due }
+// SetDeadline sets the time from which the target counts as silent.
+func (w *SilenceWatch) SetDeadline(deadline time.Time) { w.deadline = deadline }
 
-// IsSilent reports whether the target was silent, when the timer fires. A timer that is
-// late shows that this process was paused: the answers have arrived meanwhile and are
-// not read yet. Believed, it would end every attempt under way and suspend all targets.
+// IsSilent reports, when the timer fires, whether the target is silent. A timer that fires late
+// shows that this process was stalled: answers have arrived meanwhile and are not read yet. If the
+// timer counted, every open attempt would fail and all targets would be suspended.
 func (w *SilenceWatch) IsSilent(now time.Time) bool {
-	return !w.due.IsZero() && !now.Before(w.due) && now.Sub(w.due) < pausedFor
+	return !w.deadline.IsZero() && !now.Before(w.deadline) && now.Sub(w.deadline) < stallThreshold
 }
--- a/internal/core/attempt/silence_test.go
+++ b/internal/core/attempt/silence_test.go
@@ -9,11 +9,11 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/attempt"
 )
 
-var _ = Describe("the watch for silence", func() {
-	// Symptom: after a freeze a router sends every stream again and suspends all targets.
-	// Sequence: the process stands still for four seconds; when it wakes all its timers
-	// fire before the answers that wait are read. Cause: the timers were believed.
-	It("does not take the pause of its own process for a target's silence", func() {
+var _ = Describe("the watch for silent targets", func() {
+	// Guards against a router that sends every stream again and suspends all targets after its
+	// process was stalled for seconds: all its timers fire before it reads the answers that have
+	// arrived.
+	It("does not take a stall of its own process for a target's silence", func() {
 		start := time.Unix(1000, 0)
 		var w attempt.SilenceWatch
 		Expect(w.IsSilent(start)).To(BeFalse())
