--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -2,142 +2,144 @@
 
 import "time"
 
-// Window limits the repeats of one router to its part of a budget that the whole
-// fleet shares. The budget holds in any span of time: ratio x requests + slack, where the
-// requests are those of that span, of the one before it, or of the one that begins half
-// a span before it, whichever has most. Each router spends the ratio of its own requests
-// and an equal part of the slack, so that the parts add up to the budget without any
-// message. It is not safe for concurrent use.
+// Window limits the retries of one router to its part of a budget that the whole fleet shares. The
+// budget must hold in any span of time: retries <= ratio x requests + slack. The requests are those
+// of that span, of the span before it, or of the span that begins half a span earlier, whichever
+// has most. Each router uses the ratio of its own requests and an equal part of the slack. The
+// parts add up to the budget without any messages between routers. It is not safe for concurrent
+// use.
 //
-// The largest of a fleet's three sums is less than the sum of each router's largest: callers
-// move from routers that stop to others. So each router goes by the mean of the span
-// and the one before it, which adds up to no more than the larger of the two sums. A load
-// that stays the same has the whole ratio, a router that has just started half of it.
+// Callers move from routers that stop to other routers, so the sum of each router's largest span
+// can exceed the fleet's largest span. So each router uses the mean of the current span and the one
+// before it; the sum of the means is at most the larger of the fleet's two sums. A constant load
+// has the whole ratio, a router that has just started half of it.
 //
-// The parts by requests add up over the processes that run on a VM one after the other, as each counts its own.
-// Parts of the slack don't: see SlackAfter.
+// The parts of the ratio also add up over successive processes on one VM, as each counts its own
+// requests. The parts of the slack do not: see SlackDelay.
 type Window struct {
-	start   time.Time // slots count from here: the time of day may jump
-	slot    time.Duration
+	start   time.Time // slots count from here by the monotonic clock, as the wall clock may jump
+	width   time.Duration
 	buckets [historyBuckets]bucket
 }
 
 type bucket struct {
 	slot              int64
-	requests, repeats int
+	requests, retries int
 }
 
 const (
-	// spanBuckets is the resolution. Requests of buckets that lie in a span in part
-	// don't count, repeats of such buckets do: one in twenty of the ratio is left unused.
+	// spanBuckets is the number of buckets of a span. Of buckets that lie only partly in a span,
+	// the requests don't count but the retries do. This leaves one in twenty of the ratio unused.
 	spanBuckets = 20
-	// historyBuckets cover the span that ends now and the one before it.
+	// historyBuckets is the number of buckets of the span that ends now and the one before it.
 	historyBuckets = 2*spanBuckets + 1
 )
 
-// Limits are a fleet's budget and this router's part of it.
+// Limits are the fleet's budget and the number of routers that share it.
 type Limits struct {
 	Ratio   float64
 	Slack   float64
-	Routers int // that share the slack, as far as this one knows; 0 while none of it may be used
+	Routers int // routers known to share the slack; 0 while this one must not use any of it
 }
 
-// leastRouters is how many routers share the slack at least. One that has just started
-// hears nobody yet, and many may start at once; each taking all of it would pass the
-// budget many times over.
-const leastRouters = 8
+// minRouters is the smallest number of routers among which the slack is divided. A router that has
+// just started knows no other router yet, and many may start at once. If each used the whole slack,
+// the fleet would exceed the budget many times over.
+const minRouters = 8
 
-// settle is how long routers take to learn of one that has started, and it of them.
-const settle = 2 * time.Second
+// discoveryDelay is the time until routers know of a router that has started, and it of them.
+const discoveryDelay = 2 * time.Second
 
-// SlackDelay returns for how long a process that has started uses none of the slack. The one before it on its VM, or the VM in whose place it
-// came, may have used its part a moment ago, and no memory of that is left: with a part for each start, targets would get many times
-// the budget while routers start again and again.
-func SlackDelay(span time.Duration) time.Duration { return span + settle }
+// SlackDelay returns how long a process uses no slack after its start. An earlier process on its
+// VM, or on the VM that this one replaces, may have used its part a moment ago, and this process
+// can't know. With a part for each start, targets would get many times the budget while routers
+// restart again and again.
+func SlackDelay(span time.Duration) time.Duration { return span + discoveryDelay }
 
-// slackHeadroom is the part of the slack that is used: a repeat may reach its target a
-// moment after it was counted, in a span that the router has no longer in view.
-const slackHeadroom = 0.95
+// usableSlack is the share of the slack that is used. A retry may reach its target a moment after
+// it was counted, in a span that the router does not check any more.
+const usableSlack = 0.95
 
-// slackPart returns this router's part of the slack.
-func (l Limits) slackPart() float64 {
+// slackShare returns this router's part of the slack.
+func (l Limits) slackShare() float64 {
 	if l.Routers == 0 {
 		return 0
 	}
-	return slackHeadroom * l.Slack / float64(max(l.Routers, leastRouters))
+	return usableSlack * l.Slack / float64(max(l.Routers, minRouters))
 }
 
-// NewWindow returns an empty Window of a span.
+// NewWindow returns an empty Window for spans of the given length.
 func NewWindow(now time.Time, span time.Duration) *Window {
-	return &Window{start: now, slot: span / spanBuckets}
+	return &Window{start: now, width: span / spanBuckets}
 }
 
-// RecordRequest counts the first send of a request.
-func (w *Window) RecordRequest(now time.Time) { w.at(now).requests++ }
+// RecordRequest counts the first attempt of a request.
+func (w *Window) RecordRequest(now time.Time) { w.bucketAt(now).requests++ }
 
-// Headroom is what is left of this router's part of the budget.
+// Headroom is what this router has used of its budget in one span, and what the budget allows.
 type Headroom struct {
-	Retries  int     // that lie in the span with the least room
-	Requests float64 // that count for it
-	Slack    float64 // this router's part
-	Allowed  float64
+	Retries  int     // retries in the span
+	Requests float64 // requests that count for the span
+	Slack    float64 // this router's part of the slack
+	Allowed  float64 // retries that the budget allows in the span
 }
 
-// ok reports whether one more repeat has room.
-func (r Headroom) ok() bool { return float64(r.Retries+1) <= r.Allowed }
+// allowsRetry reports whether the budget allows one more retry.
+func (h Headroom) allowsRetry() bool { return float64(h.Retries+1) <= h.Allowed }
 
-// TryRetry counts a further send if the budget has room for it in every span that it will
-// lie in, whatever comes.
+// TryRetry counts a retry and returns true if the budget allows it in every span that will contain
+// the retry, whatever requests follow.
 func (w *Window) TryRetry(now time.Time, l Limits) bool {
-	if !w.TightestHeadroom(now, l).ok() {
+	if !w.TightestHeadroom(now, l).allowsRetry() {
 		return false
 	}
-	w.at(now).repeats++
+	w.bucketAt(now).retries++
 	return true
 }
 
-// TightestHeadroom returns what is left in the span with the least room of those that a repeat would lie in.
+// TightestHeadroom returns the headroom of the span that has the least, of all spans that would
+// contain a retry at this time.
 func (w *Window) TightestHeadroom(now time.Time, l Limits) Headroom {
-	least := Headroom{Slack: l.slackPart()}
-	for ends := range int64(spanBuckets + 1) {
-		requests, repeats := w.spanEnding(now, ends)
-		r := Headroom{Retries: repeats, Requests: requests, Slack: least.Slack, Allowed: l.Ratio*requests + least.Slack}
-		if ends == 0 || r.Allowed-float64(r.Retries) < least.Allowed-float64(least.Retries) {
-			least = r
+	tightest := Headroom{Slack: l.slackShare()}
+	for slotsAhead := range int64(spanBuckets + 1) {
+		requests, retries := w.spanEnding(now, slotsAhead)
+		h := Headroom{Retries: retries, Requests: requests, Slack: tightest.Slack, Allowed: l.Ratio*requests + tightest.Slack}
+		if slotsAhead == 0 || h.Allowed-float64(h.Retries) < tightest.Allowed-float64(tightest.Retries) {
+			tightest = h
 		}
 	}
-	return least
+	return tightest
 }
 
-// spanEnding returns what is known of the span that ends a number of slots from now: the
-// mean of its requests and those of the span before it, and its repeats.
-func (w *Window) spanEnding(now time.Time, slots int64) (requests float64, repeats int) {
-	current := w.number(now)
-	end := current + slots
+// spanEnding returns the requests and retries that are known of the span that ends slotsAhead slots
+// from now. The requests are the mean of that span and the one before it.
+func (w *Window) spanEnding(now time.Time, slotsAhead int64) (requests float64, retries int) {
+	current := w.slotAt(now)
+	end := current + slotsAhead
 	for _, b := range w.buckets {
-		// The oldest and the newest bucket lie in the span in part; of the newest one all that
-		// is known does if it is the present one.
+		// The oldest and the newest bucket lie only partly in the span. The newest one counts fully
+		// if it is the current one, as all that is known of it lies in the span.
 		age := end - b.slot
 		switch {
 		case b.slot > current || b.slot <= current-historyBuckets:
 		case age < spanBuckets:
 			requests += float64(b.requests)
-			repeats += b.repeats
+			retries += b.retries
 		case age == spanBuckets:
-			repeats += b.repeats
+			retries += b.retries
 		case age < 2*spanBuckets:
 			requests += float64(b.requests)
 		}
 	}
-	return requests / 2, repeats
+	return requests / 2, retries
 }
 
-// number counts slots from one history before the start, so that an empty bucket never
-// looks like a present one.
-func (w *Window) number(now time.Time) int64 { return int64(now.Sub(w.start)/w.slot) + historyBuckets }
+// slotAt returns the number of the slot at a time. The first slot has the number historyBuckets, so
+// that the zero bucket never counts as a recent one.
+func (w *Window) slotAt(now time.Time) int64 { return int64(now.Sub(w.start)/w.width) + historyBuckets }
 
-func (w *Window) at(now time.Time) *bucket {
-	slot := w.number(now)
+func (w *Window) bucketAt(now time.Time) *bucket {
+	slot := w.slotAt(now)
 	b := &w.buckets[slot%int64(len(w.buckets))]
 	if b.slot != slot {
 		*b = bucket{slot: slot}
--- a/internal/core/retry/window_test.go
+++ b/internal/core/retry/window_test.go
@@ -11,15 +11,15 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-// count is what came and was repeated in a step.
-type count struct{ requests, repeats int }
+// count is the number of requests and retries in a step.
+type count struct{ requests, retries int }
 
-// expectKept checks each span of some steps against a ratio of 0.2 and a slack of 58.
-func expectKept(t *rapid.T, steps []count, perSpan int) {
+// expectWithinBudget checks every span of the steps against a ratio of 0.2 and a slack of 58.
+func expectWithinBudget(t *rapid.T, steps []count, perSpan int) {
 	sum := func(from, to int) (c count) {
-		for _, one := range steps[max(from, 0):max(min(to, len(steps)), 0)] {
-			c.requests += one.requests
-			c.repeats += one.repeats
+		for _, step := range steps[max(from, 0):max(min(to, len(steps)), 0)] {
+			c.requests += step.requests
+			c.retries += step.retries
 		}
 		return c
 	}
@@ -27,17 +27,16 @@
 		in := sum(from, from+perSpan)
 		half, before := sum(from-perSpan/2, from+perSpan/2), sum(from-perSpan, from)
 		most := max(in.requests, half.requests, before.requests)
-		if allowed := 0.2*float64(most) + 58; float64(in.repeats) > allowed {
-			t.Fatalf("%d repeats in the span from step %d, allowed %.1f", in.repeats, from, allowed)
+		if allowed := 0.2*float64(most) + 58; float64(in.retries) > allowed {
+			t.Fatalf("%d retries in the span from step %d, allowed %.1f", in.retries, from, allowed)
 		}
 	}
 }
 
-var _ = Describe("the fleet's budget of repeats", func() {
-	// Symptom: an outage of targets multiplies the load on those that are left.
-	// Sequence: many routers repeat at once, each within what it takes for its share.
-	// Cause would be shares that add up to more than the budget.
-	It("is kept by the sum of all routers in every window", func() {
+var _ = Describe("the fleet's retry budget", func() {
+	// Guards against an outage of some targets that multiplies the load on the others: many routers
+	// retry at once, each within its own part, and the parts add up to more than the budget.
+	It("is kept by the sum of all routers in every span", func() {
 		testkit.Check("200", func(t *rapid.T) {
 			const span, step = 10 * time.Second, 250 * time.Millisecond
 			start := time.Unix(1000, 0)
@@ -52,7 +51,7 @@
 			for i := range rapid.IntRange(20, 160).Draw(t, "steps") {
 				now := start.Add(time.Duration(i) * step)
 				var c count
-				// Callers move between routers; those that serve nobody repeat all the same.
+				// Callers move between routers. Routers without callers retry all the same.
 				serving := rapid.IntRange(1, routers).Draw(t, "serving")
 				if i%20 == 0 {
 					load = rapid.SampledFrom([]int{0, 0, 10, 100}).Draw(t, "load")
@@ -63,37 +62,38 @@
 				}
 				for j := range rapid.IntRange(0, 50).Draw(t, "wanted") {
 					if windows[j%routers].TryRetry(now, limits) {
-						c.repeats++
+						c.retries++
 					}
 				}
 				steps = append(steps, c)
 			}
-			expectKept(t, steps, int(span/step))
+			expectWithinBudget(t, steps, int(span/step))
 		})
 	})
 
-	// Guards against more repeats than the budget allows while routers start again and again, or come in the place of others.
-	It("is kept by the sum of all processes, one after the other", func() {
+	// Guards against more retries than the budget allows while routers restart again and again, or
+	// are replaced by others.
+	It("is kept by the sum of all processes that run one after the other", func() {
 		testkit.Check("200", func(t *rapid.T) {
 			const span, step = 10 * time.Second, 250 * time.Millisecond
 			start := time.Unix(1000, 0)
 			routers := rapid.SampledFrom([]int{1, 8, 62}).Draw(t, "routers")
 			type process struct {
-				window *retry.Window
-				began  time.Time
-				first  bool
+				window    *retry.Window
+				startedAt time.Time
+				first     bool
 			}
 			processes := make([]process, routers)
 			for i := range processes {
-				processes[i] = process{window: retry.NewWindow(start, span), began: start, first: true}
+				processes[i] = process{window: retry.NewWindow(start, span), startedAt: start, first: true}
 			}
 			var steps []count
 			load := 0
 			for i := range rapid.IntRange(20, 200).Draw(t, "steps") {
 				now := start.Add(time.Duration(i) * step)
 				if i%4 == 0 {
-					for range rapid.SampledFrom([]int{0, 0, 0, 1, routers / 2, routers}).Draw(t, "ended") {
-						processes[rapid.IntRange(0, routers-1).Draw(t, "which")] = process{window: retry.NewWindow(now, span), began: now}
+					for range rapid.SampledFrom([]int{0, 0, 0, 1, routers / 2, routers}).Draw(t, "restarted") {
+						processes[rapid.IntRange(0, routers-1).Draw(t, "process")] = process{window: retry.NewWindow(now, span), startedAt: now}
 					}
 				}
 				if i%20 == 0 {
@@ -107,22 +107,22 @@
 				for j := range rapid.SampledFrom([]int{0, 0, 20, 200}).Draw(t, "wanted") {
 					p := processes[j%routers]
 					limits := retry.Limits{Ratio: 0.2, Slack: 58}
-					if p.first || now.Sub(p.began) >= retry.SlackDelay(span) {
+					if p.first || now.Sub(p.startedAt) >= retry.SlackDelay(span) {
 						limits.Routers = routers
 					}
 					if p.window.TryRetry(now, limits) {
-						c.repeats++
+						c.retries++
 					}
 				}
 				steps = append(steps, c)
 			}
-			expectKept(t, steps, int(span/step))
+			expectWithinBudget(t, steps, int(span/step))
 		})
 	})
 
-	// Symptom: requests that one of three targets turns away are refused, though the other two
-	// have room. Sequence: the load is steady, and a seventh of the requests needs a second
-	// send. Cause: half of the ratio was kept back for a load that doubles within a span.
+	// Guards against refused requests although the load is steady and targets have room. One of
+	// three targets refuses requests, so a seventh of them needs a second attempt. This exceeds the
+	// budget if half of the ratio is reserved for a load that doubles within a span.
 	It("gives a steady load nearly the whole ratio", func() {
 		start := time.Unix(1000, 0)
 		w := retry.NewWindow(start, 10*time.Second)
@@ -139,22 +139,22 @@
 		Expect(allowed).To(BeNumerically("<=", 400))
 	})
 
-	// Symptom: a service gets many times the repeats that it may. Sequence: all routers
-	// restart at once, and targets fail. Cause: each took itself for the only one.
-	It("is kept by routers that have started at once and know of nobody", func() {
+	// Guards against many times the allowed retries after all routers have restarted at once and
+	// targets fail: each router takes itself for the only one.
+	It("is kept by routers that have started at once and know of no other router", func() {
 		start := time.Unix(1000, 0)
 		l := retry.Limits{Ratio: 0.2, Slack: 58, Routers: 1}
-		repeats := 0
+		retries := 0
 		for range 8 {
 			w := retry.NewWindow(start, 10*time.Second)
 			for w.TryRetry(start, l) {
-				repeats++
+				retries++
 			}
 		}
-		Expect(repeats).To(BeNumerically("<=", 58))
+		Expect(retries).To(BeNumerically("<=", 58))
 	})
 
-	It("has room again after the window", func() {
+	It("allows retries again after the span", func() {
 		start := time.Unix(1000, 0)
 		w := retry.NewWindow(start, 10*time.Second)
 		l := retry.Limits{Ratio: 0.2, Slack: 16, Routers: 9}
