--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing derives the immutable routing table from the configuration.
-// The control goroutine builds a Table; traffic goroutines read it lock-free.
+// Package routing derives the immutable routing table from the configuration. The control goroutine
+// builds a Table, and traffic goroutines read it without locks.
 package routing
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/resource"
 )
 
-// Target is one back end of a pool.
+// Target is a back end of a pool.
 type Target struct {
 	UID        uint64
 	Name       string
 	Address    string
 	DataCentre string
-	// Leaving targets receive no new work.
+	// Leaving targets get no new requests.
 	Leaving bool
 	seed    uint64
 }
 
-// Pool is one routing pool with its targets in UID order.
+// Pool is a pool with its targets in the order of their UIDs.
 type Pool struct {
 	Name    string
 	Spec    resource.PoolSpec
@@ -31,52 +31,50 @@
 	byUID   map[uint64]int32
 }
 
-// Team is one team with defaults filled in.
+// Team is a team with defaults filled in.
 type Team struct {
 	UID  uint64
 	Name string
 	Spec resource.TeamSpec
 }
 
-// Table is an immutable view of one configuration revision. It is safe for
-// concurrent use.
+// Table is an immutable view of one configuration revision. It is safe for concurrent use.
 type Table struct {
 	Revision uint64
 	pools    map[string]*Pool
 	byModel  map[string]*Pool
 	teams    map[string]Team
-	// byTeamUID finds the team that a peer names.
+	// byTeamUID maps team UIDs, which peers send, to names.
 	byTeamUID map[uint64]string
 }
 
-// Build derives a Table from a whole configuration. Resources have been validated
-// before; one whose spec does not decode is left out.
+// Build derives a Table from a whole configuration. Resources must have been validated; a resource
+// whose spec can't be decoded is left out.
 func Build(revision uint64, resources []resource.Resource) *Table {
-	empty := &Table{
+	emptyTable := &Table{
 		pools:     make(map[string]*Pool),
 		byModel:   make(map[string]*Pool),
 		teams:     make(map[string]Team),
 		byTeamUID: make(map[uint64]string),
 	}
-	return empty.Apply(revision, resources)
+	return emptyTable.Apply(revision, resources)
 }
 
-// Apply returns the table that follows from t and changed resources; t stays as
-// it is. What has not changed is shared, and only what has is decoded: with
-// 31,000 teams decoding everything for each change would take most of the
-// processor time that control may use.
+// Apply returns the table that results from t and changed resources. t does not change. Unchanged
+// pools and teams are shared with t, and only changed resources are decoded: with 31,000 teams,
+// decoding everything for each change would take most of the control goroutine's CPU time.
 func (t *Table) Apply(revision uint64, changed []resource.Resource) *Table {
 	next := *t
 	next.Revision = revision
-	touched := make(map[resource.Kind]bool)
+	changedKinds := make(map[resource.Kind]bool)
 	for _, r := range changed {
-		touched[r.Kind] = true
+		changedKinds[r.Kind] = true
 	}
-	if touched[resource.KindTeam] {
+	if changedKinds[resource.KindTeam] {
 		next.teams, next.byTeamUID = maps.Clone(t.teams), maps.Clone(t.byTeamUID)
 		next.applyTeams(changed)
 	}
-	if touched[resource.KindPool] || touched[resource.KindTarget] {
+	if changedKinds[resource.KindPool] || changedKinds[resource.KindTarget] {
 		next.pools = maps.Clone(t.pools)
 		next.applyPools(changed)
 	}
@@ -102,23 +100,23 @@
 	}
 }
 
-// applyPools copies the pools that changes touch before it changes them, since
-// traffic still reads the old ones.
+// applyPools applies changes of pools and targets. It copies each pool before it changes it, since
+// traffic still reads the old one.
 func (t *Table) applyPools(changed []resource.Resource) {
-	own := make(map[string]*Pool)
+	copies := make(map[string]*Pool)
 	for _, r := range changed {
 		if r.Kind == resource.KindPool {
-			t.putPool(r, own)
+			t.putPool(r, copies)
 		}
 	}
-	t.dropTargets(changed, own)
+	t.removeTargets(changed, copies)
 	for _, r := range changed {
 		if r.Kind == resource.KindTarget {
-			t.putTarget(r, own)
+			t.putTarget(r, copies)
 		}
 	}
-	for _, p := range own {
-		p.index()
+	for _, p := range copies {
+		p.buildIndex()
 	}
 	t.byModel = make(map[string]*Pool)
 	for _, p := range t.pools {
@@ -128,23 +126,23 @@
 	}
 }
 
-// writable returns a pool that this change may alter, nil if there is none.
-func (t *Table) writable(name string, own map[string]*Pool) *Pool {
+// writablePool returns this change's own copy of a pool, nil if there is no such pool.
+func (t *Table) writablePool(name string, copies map[string]*Pool) *Pool {
 	old, ok := t.pools[name]
-	if !ok || own[name] != nil {
-		return own[name]
+	if !ok || copies[name] != nil {
+		return copies[name]
 	}
 	p := &Pool{Name: old.Name, Spec: old.Spec, Targets: slices.Clone(old.Targets)}
-	own[name], t.pools[name] = p, p
+	copies[name], t.pools[name] = p, p
 	return p
 }
 
-func (t *Table) putPool(r resource.Resource, own map[string]*Pool) {
+func (t *Table) putPool(r resource.Resource, copies map[string]*Pool) {
 	name := r.Metadata.Name
 	var spec resource.PoolSpec
 	if r.Deleted || resource.Decode(r.Spec, &spec) != nil {
 		delete(t.pools, name)
-		delete(own, name)
+		delete(copies, name)
 		return
 	}
 	if spec.BoundMultiple == 0 {
@@ -153,20 +151,20 @@
 	if spec.Model == "" {
 		spec.Model = name
 	}
-	p := t.writable(name, own)
+	p := t.writablePool(name, copies)
 	if p == nil {
 		p = &Pool{Name: name}
-		own[name], t.pools[name] = p, p
+		copies[name], t.pools[name] = p, p
 	}
 	p.Spec = spec
 }
 
-func (t *Table) putTarget(r resource.Resource, own map[string]*Pool) {
+func (t *Table) putTarget(r resource.Resource, copies map[string]*Pool) {
 	var spec resource.TargetSpec
 	if resource.Decode(r.Spec, &spec) != nil {
 		return
 	}
-	p := t.writable(spec.Pool, own)
+	p := t.writablePool(spec.Pool, copies)
 	if r.Deleted || p == nil {
 		return
 	}
@@ -180,10 +178,10 @@
 	})
 }
 
-// dropTargets removes changed targets from the pools that they are in, which need
-// not be those that their new specs name. It looks through the pools once for all
-// of them: a whole configuration changes thousands.
-func (t *Table) dropTargets(changed []resource.Resource, own map[string]*Pool) {
+// removeTargets removes changed targets from their current pools, which may differ from the pools
+// in their new specs. It searches all pools once for all targets, as a whole configuration changes
+// thousands of them.
+func (t *Table) removeTargets(changed []resource.Resource, copies map[string]*Pool) {
 	uids := make(map[uint64]bool, len(changed))
 	for _, r := range changed {
 		if r.Kind == resource.KindTarget {
@@ -193,13 +191,13 @@
 	isChanged := func(x Target) bool { return uids[x.UID] }
 	for name, old := range t.pools {
 		if slices.ContainsFunc(old.Targets, isChanged) {
-			p := t.writable(name, own)
+			p := t.writablePool(name, copies)
 			p.Targets = slices.DeleteFunc(p.Targets, isChanged)
 		}
 	}
 }
 
-func (p *Pool) index() {
+func (p *Pool) buildIndex() {
 	slices.SortFunc(p.Targets, func(a, b Target) int { return cmp.Compare(a.UID, b.UID) })
 	p.byUID = make(map[uint64]int32, len(p.Targets))
 	for i := range p.Targets {
@@ -207,13 +205,13 @@
 	}
 }
 
-// Pool returns the pool with a name.
+// Pool returns a pool by its name.
 func (t *Table) Pool(name string) (*Pool, bool) {
 	p, ok := t.pools[name]
 	return p, ok
 }
 
-// PoolNames returns the pool names in order.
+// PoolNames returns the names of all pools in alphabetical order.
 func (t *Table) PoolNames() []string {
 	names := make([]string, 0, len(t.pools))
 	for name := range t.pools {
@@ -223,20 +221,20 @@
 	return names
 }
 
-// PoolForModel returns the pool that serves a model name.
+// PoolForModel returns the pool that serves a model.
 func (t *Table) PoolForModel(model string) (*Pool, bool) {
 	p, ok := t.byModel[model]
 	return p, ok
 }
 
-// Team returns the team with a name.
+// Team returns a team by its name.
 func (t *Table) Team(name string) (Team, bool) {
 	team, ok := t.teams[name]
 	return team, ok
 }
 
-// TeamLimits returns a team's weight and fleet-wide limit. A team that is not
-// known yet, or no longer, has weight 1 and no limit.
+// TeamLimits returns a team's weight and its fleet-wide limit of open requests, 0 for no limit. A
+// team that is not in the table has weight 1 and no limit.
 func (t *Table) TeamLimits(uid uint64) (weight, maxOutstanding int) {
 	team, ok := t.teams[t.byTeamUID[uid]]
 	if !ok {
@@ -248,14 +246,14 @@
 // TeamCount returns the number of teams.
 func (t *Table) TeamCount() int { return len(t.teams) }
 
-// TargetIndex returns the position of a target in p.Targets.
+// TargetIndex returns the index of a target in p.Targets.
 func (p *Pool) TargetIndex(uid uint64) (int32, bool) {
 	i, ok := p.byUID[uid]
 	return i, ok
 }
 
-// RankTargets fills top with the best limit targets for a chat, leaving ones left out.
-// It allocates nothing.
+// RankTargets fills top with the best targets for a chat, at most limit and without leaving
+// targets. It does not allocate.
 func (p *Pool) RankTargets(chat uint64, top *rendezvous.Top, limit int) {
 	top.Reset()
 	for i := range p.Targets {
--- a/internal/core/routing/routing_test.go
+++ b/internal/core/routing/routing_test.go
@@ -15,7 +15,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-// randomChange returns a change of one or two resources among a few names.
+// randomChange returns a change of one or two resources with a few possible names.
 func randomChange(t *rapid.T, revision uint64) resource.Change {
 	change := resource.Change{Revision: revision}
 	for range rapid.IntRange(1, 2).Draw(t, "resources") {
@@ -35,8 +35,8 @@
 	return change
 }
 
-// shape is what traffic sees of a table.
-func shape(t *routing.Table) map[string]any {
+// snapshot returns all that traffic reads from a table.
+func snapshot(t *routing.Table) map[string]any {
 	out := make(map[string]any)
 	for _, name := range t.PoolNames() {
 		p, _ := t.Pool(name)
@@ -56,33 +56,33 @@
 }
 
 var _ = Describe("the routing table", func() {
-	// Symptom: routers with the same revision route differently. Sequence: one got
-	// every change, another started from the whole configuration. Cause: the two ways
-	// to a table do not lead to the same one, or a new table alters an old one.
-	It("is the same by changes as from the whole, and old tables stay as they are", func() {
+	// Guards against routers that route differently at the same revision. One router applied every
+	// change, another started from the whole configuration; both must have the same table, and a
+	// new table must not alter an old one.
+	It("is the same after single changes as from the whole configuration, and old tables stay unchanged", func() {
 		testkit.Check("2000", func(t *rapid.T) {
 			conf := config.New()
 			table := routing.Build(0, nil)
 			for revision := uint64(1); revision <= 12; revision++ {
 				change := randomChange(t, revision)
-				change.Resources = slicesUnique(change.Resources)
-				old, before := table, shape(table)
-				// A target whose pool does not exist is refused before it gets here.
-				if !referencesHold(conf, change) || conf.Apply(change) != config.Applied {
+				change.Resources = uniqueResources(change.Resources)
+				old, before := table, snapshot(table)
+				// A target whose pool does not exist is refused before it reaches the table.
+				if !hasValidReferences(conf, change) || conf.Apply(change) != config.Applied {
 					return
 				}
 				table = table.Apply(revision, change.Resources)
-				if got, want := shape(table), shape(routing.Build(revision, conf.Resources())); !reflect.DeepEqual(got, want) {
+				if got, want := snapshot(table), snapshot(routing.Build(revision, conf.Resources())); !reflect.DeepEqual(got, want) {
 					t.Fatalf("revision %d:\n%v\nwant\n%v", revision, got, want)
 				}
-				if !reflect.DeepEqual(shape(old), before) {
+				if !reflect.DeepEqual(snapshot(old), before) {
 					t.Fatal("an old table changed")
 				}
 			}
 		})
 	})
 
-	It("moves only a leaving target's chats", func() {
+	It("moves only the chats of a leaving target", func() {
 		resources := []resource.Resource{{Kind: resource.KindPool, Metadata: resource.Metadata{Name: "p", UID: 1}, Spec: []byte(`{"protocol":"model"}`)}}
 		for i := range 8 {
 			resources = append(resources, resource.Resource{
@@ -105,14 +105,14 @@
 	})
 })
 
-func slicesUnique(in []resource.Resource) []resource.Resource {
+func uniqueResources(in []resource.Resource) []resource.Resource {
 	if len(in) == 2 && in[0].Key() == in[1].Key() {
 		return in[:1]
 	}
 	return in
 }
 
-func referencesHold(conf *config.State, change resource.Change) bool {
+func hasValidReferences(conf *config.State, change resource.Change) bool {
 	for _, r := range change.Resources {
 		err := resource.CheckReferences(r, func(k resource.Key) bool {
 			for _, other := range change.Resources {
