--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds an operator's desired state of the plain HTTP interface and
-// the immutable table that traffic matches requests against.
+// Package route holds the desired state of an operator's plain HTTP services, and the immutable
+// table that requests are matched against.
 package route
 
 import (
@@ -11,27 +11,27 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/rendezvous"
 )
 
-// Kind says what may be repeated.
+// Kind says whether a request may be executed more than once.
 type Kind int
 
-// The kinds. The zero value is the strictest.
+// The kinds of request. The zero value is the strictest.
 const (
-	// Unsafe requests run at most once.
+	// Unsafe requests are executed at most once.
 	Unsafe Kind = iota
-	// Safe requests are idempotent: they may run again after any failure.
+	// Safe requests are idempotent: they may be executed again after any failure.
 	Safe
-	// Stream requests are answered by a stream of events. They run at most once
-	// unless the route is Resumable.
+	// Stream requests are answered by a stream of events. They are executed at most once unless the
+	// route is Resumable.
 	Stream
 )
 
-// WeightedPool is one pool's part of a route's traffic.
+// WeightedPool is a pool that gets a part of a route's requests.
 type WeightedPool struct {
 	Pool   string
 	Weight int // relative to the sum of the route's weights
 }
 
-// Route sends the requests of one host and path prefix to pools.
+// Route maps the requests of one host and path prefix to pools.
 type Route struct {
 	Name   string
 	Host   string
@@ -39,22 +39,22 @@
 	Kind   Kind
 	Split  []WeightedPool
 
-	// Timeout is the longest a request may be kept waiting; 0 means no limit.
+	// Timeout is the longest time that a request may take; 0 means no limit by the route.
 	Timeout time.Duration
-	// Objective is the time to the answer, of a stream to its first event.
+	// Objective is the desired time to the answer, or to the first event of a stream.
 	Objective time.Duration
-	// GapObjective is the longest pause between events of a stream.
+	// GapObjective is the longest desired gap between two events of a stream.
 	GapObjective time.Duration
-	// MaxAttempts is how many targets one request may be sent to; at least 1.
+	// MaxAttempts is the largest number of targets that one request is sent to; at least 1.
 	MaxAttempts int
-	// Priority is the request's rank; 0 is the most urgent.
+	// Priority is the rank of the route's requests; 0 is the most urgent.
 	Priority int
 
-	Public    bool // needs no key
-	Resumable bool // streams may go on at another target
+	Public    bool // requests need no key
+	Resumable bool // a stream may be resumed at another target
 }
 
-// AllowsRetry reports whether a request of the route may run more than once.
+// AllowsRetry reports whether a request of the route may be executed more than once.
 func (r *Route) AllowsRetry() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
@@ -62,55 +62,56 @@
 // Pool is a service that requests are sent to.
 type Pool struct {
 	Name string
-	// MaxConnections is what one target accepts from all routers together; 0 if unknown.
+	// MaxConnections is the number of connections that one target accepts from all routers
+	// together; 0 if unknown.
 	MaxConnections int
-	// ColdRequestsPerSecond is how many requests a second a target bears that is cold, 0 if that is not bounded, and ColdFor how long one
-	// is cold that has started.
+	// ColdRequestsPerSecond is the rate of requests that a cold target can serve, 0 if not limited.
+	// WarmUpTime is how long a target is cold after its start.
 	ColdRequestsPerSecond float64
 	WarmUpTime            time.Duration
 }
 
-// Team is whoever a request is charged to.
+// Team is the customer that a request is charged to.
 type Team struct {
 	Name string
 	Keys []string
-	// Priority takes precedence over the route's if set.
+	// Priority replaces the route's priority if it is set.
 	Priority *int
 }
 
-// DesiredState is one whole desired state.
+// DesiredState is one version of the whole desired state.
 type DesiredState struct {
 	Version uint64
 	Routes  []Route
 	Pools   []Pool
 	Teams   []Team
-	// MaxBodyBytes is the largest request body; 0 means unset.
+	// MaxBodyBytes is the largest size of a request body; 0 means unset.
 	MaxBodyBytes int64
 }
 
-// Table is an immutable view of one State. It is safe for concurrent use.
+// Table is an immutable view of one DesiredState. It is safe for concurrent use.
 type Table struct {
 	Version      uint64
 	MaxBodyBytes int64
-	byHost       map[string][]*Route // longest prefix first
+	byHost       map[string][]*Route // routes of each host, the longest prefix first
 	pools        map[string]Pool
-	named        map[string]bool // pools that the state defines or a route sends to
+	referenced   map[string]bool // pools that the state defines or a route refers to
 	byKey        map[string]*Team
 }
 
-// Build derives a Table from a State.
+// Build derives a Table from a DesiredState.
 func Build(s *DesiredState) *Table {
 	t := &Table{
 		Version: s.Version, MaxBodyBytes: s.MaxBodyBytes,
 		byHost: make(map[string][]*Route), pools: make(map[string]Pool),
-		named: make(map[string]bool), byKey: make(map[string]*Team),
+		referenced: make(map[string]bool), byKey: make(map[string]*Team),
 	}
 	for i := range s.Routes {
 		r := &s.Routes[i]
-		host := hostName(r.Host)
+		host := normaliseHost(r.Host)
 		t.byHost[host] = append(t.byHost[host], r)
-		for _, share := range r.Split {
-			t.named[share.Pool] = true
+		for _, weighted := range r.Split {
+			t.referenced[weighted.Pool] = true
 		}
 	}
 	for _, routes := range t.byHost {
@@ -118,7 +119,7 @@
 	}
 	for _, p := range s.Pools {
 		t.pools[p.Name] = p
-		t.named[p.Name] = true
+		t.referenced[p.Name] = true
 	}
 	for i := range s.Teams {
 		for _, key := range s.Teams[i].Keys {
@@ -128,10 +129,10 @@
 	return t
 }
 
-// Match returns the route of a host with the longest prefix that begins the path.
-// Hosts are compared as names are: without a port, in either case.
+// Match returns the route of a host with the longest prefix of the path. The port and the case of
+// the host are ignored.
 func (t *Table) Match(host, path string) (*Route, bool) {
-	for _, r := range t.byHost[hostName(host)] {
+	for _, r := range t.byHost[normaliseHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -139,31 +140,31 @@
 	return nil, false
 }
 
-// ReferencesPool reports whether the state names a pool at all.
-func (t *Table) ReferencesPool(name string) bool { return t.named[name] }
+// ReferencesPool reports whether the state defines a pool or a route refers to it.
+func (t *Table) ReferencesPool(name string) bool { return t.referenced[name] }
 
-// Pools returns the pools that the state defines, by name. It is not to be changed.
+// Pools returns the pools that the state defines, by name. The caller must not change the map.
 func (t *Table) Pools() map[string]Pool { return t.pools }
 
-// hostName returns the host of a Host header as routes are found by it.
-func hostName(host string) string {
+// normaliseHost returns the value of a Host header without its port and in lower case.
+func normaliseHost(host string) string {
 	if name, port, ok := strings.Cut(host, ":"); ok && !strings.Contains(port, ":") {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// RequiresKey reports whether requests need a key at all.
+// RequiresKey reports whether requests need a key, which is so if any team has one.
 func (t *Table) RequiresKey() bool { return len(t.byKey) > 0 }
 
-// TeamByKey returns the team that holds a key.
+// TeamByKey returns the team that a key belongs to.
 func (t *Table) TeamByKey(key string) (*Team, bool) {
 	team, ok := t.byKey[key]
 	return team, ok
 }
 
-// ChoosePool returns the pool for a request with a hash: the same hash gets the same
-// pool while the weights stay, so a returning chat finds its cache.
+// ChoosePool returns the pool for a request with a hash. The same hash gets the same pool while the
+// weights stay the same, so that a returning chat finds its cache.
 func (r *Route) ChoosePool(hash uint64) string {
 	total := 0
 	for _, s := range r.Split {
@@ -172,12 +173,12 @@
 	if total == 0 {
 		return ""
 	}
-	at := int(rendezvous.Mix(hash, rendezvous.Hash(r.Name)) % uint64(total))
+	position := int(rendezvous.Mix(hash, rendezvous.Hash(r.Name)) % uint64(total))
 	for _, s := range r.Split {
-		if at < s.Weight {
+		if position < s.Weight {
 			return s.Pool
 		}
-		at -= s.Weight
+		position -= s.Weight
 	}
 	return ""
 }
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -32,17 +32,17 @@
 			Expect(ok).To(BeTrue())
 			Expect(r.Name).To(Equal(want))
 		},
-		Entry("the longer one", "a.example", "/x/y/2f", "long"),
-		Entry("the shorter one", "a.example", "/x/z", "short"),
-		Entry("a prefix ends with a slash", "a.example", "/x/yy", "short"),
-		Entry("no part of a segment", "a.example", "/xy/", ""),
+		Entry("the longer prefix", "a.example", "/x/y/2f", "long"),
+		Entry("the shorter prefix", "a.example", "/x/z", "short"),
+		Entry("a prefix with a slash at its end", "a.example", "/x/yy", "short"),
+		Entry("no match of a part of a segment", "a.example", "/xy/", ""),
 		Entry("another host", "b.example", "/x/y/2f", "other"),
 		Entry("a host with a port", "a.example:8080", "/x/z", "short"),
 		Entry("a host in capitals", "A.Example", "/x/z", "short"),
-		Entry("no host", "c.example", "/x/", ""),
+		Entry("an unknown host", "c.example", "/x/", ""),
 	)
 
-	It("finds teams by any of their keys", func() {
+	It("finds a team by any of its keys", func() {
 		team, ok := table().TeamByKey("k2")
 		Expect(ok).To(BeTrue())
 		Expect(team.Name).To(Equal("dealers"))
@@ -50,7 +50,7 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("splits by weight and sends the same hash to the same pool", func() {
+	It("splits requests by weight and sends the same hash to the same pool", func() {
 		r := route.Route{Name: "r", Split: []route.WeightedPool{{Pool: "p", Weight: 90}, {Pool: "q", Weight: 10}}}
 		count := map[string]int{}
 		for i := range uint64(10_000) {
@@ -62,7 +62,7 @@
 		Expect((&route.Route{}).ChoosePool(1)).To(BeEmpty())
 	})
 
-	It("allows repeats by kind alone", func() {
+	It("allows retries by the kind of the route, and for streams if it is resumable", func() {
 		Expect((&route.Route{Kind: route.Safe}).AllowsRetry()).To(BeTrue())
 		Expect((&route.Route{Kind: route.Unsafe, Resumable: true}).AllowsRetry()).To(BeFalse())
 		Expect((&route.Route{Kind: route.Stream}).AllowsRetry()).To(BeFalse())
