--- a/internal/core/ablate/ablate.go
+++ b/internal/core/ablate/ablate.go
@@ -1,44 +1,44 @@
-// Package ablate switches single mechanisms off in a build for measurement, to see what each is worth.
-// No settings reach it: the linker sets off, as in
+// Package ablate disables single mechanisms in a build for measurements, to see the effect of each.
+// No settings change it. The linker sets the variable off, as in
 //
 //	go build -ldflags "-X github.com/hemlockdyke/hemlockdyke/internal/core/ablate.off=fetch,pace" ./cmd/...
 //
-// A build without that flag has everything on.
+// A build without that flag has all mechanisms enabled.
 package ablate
 
 import "strings"
 
-// Mechanism is one that can be switched off.
+// Mechanism is the name of a mechanism that can be disabled.
 type Mechanism string
 
-// The mechanisms, with what happens without them.
+// The mechanisms, each with the behaviour without it.
 const (
-	FleetLoads      Mechanism = "loads"       // each router counts its own requests only
-	Outliers        Mechanism = "outliers"    // no target is ejected by what the fleet saw
-	Suspension      Mechanism = "suspension"  // no target rests after failures in a row
-	PanicThreshold  Mechanism = "panicshares" // suspended and ejected targets are avoided, however many
-	CacheFetch      Mechanism = "fetch"       // no target fetches cached parts
-	Inventory       Mechanism = "inventory"   // sources by rendezvous order alone
-	CacheReports    Mechanism = "told"        // each router knows only what its own requests read where
-	DataCentreOrder Mechanism = "centres"     // a chat's order knows of targets only
-	CacheHolders    Mechanism = "holders"     // what spills goes to the next target in order
-	TargetSpeed     Mechanism = "pace"        // an open request at a slow target counts as one at a fast one
-	RemoteCost      Mechanism = "remotecost"  // plain targets in another data centre cost no more
-	Admission       Mechanism = "admission"   // whatever finds a target is sent
-	Objective       Mechanism = "objective"   // admission by the time left alone
-	Rank            Mechanism = "rank"        // ranks wait as long as the first
-	Team            Mechanism = "team"        // teams have no share
-	RouteYield      Mechanism = "yield"       // routes give up no places
-	ShortWork       Mechanism = "short"       // short work is admitted by the fleet's counts too
-	RemovalGrace    Mechanism = "gonegrace"   // targets that left the list are left at once
-	Poison          Mechanism = "poison"      // requests under which targets end are sent on
-	StaleState      Mechanism = "outdated"    // routers go by the desired state that they have
+	FleetLoads      Mechanism = "loads"       // each router counts only its own open requests
+	Outliers        Mechanism = "outliers"    // no target is ejected as an outlier
+	Suspension      Mechanism = "suspension"  // no target is suspended after consecutive failures
+	PanicThreshold  Mechanism = "panicshares" // suspended and ejected targets get no requests, however many they are
+	CacheFetch      Mechanism = "fetch"       // no target fetches cached prompt parts from another one
+	Inventory       Mechanism = "inventory"   // the source of a fetch is chosen by rendezvous order alone
+	CacheReports    Mechanism = "told"        // reports of other routers about cached prompt parts are ignored
+	DataCentreOrder Mechanism = "centres"     // a chat's order of targets ignores their data centres
+	CacheHolders    Mechanism = "holders"     // requests that spill over go to the next target in the chat's order
+	TargetSpeed     Mechanism = "pace"        // open requests count the same at slow and at fast targets
+	RemoteCost      Mechanism = "remotecost"  // plain targets in another data centre have no extra cost
+	Admission       Mechanism = "admission"   // every request that has a target is sent
+	Objective       Mechanism = "objective"   // admission uses only the remaining time
+	Rank            Mechanism = "rank"        // requests of all ranks may wait equally long
+	Team            Mechanism = "team"        // a team may have any share of the open requests
+	RouteYield      Mechanism = "yield"       // routes don't yield to more urgent ones
+	ShortWork       Mechanism = "short"       // short work is admitted by load reports as well
+	RemovalGrace    Mechanism = "gonegrace"   // targets removed from the target list are dropped at once
+	Poison          Mechanism = "poison"      // requests that make targets exit are still sent
+	StaleState      Mechanism = "outdated"    // routers with an outdated desired state still serve
 )
 
-// off is set by the linker: names, separated by commas.
+// off holds the names of the disabled mechanisms, separated by commas. The linker sets it.
 var off string
 
-var switched = parse(off)
+var disabled = parse(off)
 
 func parse(names string) map[Mechanism]bool {
 	out := make(map[Mechanism]bool)
@@ -50,5 +50,5 @@
 	return out
 }
 
-// IsOff reports whether a mechanism is switched off in this build.
-func IsOff(m Mechanism) bool { return len(switched) > 0 && switched[m] }
+// IsOff reports whether a mechanism is disabled in this build.
+func IsOff(m Mechanism) bool { return len(disabled) > 0 && disabled[m] }
--- a/internal/core/ablate/ablate_test.go
+++ b/internal/core/ablate/ablate_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-func TestEverythingIsOnUnlessTheLinkerSaysOtherwise(t *testing.T) {
-	if len(switched) != 0 {
-		t.Fatalf("%v is off", switched)
+func TestAllMechanismsAreEnabledByDefault(t *testing.T) {
+	if len(disabled) != 0 {
+		t.Fatalf("%v is disabled by default", disabled)
 	}
 	got := parse("fetch,pace")
 	if !got[CacheFetch] || !got[TargetSpeed] || got[Rank] || len(got) != 2 {
-		t.Fatalf("%v", got)
+		t.Fatalf("parsed mechanisms: %v", got)
 	}
 }
