--- a/internal/core/code/code.go
+++ b/internal/core/code/code.go
@@ -1,24 +1,24 @@
-// Package code defines the numbered result codes that callers and operators see.
-// docs/ERRORS.md lists every code; a test keeps the two in step.
+// Package code defines the numbered result codes for callers and operators. docs/ERRORS.md lists
+// every code; a test compares it with the table here.
 package code
 
 import "fmt"
 
-// Execution says whether the request that a code answers may have run at a target.
+// Execution says whether a target executed the request that a code answers.
 type Execution int
 
 const (
-	// NotExecuted promises that no target ran the request.
+	// NotExecuted promises that no target executed the request.
 	NotExecuted Execution = iota
-	// Executed says that a target ran the request, at least in part.
+	// Executed means that a target executed the request, at least in part.
 	Executed
-	// ExecutionUnknown says that the request may or may not have run.
+	// ExecutionUnknown means that the request may or may not have been executed.
 	ExecutionUnknown
 )
 
-// String returns the word used in response bodies and in docs/ERRORS.md.
-func (r Execution) String() string {
-	switch r {
+// String returns the value of the field ran in response bodies, as docs/ERRORS.md lists it.
+func (e Execution) String() string {
+	switch e {
 	case NotExecuted:
 		return "no"
 	case Executed:
@@ -28,12 +28,12 @@
 	}
 }
 
-// Code is a numbered result. The thousands digit names the family: 1 bad
-// request, 2 refused before dispatch, 3 failed after dispatch, 4 outcome
-// unknown, 5 operator API, 6 settings, 7 between hemlockdyke processes.
+// Code is a result code. Its thousands digit is the family: 1 bad request, 2 refused before
+// dispatch, 3 failed after dispatch, 4 outcome unknown, 5 operator API, 6 settings, 7 between
+// hemlockdyke processes.
 type Code int
 
-// The result codes. Numbers are stable: a number is never given a new meaning.
+// The result codes. The numbers are stable: a number never gets another meaning.
 const (
 	OK Code = 0
 
@@ -87,7 +87,7 @@
 // Info describes one code.
 type Info struct {
 	Name      string
-	Status    int // HTTP status sent with the code
+	Status    int // HTTP status that is sent with the code; 0 if none
 	Execution Execution
 	Remedy    string
 }
@@ -140,8 +140,8 @@
 	RouterSilent:     {"router_silent", 0, NotExecuted, "Check the URL, and that the router runs; the report lacks its requests."},
 }
 
-// Lookup returns the description of c. Unlisted codes are described as unknown
-// outcomes, since claiming "not run" for them could be false.
+// Lookup returns the description of c. An unlisted code counts as an unknown outcome, since the
+// promise "not executed" could be false.
 func (c Code) Lookup() Info {
 	info, ok := table[c]
 	if !ok {
@@ -159,8 +159,8 @@
 	return out
 }
 
-// Error is an error that carries a code. Field is the path of the offending
-// resource or settings field, empty if none applies.
+// Error is an error with a code. Field is the path of the invalid field of a resource or of the
+// settings, empty if no field is concerned.
 type Error struct {
 	Code    Code
 	Field   string
@@ -177,7 +177,7 @@
 	return &Error{Code: c, Field: field, Message: fmt.Sprintf(format, args...)}
 }
 
-// Error renders the number, name, field and message.
+// Error returns the number, name, field and message as one text.
 func (e *Error) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("%d %s: %s", int(e.Code), e.Code.Lookup().Name, e.Message)
--- a/internal/core/code/code_test.go
+++ b/internal/core/code/code_test.go
@@ -13,8 +13,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// line is the row of a code in docs/ERRORS.md.
-func line(c code.Code, info code.Info) string {
+// tableRow returns the row of a code in docs/ERRORS.md.
+func tableRow(c code.Code, info code.Info) string {
 	status := "-"
 	if info.Status != 0 {
 		status = fmt.Sprint(info.Status)
@@ -28,7 +28,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		var want []string
 		for c, info := range code.All() {
-			want = append(want, line(c, info))
+			want = append(want, tableRow(c, info))
 		}
 		sort.Strings(want)
 		got := regexp.MustCompile(`(?m)^\| \d+ \|.*$`).FindAllString(string(data), -1)
@@ -37,12 +37,12 @@
 	})
 })
 
-var _ = Describe("codes", func() {
-	It("never call an unlisted outcome not run", func() {
+var _ = Describe("result codes", func() {
+	It("never promise that a request with an unlisted code was not executed", func() {
 		Expect(code.Code(9999).Lookup().Execution).To(Equal(code.ExecutionUnknown))
 	})
 
-	It("that refuse before dispatch all promise not run, and no later one does", func() {
+	It("promise that the request was not executed if it was refused before dispatch, and only then", func() {
 		for c, info := range code.All() {
 			switch int(c) / 1000 {
 			case 3:
