--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -10,7 +10,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// Load is the fleet's load of the target that a request would go to.
+// Load is the load, from all routers, of the target that a request would go to.
 type Load struct {
 	Open  int // open requests, without this one
 	Slots int // requests that the target executes at once; 0 if unknown
--- a/internal/core/admission/retryafter.go
+++ b/internal/core/admission/retryafter.go
@@ -16,8 +16,8 @@
 	startingRetryAfter = 250 * time.Millisecond
 )
 
-// RetryAfter returns when a caller that is refused with a code should come back, before jitter; 0 if
-// coming back does not help. remaining is the time until the caller gives up.
+// RetryAfter returns when a caller that is refused with a code should come back, before jitter; 0
+// if coming back does not help. remaining is the time until the caller gives up.
 //
 // A pool without targets stays unavailable for seconds, and nobody knows for how many. Callers come
 // back once or twice, so a caller that has time should come back later. Its objective has passed
--- a/internal/core/attempt/attempt.go
+++ b/internal/core/attempt/attempt.go
@@ -24,8 +24,8 @@
 	Idempotent bool
 	// MaxAttempts bounds the number of targets tried.
 	MaxAttempts int
-	// MaxNotExecuted is the number of attempts not executed by a target that don't count towards
-	// MaxAttempts: a request that a target refused may go to another one.
+	// MaxNotExecuted is the largest number of attempts that don't count towards MaxAttempts, as no
+	// target executed them: a request that a target refused may go to another one.
 	MaxNotExecuted int
 }
 
@@ -137,7 +137,7 @@
 // Attempts returns the number of dispatches.
 func (m *Machine) Attempts() int { return m.attempt }
 
-// Excluded returns the targets at which an attempt of this request failed.
+// Excluded returns the targets of the attempts that failed or were refused.
 func (m *Machine) Excluded() []uint64 { return m.excluded }
 
 // MayHaveExecuted reports whether a target may have executed the request.
--- a/internal/core/poison/detector_test.go
+++ b/internal/core/poison/detector_test.go
@@ -166,7 +166,7 @@
 	})
 
 	// A hostile caller can have targets exit under as many requests as the targets execute.
-	It("takes bounded memory, and the request with the fewest exits is forgotten", func() {
+	It("is forgotten first if it has the fewest exits, so that memory is bounded", func() {
 		r := newRouter()
 		r.exitTargets(poisonous, 1, 2)
 		for i := range 20_000 {
@@ -220,8 +220,8 @@
 	})
 })
 
-// BenchmarkRecordAnswer measures the common case for a router: the request is answered, and there are no
-// suspects.
+// BenchmarkRecordAnswer measures the common case for a router: the request is answered, and there
+// are no suspects.
 func BenchmarkRecordAnswer(b *testing.B) {
 	d := poison.NewDetector()
 	now := time.Unix(1_000_000, 0)
--- a/internal/core/poison/news.go
+++ b/internal/core/poison/news.go
@@ -14,8 +14,8 @@
 	Target  uint64 // the UID of its lifetime
 }
 
-// Report is a poison report, which routers send each other in digests without waiting for the
-// store. A router that receives new entries sends them on.
+// Report is a poison report: the entries that one digest takes to another router. A router that
+// receives a new entry sends it on.
 type Report struct {
 	Exits    []Exit
 	Answers  []Fingerprint // requests that a target answered, whatever exits they have
@@ -219,8 +219,8 @@
 // each other for ever.
 const minReportedExpiry = 5 * time.Second
 
-// ListSuspects returns the suspects that do not expire soon, ordered by fingerprint, for a router
-// whose Checksum differs.
+// ListSuspects returns the suspects that do not expire soon, ordered by fingerprint. They are kept
+// in the store and sent to routers with another Checksum.
 func (d *Detector) ListSuspects(now time.Time) []Suspect {
 	out := make([]Suspect, 0, len(d.suspects))
 	for f, s := range d.suspects {
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -62,7 +62,7 @@
 		Expect((&route.Route{}).ChoosePool(1)).To(BeEmpty())
 	})
 
-	It("allows retries by the kind of the route, and for streams if it is resumable", func() {
+	It("allows retries by the kind of the route, of streams only if they are resumable", func() {
 		Expect((&route.Route{Kind: route.Safe}).AllowsRetry()).To(BeTrue())
 		Expect((&route.Route{Kind: route.Unsafe, Resumable: true}).AllowsRetry()).To(BeFalse())
 		Expect((&route.Route{Kind: route.Stream}).AllowsRetry()).To(BeFalse())
