--- a/internal/core/code/code_test.go
+++ b/internal/core/code/code_test.go
@@ -42,7 +42,7 @@
 		Expect(code.Code(9999).Lookup().Execution).To(Equal(code.ExecutionUnknown))
 	})
 
-	It("promise that the request was not executed if it was refused before dispatch, and only then", func() {
+	It("promise that the request was not executed if it was refused before dispatch, and not if it failed later", func() {
 		for c, info := range code.All() {
 			switch int(c) / 1000 {
 			case 3:
