--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -236,13 +236,13 @@
 		return
 	}
 	chat := q.Get("team") + "/" + q.Get("chat")
-	owner, _ := rendezvous.First(rendezvous.Hash(pool.Name), s.routers)
+	owner, _ := rendezvous.Highest(rendezvous.Hash(pool.Name), s.routers)
 	out := Explanation{
 		Pool: pool.Name, Chat: chat, Owner: strconv.Itoa(int(owner)), Revision: conf.Revision,
 		Order: []string{}, Leaving: []string{},
 	}
 	var top rendezvous.Top
-	pool.Rank(rendezvous.Hash(chat), &top, rendezvous.MaxTop)
+	pool.Rank(rendezvous.Hash(chat), &top, rendezvous.MaxTopNodes)
 	for i := range top.Len {
 		out.Order = append(out.Order, pool.Targets[top.Index[i]].Name)
 	}
--- a/internal/app/gateway/bench_test.go
+++ b/internal/app/gateway/bench_test.go
@@ -78,8 +78,8 @@
 	for i := range rows {
 		rows[i] = targetRow(i, uint64(i+1))
 	}
-	c.core.Step(now, fleet.WholeRead{Table: fleet.Targets, Position: uint64(n), Rows: rows})
-	c.changed(now, fleet.Changed{Table: fleet.Targets, Version: uint64(n), Source: "store"})
+	c.core.Step(now, fleet.TableRead{Table: fleet.TargetsTable, Position: uint64(n), Rows: rows})
+	c.changed(now, fleet.TableChanged{Table: fleet.TargetsTable, Version: uint64(n), Source: "store"})
 	return c, now
 }
 
@@ -108,8 +108,8 @@
 			b.ResetTimer()
 			for i := range b.N {
 				version++
-				c.core.Step(now, fleet.FollowRead{Table: fleet.Targets, Position: version, Rows: []replica.Row{targetRow(i%n, version)}})
-				c.changed(now, fleet.Changed{Table: fleet.Targets, Version: version, Source: "store"})
+				c.core.Step(now, fleet.ChangesRead{Table: fleet.TargetsTable, Position: version, Rows: []replica.Row{targetRow(i%n, version)}})
+				c.changed(now, fleet.TableChanged{Table: fleet.TargetsTable, Version: version, Source: "store"})
 			}
 		})
 	}
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -50,8 +50,8 @@
 	copies     *copies
 	entries    *entryLog
 	departures departures
-	stopFollow [fleet.Tables]context.CancelFunc
-	followCtx  [fleet.Tables]context.Context
+	stopFollow [fleet.TableCount]context.CancelFunc
+	followCtx  [fleet.TableCount]context.Context
 	version    uint64 // of the desired state in force
 	routers    int    // the most that were alive at once
 	startedAt  time.Time
@@ -87,10 +87,10 @@
 		keepWake: make(chan struct{}, 1),
 		inbox:    make(chan func(time.Time), inboxSize), stopped: make(chan struct{}),
 		core: fleet.New(now(), fleet.Settings{
-			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), StartsFirst: s.ReadsAtOnce,
-			DataCentre: s.DataCentre, Strength: s.Strength, InForceWithin: s.InForceWithin, LeftWithin: s.LeftWithin,
+			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadsAtStart: s.ReadsAtOnce,
+			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.InForceWithin, MaxLeavingDelay: s.LeftWithin,
 		}),
-		copies:  newCopies(fleet.NewServeBudget(now(), s.LinkBytes)),
+		copies:  newCopies(fleet.NewCopyBudget(now(), s.LinkBytes)),
 		roster:  placement.NewRoster(),
 		list:    newDecodedList(decoder),
 		entries: newEntryLog(log),
@@ -108,7 +108,7 @@
 	go c.keepListed(ctx)
 	go c.keepSuspects(ctx)
 	if len(c.settings.Seeds) > 0 {
-		c.step(ctx, c.now(), fleet.Found{Addresses: addresses(c.settings.Seeds)})
+		c.step(ctx, c.now(), fleet.AddressesDiscovered{Addresses: addresses(c.settings.Seeds)})
 	}
 	ticker := time.NewTicker(fleet.TickInterval)
 	defer ticker.Stop()
@@ -128,7 +128,7 @@
 func (c *Control) tick(ctx context.Context, now time.Time) {
 	c.tickGuard(now)
 	tell := c.view.toTell(now)
-	tell.News = c.news(now)
+	tell.UrgentReports = c.news(now)
 	c.step(ctx, now, tell)
 	c.view.mu.Lock()
 	c.view.board.Expire(now)
@@ -145,9 +145,9 @@
 // keep returns for how long targets are used that left the list.
 func (c *Control) keep(now time.Time) placement.Keep {
 	k := placement.Keep{Gone: time.Duration(goneShare * float64(c.settings.LeftWithin))}
-	away := c.core.StoreAway(now)
+	away := c.core.InStoreOutage(now)
 	if away {
-		since, until := c.core.Outage()
+		since, until := c.core.LastStoreOutage()
 		k.Lapsed, k.Since, k.Until = lapsedBackWithin, since, until.Add(lapsedBackWithin)
 	}
 	if ablate.Off(ablate.GoneGrace) {
@@ -169,7 +169,7 @@
 // shareSlack tells traffic among how many routers the slack of repeats is shared. Those that are listed but not heard may run all the
 // same; those that were heard once may be cut off.
 func (c *Control) shareSlack(now time.Time) {
-	c.routers = max(c.routers, c.core.Alive(now)+1)
+	c.routers = max(c.routers, c.core.AliveCount(now)+1)
 	if !c.settings.FirstStart && (c.fleet == nil || now.Sub(c.startedAt) < retry.SlackAfter(c.settings.RetryWindow)) {
 		return
 	}
@@ -182,10 +182,10 @@
 // updateFleet tells placement which routers there are, once this one has had the time to learn it. One that hears nobody goes by the
 // store's list: it may be the only router, or cut off from all others, of which each would take itself for the only one.
 func (c *Control) updateFleet(now time.Time) {
-	if now.Sub(c.startedAt) < warmup.Hold || (c.fleet == nil && !c.listRead.Load() && c.core.Alive(now) == 0) {
+	if now.Sub(c.startedAt) < warmup.Hold || (c.fleet == nil && !c.listRead.Load() && c.core.AliveCount(now) == 0) {
 		return
 	}
-	if known := texts(c.core.Others()); c.fleet == nil || !slices.Equal(known, c.fleet) {
+	if known := texts(c.core.PeerAddresses()); c.fleet == nil || !slices.Equal(known, c.fleet) {
 		c.fleet = known
 		c.view.setFleet(warmup.NewFleet(c.settings.Address, known))
 	}
@@ -209,12 +209,12 @@
 	}
 	c.updateBehind(now)
 	if c.departures.fresh || c.poisonFresh {
-		c.step(ctx, now, fleet.Learned{News: c.news(now)})
+		c.step(ctx, now, fleet.ReportsPending{UrgentReports: c.news(now)})
 	}
 }
 
 // news returns what is to be told at once.
-func (c *Control) news(now time.Time) fleet.News {
+func (c *Control) news(now time.Time) fleet.UrgentReports {
 	c.poisonFresh = false
 	n := c.view.guard.news(now)
 	n.Departures = c.departures.take()
@@ -225,30 +225,30 @@
 func (c *Control) tellDeparture(d placement.Departure) {
 	c.do(func(now time.Time) {
 		c.departures.add([]placement.Departure{d})
-		c.step(c.ctx, now, fleet.Learned{News: c.news(now)})
+		c.step(c.ctx, now, fleet.ReportsPending{UrgentReports: c.news(now)})
 	})
 }
 
 func (c *Control) act(ctx context.Context, now time.Time, a fleet.Action) {
 	switch a := a.(type) {
 	case fleet.SendDigest:
-		c.peers.Send(texts(a.To), a.Digest, a.Yours)
-	case fleet.Follow:
+		c.peers.Send(texts(a.To), a.Digest, a.RecipientReports)
+	case fleet.ReadChanges:
 		go c.follow(ctx, c.followCtx[a.Table], a)
-	case fleet.ReadWhole:
-		go c.readWhole(ctx, c.followCtx[a.Table], a.Table, a.Most)
-	case fleet.StopFollowing:
+	case fleet.ReadTable:
+		go c.readWhole(ctx, c.followCtx[a.Table], a.Table, a.MaxRows)
+	case fleet.CancelReadChanges:
 		c.stopFollow[a.Table]()
 		c.followCtx[a.Table], c.stopFollow[a.Table] = context.WithCancel(ctx)
-	case fleet.CopyFrom:
+	case fleet.RequestCopy:
 		go c.copyFrom(ctx, a)
-	case fleet.Changed:
+	case fleet.TableChanged:
 		c.changed(now, a)
-	case fleet.LoadsHeard:
+	case fleet.ReportReceived:
 		c.heard(now, a)
-	case fleet.LoadsForgotten:
+	case fleet.ReportsDiscarded:
 		c.view.forget(a.Sources)
-	case fleet.SuspectsKnown:
+	case fleet.SuspectsSynced:
 		c.view.guard.learned()
 	case fleet.RoleChanged:
 		c.log.Line(eventlog.RoleChanged).Bool("relay", a.Relay).Str("feeder", string(a.Feeder)).Msg("")
@@ -256,14 +256,14 @@
 		c.log.Line(eventlog.PeerUp).Str("peer", string(a.Peer)).Bool("restarted", a.Restarted).Msg("")
 	case fleet.PeerDown:
 		c.view.forget([]uint32{a.Source})
-		c.log.Line(eventlog.PeerDown).Str("peer", string(a.Peer)).Dur("silent", a.Silent).Msg("")
-	case fleet.StoreChanged:
+		c.log.Line(eventlog.PeerDown).Str("peer", string(a.Peer)).Dur("silent", a.SilentFor).Msg("")
+	case fleet.StoreStateChanged:
 		c.log.Line(eventlog.StoreChanged).Bool("reading", a.Reading).Bool("reachable", a.Reachable).Msg("")
 	}
 }
 
 // heard takes in what others told of requests.
-func (c *Control) heard(now time.Time, a fleet.LoadsHeard) {
+func (c *Control) heard(now time.Time, a fleet.ReportReceived) {
 	var ejected []string
 	c.view.mu.Lock()
 	if !a.Partial {
@@ -292,7 +292,7 @@
 // Leave makes the router unready for good, as the first step of a graceful shutdown.
 func (c *Control) Leave(ctx context.Context) {
 	c.view.leaving.Store(true)
-	c.post(ctx, fleet.Leave{})
+	c.post(ctx, fleet.Shutdown{})
 }
 
 // FinishBy begins the last phase of a graceful shutdown: only requests that end by a
@@ -312,7 +312,7 @@
 
 // Digest takes in another router's digest.
 func (c *Control) Digest(ctx context.Context, from string, d *peerv1.Digest) {
-	c.post(ctx, fleet.DigestIn{From: fleet.Address(from), Digest: d})
+	c.post(ctx, fleet.DigestReceived{From: fleet.Address(from), Digest: d})
 }
 
 // query runs f on the control goroutine and waits for it.
--- a/internal/app/gateway/copies.go
+++ b/internal/app/gateway/copies.go
@@ -26,7 +26,7 @@
 // a change of many routes would keep a small router busy with that alone while its requests wait.
 type copies struct {
 	mu     sync.Mutex
-	budget *fleet.ServeBudget
+	budget *fleet.CopyBudget
 	packed map[uint32]packedCopy // the last one of each table
 }
 
@@ -42,7 +42,7 @@
 	reply *peerv1.CopyResponse
 }
 
-func newCopies(budget *fleet.ServeBudget) *copies {
+func newCopies(budget *fleet.CopyBudget) *copies {
 	return &copies{budget: budget, packed: make(map[uint32]packedCopy)}
 }
 
@@ -54,7 +54,7 @@
 	}
 	reply := make(chan answer, 1)
 	c.do(func(now time.Time) {
-		reply <- answer{c.core.Copy(req), c.core.Holders(now, fleet.Table(req.GetTable()), fleet.Address(req.GetAsker()))}
+		reply <- answer{c.core.ServeCopy(req), c.core.TableHolders(now, fleet.Table(req.GetTable()), fleet.Address(req.GetAsker()))}
 	})
 	select {
 	case a := <-reply:
@@ -80,8 +80,8 @@
 		}
 		r = packed
 	}
-	if !c.budget.Take(now, proto.Size(r)) {
-		return &peerv1.CopyResponse{Busy: true, Holders: fleet.EncodeHolders(holders)}, nil
+	if !c.budget.Allow(now, proto.Size(r)) {
+		return &peerv1.CopyResponse{Busy: true, Holders: fleet.EncodeAddresses(holders)}, nil
 	}
 	return r, nil
 }
--- a/internal/app/gateway/copies_test.go
+++ b/internal/app/gateway/copies_test.go
@@ -24,7 +24,7 @@
 	const link = 1_250_000
 
 	It("arrive as they were, packed once for all that ask if they are large", func() {
-		c := newCopies(fleet.NewServeBudget(now, 0))
+		c := newCopies(fleet.NewCopyBudget(now, 0))
 		state := stateOf(7, 300_000)
 		first, err := c.answer(now, 0, state, nil)
 		Expect(err).NotTo(HaveOccurred())
@@ -44,7 +44,7 @@
 	// what tells two copies of one version apart: since when they tell, and whether they are whole.
 	It("are never those of another version or span", func() {
 		testkit.Check("100", func(t *rapid.T) {
-			c := newCopies(fleet.NewServeBudget(now, 0))
+			c := newCopies(fleet.NewCopyBudget(now, 0))
 			size := rapid.IntRange(packFrom, 3*packFrom)
 			for range 10 {
 				version := rapid.Uint64Range(5, 8).Draw(t, "version")
@@ -63,7 +63,7 @@
 	})
 
 	It("that can't be unpacked are an error", func() {
-		c := newCopies(fleet.NewServeBudget(now, 0))
+		c := newCopies(fleet.NewCopyBudget(now, 0))
 		whole, err := c.answer(now, 0, stateOf(7, 100_000), nil)
 		Expect(err).NotTo(HaveOccurred())
 		random := rand.New(rand.NewPCG(1, 2))
@@ -79,7 +79,7 @@
 
 	// Load: 59 routers ask one for the same large copy at once, then go on asking every 100 ms; its link carries 1.25 MB/s.
 	It("are refused at once beyond a part of the link, small ones never", func() {
-		c := newCopies(fleet.NewServeBudget(now, link))
+		c := newCopies(fleet.NewCopyBudget(now, link))
 		state := stateOf(7, 6)
 		random := rand.New(rand.NewPCG(3, 4))
 		noise := make([]byte, 25_000) // does not get smaller
--- a/internal/app/gateway/inforce.go
+++ b/internal/app/gateway/inforce.go
@@ -16,9 +16,9 @@
 
 // changed puts new content of a table in force. What can't be decoded leaves the
 // last good content in force.
-func (c *Control) changed(now time.Time, a fleet.Changed) {
+func (c *Control) changed(now time.Time, a fleet.TableChanged) {
 	rows, _ := c.core.Rows(a.Table)
-	if a.Table == fleet.Desired {
+	if a.Table == fleet.DesiredTable {
 		c.evacuate(now, rows, a)
 		state, err := c.decoder.Desired(rows)
 		switch {
@@ -37,7 +37,7 @@
 }
 
 // evacuate puts orders to evacuate data centres in force. They count whether the desired state beside them can be decoded or not.
-func (c *Control) evacuate(now time.Time, rows []replica.Row, a fleet.Changed) {
+func (c *Control) evacuate(now time.Time, rows []replica.Row, a fleet.TableChanged) {
 	dataCentres := c.decoder.Evacuated(rows)
 	for _, ch := range c.view.evacuate(now, dataCentres) {
 		c.log.Line(eventlog.Evacuation).Str("data_centre", ch.DataCentre).Bool("evacuated", ch.Evacuated).Uint64("row", a.Version).
@@ -48,7 +48,7 @@
 
 // putInForce swaps the routing table. Versions only rise within one process, by
 // whichever way a state comes.
-func (c *Control) putInForce(now time.Time, state *route.State, a fleet.Changed) {
+func (c *Control) putInForce(now time.Time, state *route.State, a fleet.TableChanged) {
 	if state.Version <= c.version {
 		return
 	}
@@ -59,7 +59,7 @@
 	c.view.board.SetLimits(limitsOf(table))
 	c.view.mu.Unlock()
 	c.inForceAt = now
-	if rows, version := c.core.Rows(fleet.Targets); len(rows) > 0 {
+	if rows, version := c.core.Rows(fleet.TargetsTable); len(rows) > 0 {
 		c.putTargetsInForce(now, rows, version, a.Source)
 	}
 	c.updateReady()
@@ -79,7 +79,7 @@
 // of targets. From then on it stays ready without the store: what it knows is kept
 // up by the other routers, and refusing would help nobody.
 func (c *Control) updateReady() {
-	ready := c.view.table.Load() != nil && c.core.Known(fleet.Targets)
+	ready := c.view.table.Load() != nil && c.core.HasTable(fleet.TargetsTable)
 	if ready != c.view.ready.Load() {
 		c.view.ready.Store(ready)
 		c.log.Line(eventlog.ReadyChanged).Bool("ready", ready).Uint64("version", c.version).Msg("")
@@ -93,8 +93,8 @@
 
 // updateBehind notes whether others have a newer desired state than this router.
 func (c *Control) updateBehind(now time.Time) {
-	c.view.behind.Store(c.core.Behind())
-	since := c.core.Outdated(now)
+	c.view.behind.Store(c.core.IsBehind())
+	since := c.core.OutdatedFor(now)
 	stale := !ablate.Off(ablate.Outdated) && since >= time.Duration(staleShare*float64(c.settings.InForceWithin))
 	if stale != c.view.stale.Load() {
 		c.view.stale.Store(stale)
--- a/internal/app/gateway/keep.go
+++ b/internal/app/gateway/keep.go
@@ -63,7 +63,7 @@
 	var err error
 	if !c.view.guard.isKnown() {
 		reads := false
-		c.query(func(time.Time) { reads = c.core.Reading() })
+		c.query(func(time.Time) { reads = c.core.ReadsStore() })
 		if !reads {
 			return // whoever reads the store tells the others
 		}
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -57,7 +57,7 @@
 func (s *listStore) Whole(_ context.Context, t fleet.Table, _ int) (uint64, []replica.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t == fleet.Desired {
+	if t == fleet.DesiredTable {
 		return s.version, []replica.Row{{Key: "config", Version: 3}}, nil
 	}
 	var out []replica.Row
@@ -73,7 +73,7 @@
 		s.mu.Lock()
 		var out []replica.Row
 		for _, r := range s.log {
-			if t == fleet.Targets && r.Version > after {
+			if t == fleet.TargetsTable && r.Version > after {
 				out = append(out, r)
 			}
 		}
@@ -286,7 +286,7 @@
 		go c.Run(ctx)
 		Eventually(c.Ready, time.Second).Should(BeTrue())
 		ask := func(packed bool) *peerv1.CopyResponse {
-			r, err := c.Copy(ctx, &peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(fleet.Desired), ReadsPacked: packed})
+			r, err := c.Copy(ctx, &peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(fleet.DesiredTable), ReadsPacked: packed})
 			Expect(err).NotTo(HaveOccurred())
 			return r
 		}
--- a/internal/app/gateway/listing.go
+++ b/internal/app/gateway/listing.go
@@ -48,8 +48,8 @@
 	var alone, first bool
 	var local []fleet.Address
 	c.query(func(now time.Time) {
-		alone, first = c.core.Alive(now) == 0, c.core.First()
-		local = c.core.Local(now)
+		alone, first = c.core.AliveCount(now) == 0, c.core.IsFirstReader()
+		local = c.core.LocalRouters(now)
 	})
 	now := c.now()
 	if missing := l.missing(local); len(missing) > 0 && !now.Before(l.retryAt) {
@@ -101,7 +101,7 @@
 	// Others take an entry out if they have heard nothing of its router for long.
 	maps.DeleteFunc(l.listed, func(a fleet.Address, _ bool) bool { return !slices.Contains(listed, string(a)) })
 	found := addresses(listed)
-	c.post(ctx, fleet.Found{Addresses: found})
+	c.post(ctx, fleet.AddressesDiscovered{Addresses: found})
 	c.listRead.Store(true)
 	return found, nil
 }
@@ -113,7 +113,7 @@
 func (l *listing) removeStale(ctx context.Context) {
 	c := l.control
 	heard := make(map[fleet.Address]bool)
-	c.query(func(time.Time) { heard = c.core.Heard() })
+	c.query(func(time.Time) { heard = c.core.RecentRouters() })
 	found, err := l.find(ctx)
 	if err != nil {
 		return
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -80,10 +80,10 @@
 }
 
 // news returns what is to be told now.
-func (g *guard) news(now time.Time) fleet.News {
+func (g *guard) news(now time.Time) fleet.UrgentReports {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return fleet.News{Poison: g.detector.TakeNews(now), Held: g.detector.All(now), HeldKnown: g.known}
+	return fleet.UrgentReports{Poison: g.detector.TakeNews(now), HeldSuspects: g.detector.All(now), HeldSynced: g.known}
 }
 
 // tick lets time pass, with the routers that are alive.
--- a/internal/app/gateway/reads.go
+++ b/internal/app/gateway/reads.go
@@ -14,14 +14,14 @@
 
 // The calls that the core asks for run on goroutines of their own; what comes of them is an event.
 
-func (c *Control) follow(ctx, calls context.Context, a fleet.Follow) {
+func (c *Control) follow(ctx, calls context.Context, a fleet.ReadChanges) {
 	began := c.now()
 	position, rows, err := c.store.Follow(calls, a.Table, a.After, a.Wait)
 	if err != nil {
 		c.readFailed(ctx, calls, a.Table, began, err)
 		return
 	}
-	c.post(ctx, fleet.FollowRead{Table: a.Table, Position: position, Rows: rows})
+	c.post(ctx, fleet.ChangesRead{Table: a.Table, Position: position, Rows: rows})
 }
 
 func (c *Control) readWhole(ctx, calls context.Context, t fleet.Table, most int) {
@@ -33,7 +33,7 @@
 		c.readFailed(ctx, calls, t, began, err)
 		return
 	}
-	c.post(ctx, fleet.WholeRead{Table: t, Position: position, Rows: rows})
+	c.post(ctx, fleet.TableRead{Table: t, Position: position, Rows: rows})
 }
 
 func (c *Control) readFailed(ctx, calls context.Context, t fleet.Table, began time.Time, err error) {
@@ -43,10 +43,10 @@
 	if !stopped && !large {
 		c.log.Line(eventlog.StoreReadFailed).Str("table", t.String()).Dur("after", c.now().Sub(began)).Err(err).Msg("")
 	}
-	c.post(ctx, fleet.ReadFailed{Table: t, TooLarge: large, HistoryLost: lost, Stopped: stopped})
+	c.post(ctx, fleet.ReadFailed{Table: t, TooLarge: large, HistoryLost: lost, Cancelled: stopped})
 }
 
-func (c *Control) copyFrom(ctx context.Context, a fleet.CopyFrom) {
+func (c *Control) copyFrom(ctx context.Context, a fleet.RequestCopy) {
 	req := &peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(a.Table), After: a.After, ReadsPacked: true, Asker: c.settings.Address}
 	call, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
@@ -62,11 +62,11 @@
 		c.log.Line(eventlog.CopyFailed).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Err(err).Msg("")
 	case reply.GetBusy():
 		c.log.Line(eventlog.CopyRefused).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Msg("")
-		c.post(ctx, fleet.Copied{From: a.Peer, Table: a.Table, Busy: true, Holders: fleet.DecodeHolders(reply.GetHolders())})
+		c.post(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Busy: true, Holders: fleet.DecodeAddresses(reply.GetHolders())})
 		return
 	default:
 		c.log.Line(eventlog.Copied).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Uint64("row", reply.GetVersion()).
 			Bool("whole", reply.GetWhole()).Int("bytes", size).Dur("took", c.now().Sub(began)).Msg("")
 	}
-	c.post(ctx, fleet.Copied{From: a.Peer, Table: a.Table, Reply: reply})
+	c.post(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Reply: reply})
 }
--- a/internal/app/gateway/status.go
+++ b/internal/app/gateway/status.go
@@ -29,8 +29,8 @@
 	var s Status
 	c.query(func(now time.Time) {
 		s = Status{
-			Ready: c.Ready(), Reading: c.core.Reading(), Version: c.version,
-			Evacuated: c.evacuated, DesiredAge: now.Sub(c.inForceAt), TargetsAge: now.Sub(c.targetsAt), Peers: c.core.Alive(now), Heard: c.core.Direct(now),
+			Ready: c.Ready(), Reading: c.core.ReadsStore(), Version: c.version,
+			Evacuated: c.evacuated, DesiredAge: now.Sub(c.inForceAt), TargetsAge: now.Sub(c.targetsAt), Peers: c.core.AliveCount(now), Heard: c.core.DirectPeerCount(now),
 		}
 		var feeder fleet.Address
 		s.Relay, feeder = c.core.Role()
--- a/internal/core/fleet/away.go
+++ b/internal/core/fleet/away.go
@@ -100,15 +100,15 @@
 	}
 }
 
-// StoreAway reports whether the store is away for all routers, or was a moment ago.
+// InStoreOutage reports whether the store is away for all routers, or was a moment ago.
 // A store that refuses some routers and serves others is not away.
-func (c *Core) StoreAway(now time.Time) bool {
+func (c *Core) InStoreOutage(now time.Time) bool {
 	w := &c.watch
 	return !w.awayAt.IsZero() && now.Sub(w.awayAt) < outageLasts
 }
 
-// Outage returns the last moment before the last outage of the store at which it was read, and the last one in it.
-func (c *Core) Outage() (since, until time.Time) { return c.watch.awaySince, c.watch.awayAt }
+// LastStoreOutage returns the last moment before the last outage of the store at which it was read, and the last one in it.
+func (c *Core) LastStoreOutage() (since, until time.Time) { return c.watch.awaySince, c.watch.awayAt }
 
 // readsKnown reports whether some router is known to read the store.
 func (c *Core) readsKnown(now time.Time) bool {
--- a/internal/core/fleet/away_test.go
+++ b/internal/core/fleet/away_test.go
@@ -14,7 +14,7 @@
 	seen := make(map[fleet.Address]bool)
 	for until := n.now.Add(d); n.now.Before(until); n.run(20 * time.Millisecond) {
 		for a, x := range n.nodes {
-			if x.up && !x.frozen && x.core.StoreAway(n.now) {
+			if x.up && !x.frozen && x.core.InStoreOutage(n.now) {
 				seen[a] = true
 			}
 		}
@@ -94,7 +94,7 @@
 	n.store.down = false
 	n.run(time.Second)
 	for a, x := range n.nodes {
-		Expect(x.core.StoreAway(n.now)).To(BeTrue(), string(a))
+		Expect(x.core.InStoreOutage(n.now)).To(BeTrue(), string(a))
 	}
 }
 
@@ -121,18 +121,18 @@
 		}
 		n.run(3 * time.Second)
 		for _, x := range n.nodes {
-			Expect(x.core.StoreAway(n.now)).To(BeFalse())
+			Expect(x.core.InStoreOutage(n.now)).To(BeFalse())
 		}
 	})
 
 	It("takes the store for away while nobody reads it, and for a while after", func() {
 		n.store.down = true
 		n.run(20 * time.Second)
-		Expect(n.nodes[address(4)].core.StoreAway(n.now)).To(BeTrue())
+		Expect(n.nodes[address(4)].core.InStoreOutage(n.now)).To(BeTrue())
 		n.store.down = false
 		n.run(1500 * time.Millisecond)
-		Expect(n.nodes[address(4)].core.StoreAway(n.now)).To(BeTrue())
+		Expect(n.nodes[address(4)].core.InStoreOutage(n.now)).To(BeTrue())
 		n.run(5 * time.Second)
-		Expect(n.nodes[address(4)].core.StoreAway(n.now)).To(BeFalse())
+		Expect(n.nodes[address(4)].core.InStoreOutage(n.now)).To(BeFalse())
 	})
 })
--- a/internal/core/fleet/bench_test.go
+++ b/internal/core/fleet/bench_test.go
@@ -12,7 +12,7 @@
 
 // BenchmarkDigestIn takes in one digest of each of 80 routers of a data centre in turn, with a tick for each round.
 func BenchmarkDigestIn(b *testing.B) {
-	c := fleet.New(start, fleet.Settings{Self: address(200), Incarnation: 1, Seed: 1, InForceWithin: time.Second, LeftWithin: time.Second})
+	c := fleet.New(start, fleet.Settings{Self: address(200), Incarnation: 1, Seed: 1, MaxApplyDelay: time.Second, MaxLeavingDelay: time.Second})
 	data := make([][]byte, 80)
 	ds := make([]*peerv1.Digest, 80)
 	for i := range ds {
@@ -32,7 +32,7 @@
 		m := &peerv1.Digest{}
 		_ = proto.Unmarshal(data[i], m)
 		m.Sequence = uint64(n + 1)
-		c.Step(now, fleet.DigestIn{From: address(i), Digest: m})
+		c.Step(now, fleet.DigestReceived{From: address(i), Digest: m})
 		if n%80 == 0 {
 			c.Step(now, fleet.Tick{})
 		}
--- a/internal/core/fleet/copying.go
+++ b/internal/core/fleet/copying.go
@@ -38,15 +38,15 @@
 func (c *Core) copyFrom(now time.Time, t Table, from Address) {
 	timeout := c.copying[t].timeout()
 	c.copying[t].until = now.Add(timeout)
-	c.emit(CopyFrom{Peer: from, Table: t, After: c.tables[t].Version(), Timeout: timeout})
+	c.emit(RequestCopy{Peer: from, Table: t, After: c.tables[t].Version(), Timeout: timeout})
 }
 
 // holdersNamed is how many others that have a copy a busy router names.
 const holdersNamed = 3
 
-// Holders returns some of the routers that have as new a copy as this one. A router hears of its relays' copies only; if
+// TableHolders returns some of the routers that have as new a copy as this one. A router hears of its relays' copies only; if
 // these alone passed a large desired state on, a data centre would wait for their links.
-func (c *Core) Holders(now time.Time, t Table, asker Address) []Address {
+func (c *Core) TableHolders(now time.Time, t Table, asker Address) []Address {
 	var out []Address
 	for _, p := range c.all() {
 		if p.address != asker && !p.leaving && p.direct(now) && p.told[t] >= c.tables[t].Version() {
@@ -57,8 +57,8 @@
 	return out[:min(len(out), holdersNamed)]
 }
 
-// EncodeHolders and DecodeHolders carry the addresses of holders in a reply.
-func EncodeHolders(holders []Address) [][]byte {
+// EncodeAddresses and DecodeHolders carry the addresses of holders in a reply.
+func EncodeAddresses(holders []Address) [][]byte {
 	var out [][]byte
 	for _, a := range holders {
 		if b := a.encode(); b != nil {
@@ -68,8 +68,8 @@
 	return out
 }
 
-// DecodeHolders leaves out what is no address.
-func DecodeHolders(holders [][]byte) []Address {
+// DecodeAddresses leaves out what is no address.
+func DecodeAddresses(holders [][]byte) []Address {
 	var out []Address
 	for _, b := range holders {
 		if a, ok := decodeAddress(b); ok {
@@ -101,7 +101,7 @@
 	return at[c.rand.IntN(len(at))], true
 }
 
-func (c *Core) copied(now time.Time, ev Copied) {
+func (c *Core) copied(now time.Time, ev CopyCompleted) {
 	c.copying[ev.Table].until = time.Time{}
 	if ev.Reply == nil {
 		if p, ok := c.peers[ev.From]; ok {
@@ -135,13 +135,13 @@
 	}
 }
 
-// Copy answers another router's copy request.
-func (c *Core) Copy(req *peerv1.CopyRequest) *peerv1.CopyResponse {
+// ServeCopy answers another router's copy request.
+func (c *Core) ServeCopy(req *peerv1.CopyRequest) *peerv1.CopyResponse {
 	t := Table(req.GetTable())
-	if req.GetProtocol() != Protocol || t < 0 || t >= Tables || !c.tables[t].Known() {
+	if req.GetProtocol() != Protocol || t < 0 || t >= TableCount || !c.tables[t].Loaded() {
 		return &peerv1.CopyResponse{}
 	}
-	rows, whole := c.tables[t].Since(req.GetAfter())
+	rows, whole := c.tables[t].ChangesSince(req.GetAfter())
 	resp := &peerv1.CopyResponse{Version: c.tables[t].Version(), Whole: whole}
 	for _, r := range rows {
 		resp.Rows = append(resp.Rows, &peerv1.Row{Key: r.Key, Value: r.Value, Version: r.Version, Removed: r.Removed})
--- a/internal/core/fleet/events.go
+++ b/internal/core/fleet/events.go
@@ -22,14 +22,14 @@
 
 // The tables, in the order in which digests carry their versions.
 const (
-	Desired Table = iota // the operators' desired state
-	Targets              // the list of targets
-	Tables               // the number of tables
+	DesiredTable Table = iota // the operators' desired state
+	TargetsTable              // the list of targets
+	TableCount               // the number of tables
 )
 
 // String returns the table's name in logs.
 func (t Table) String() string {
-	if t == Desired {
+	if t == DesiredTable {
 		return "desired"
 	}
 	return "targets"
@@ -40,14 +40,14 @@
 
 // The events.
 type (
-	// FollowRead: the store told the changes after a version. Position is where to go on.
-	FollowRead struct {
+	// ChangesRead: the store told the changes after a version. Position is where to go on.
+	ChangesRead struct {
 		Table    Table
 		Position uint64
 		Rows     []replica.Row
 	}
-	// WholeRead: the store told the whole table as of Position.
-	WholeRead struct {
+	// TableRead: the store told the whole table as of Position.
+	TableRead struct {
 		Table    Table
 		Position uint64
 		Rows     []replica.Row
@@ -59,16 +59,16 @@
 		Table       Table
 		TooLarge    bool
 		HistoryLost bool
-		Stopped     bool
+		Cancelled     bool
 	}
-	// DigestIn: a router sent a digest.
-	DigestIn struct {
+	// DigestReceived: a router sent a digest.
+	DigestReceived struct {
 		From   Address
 		Digest *peerv1.Digest
 	}
-	// Copied: a router answered a copy request; Reply is nil if the call failed, or if the router
+	// CopyCompleted: a router answered a copy request; Reply is nil if the call failed, or if the router
 	// is busy with other copies.
-	Copied struct {
+	CopyCompleted struct {
 		From  Address
 		Table Table
 		Reply *peerv1.CopyResponse
@@ -76,39 +76,39 @@
 		// Holders are routers that a busy one names.
 		Holders []Address
 	}
-	// Found: addresses at which routers may run.
-	Found struct{ Addresses []Address }
+	// AddressesDiscovered: addresses at which routers may run.
+	AddressesDiscovered struct{ Addresses []Address }
 	// Tick: time has passed. The core expects one every TickInterval.
 	Tick struct {
 		Loads    []placement.Load
 		Outcomes []placement.Outcomes
 		// Prompts goes out with the next digest, and with no other.
 		Prompts []placement.Read
-		News
+		UrgentReports
 	}
-	// Learned: something has just been learned that is told at once.
-	Learned struct{ News }
-	// Leave: this router is to stop.
-	Leave struct{}
+	// ReportsPending: something has just been learned that is told at once.
+	ReportsPending struct{ UrgentReports }
+	// Shutdown: this router is to stop.
+	Shutdown struct{}
 )
 
-func (FollowRead) isEvent() {}
-func (WholeRead) isEvent()  {}
+func (ChangesRead) isEvent() {}
+func (TableRead) isEvent()  {}
 func (ReadFailed) isEvent() {}
-func (DigestIn) isEvent()   {}
-func (Copied) isEvent()     {}
-func (Found) isEvent()      {}
+func (DigestReceived) isEvent()   {}
+func (CopyCompleted) isEvent()     {}
+func (AddressesDiscovered) isEvent()      {}
 func (Tick) isEvent()       {}
-func (Learned) isEvent()    {}
-func (Leave) isEvent()      {}
+func (ReportsPending) isEvent()    {}
+func (Shutdown) isEvent()      {}
 
-// News is what goes out at once, and what this router holds of it.
-type News struct {
+// UrgentReports is what goes out at once, and what this router holds of it.
+type UrgentReports struct {
 	Departures []placement.Departure
 	Poison     poison.News
-	// Held are all suspects that this router holds, HeldKnown says that it has learned whom the others suspect.
-	Held      []poison.Suspect
-	HeldKnown bool
+	// HeldSuspects are all suspects that this router holds, HeldKnown says that it has learned whom the others suspect.
+	HeldSuspects      []poison.Suspect
+	HeldSynced bool
 }
 
 // Action is an output of the core.
@@ -120,41 +120,41 @@
 	SendDigest struct {
 		To     []Address
 		Digest *peerv1.Digest
-		// Yours are added to the digest, each for the router in its place in To; nil if nothing is.
-		Yours []*peerv1.Report
+		// RecipientReports are added to the digest, each for the router in its place in To; nil if nothing is.
+		RecipientReports []*peerv1.Report
 	}
-	// Follow asks the store for the changes of a table after a position, waiting
+	// ReadChanges asks the store for the changes of a table after a position, waiting
 	// for the first for up to Wait; answered by FollowRead or ReadFailed.
-	Follow struct {
+	ReadChanges struct {
 		Table Table
 		After uint64
 		Wait  time.Duration
 	}
-	// ReadWhole asks the store for a whole table, if it has no more rows than Most, or 0 for any number; answered by WholeRead
+	// ReadTable asks the store for a whole table, if it has no more rows than Most, or 0 for any number; answered by WholeRead
 	// or ReadFailed.
-	ReadWhole struct {
+	ReadTable struct {
 		Table Table
-		Most  int
+		MaxRows  int
 	}
-	// StopFollowing ends the call to the store that waits for changes of a table.
-	StopFollowing struct{ Table Table }
-	// CopyFrom asks a router for what the copy lacks, for Timeout at most; answered by Copied.
-	CopyFrom struct {
+	// CancelReadChanges ends the call to the store that waits for changes of a table.
+	CancelReadChanges struct{ Table Table }
+	// RequestCopy asks a router for what the copy lacks, for Timeout at most; answered by Copied.
+	RequestCopy struct {
 		Peer    Address
 		Table   Table
 		After   uint64
 		Timeout time.Duration
 	}
-	// Changed says that the content of a copy changed.
-	Changed struct {
+	// TableChanged says that the content of a copy changed.
+	TableChanged struct {
 		Table   Table
 		Version uint64
 		// Source is "store" or the router that it came from.
 		Source string
 	}
-	// LoadsHeard passes on what the routers of a source have open, what they saw of failing targets, which
+	// ReportReceived passes on what the routers of a source have open, what they saw of failing targets, which
 	// beginnings of prompts were read where, and which targets leave. A report of a source replaces the one before.
-	LoadsHeard struct {
+	ReportReceived struct {
 		// Source names a router, a data centre or the fleet without this router. What sources cover does not
 		// overlap, but for those forgotten.
 		Source     uint32
@@ -166,10 +166,10 @@
 		// Partial: only prompts, departures and poison are told.
 		Partial bool
 	}
-	// LoadsForgotten: what these sources told no longer counts; all of them if none is named.
-	LoadsForgotten struct{ Sources []uint32 }
-	// SuspectsKnown: this router holds the same suspects as another one that knows them.
-	SuspectsKnown struct{}
+	// ReportsDiscarded: what these sources told no longer counts; all of them if none is named.
+	ReportsDiscarded struct{ Sources []uint32 }
+	// SuspectsSynced: this router holds the same suspects as another one that knows them.
+	SuspectsSynced struct{}
 	// RoleChanged: this router began or ceased to be a relay, or is fed by another one from now on.
 	RoleChanged struct {
 		Relay  bool
@@ -184,22 +184,22 @@
 	PeerDown struct {
 		Peer   Address
 		Source uint32
-		Silent time.Duration
+		SilentFor time.Duration
 	}
-	// StoreChanged: the store was lost or regained, or this router began or ceased to read.
-	StoreChanged struct{ Reading, Reachable bool }
+	// StoreStateChanged: the store was lost or regained, or this router began or ceased to read.
+	StoreStateChanged struct{ Reading, Reachable bool }
 )
 
 func (SendDigest) isAction()     {}
-func (Follow) isAction()         {}
-func (ReadWhole) isAction()      {}
-func (StopFollowing) isAction()  {}
-func (CopyFrom) isAction()       {}
-func (Changed) isAction()        {}
-func (LoadsHeard) isAction()     {}
-func (LoadsForgotten) isAction() {}
-func (SuspectsKnown) isAction()  {}
+func (ReadChanges) isAction()         {}
+func (ReadTable) isAction()      {}
+func (CancelReadChanges) isAction()  {}
+func (RequestCopy) isAction()       {}
+func (TableChanged) isAction()        {}
+func (ReportReceived) isAction()     {}
+func (ReportsDiscarded) isAction() {}
+func (SuspectsSynced) isAction()  {}
 func (RoleChanged) isAction()    {}
 func (PeerUp) isAction()         {}
 func (PeerDown) isAction()       {}
-func (StoreChanged) isAction()   {}
+func (StoreStateChanged) isAction()   {}
--- a/internal/core/fleet/faults_test.go
+++ b/internal/core/fleet/faults_test.go
@@ -24,9 +24,9 @@
 				x := n.nodes[a]
 				switch rapid.IntRange(0, 9).Draw(t, "what") {
 				case 0, 1:
-					n.write(fleet.Desired, "config", "next")
+					n.write(fleet.DesiredTable, "config", "next")
 				case 2:
-					n.write(fleet.Targets, "t1", []string{"ready", ""}[rapid.IntRange(0, 1).Draw(t, "value")])
+					n.write(fleet.TargetsTable, "t1", []string{"ready", ""}[rapid.IntRange(0, 1).Draw(t, "value")])
 				case 3:
 					if x.up {
 						n.kill(a)
@@ -50,10 +50,10 @@
 				n.run(time.Duration(rapid.IntRange(10, 1500).Draw(t, "ms")) * time.Millisecond)
 			}
 			n.heal()
-			last := n.write(fleet.Desired, "config", "last")
-			gone := n.write(fleet.Targets, "t1", "")
+			last := n.write(fleet.DesiredTable, "config", "last")
+			gone := n.write(fleet.TargetsTable, "t1", "")
 			n.run(3 * time.Second)
-			if late := append(n.behind(fleet.Desired, last), n.behind(fleet.Targets, gone)...); len(late) > 0 {
+			if late := append(n.behind(fleet.DesiredTable, last), n.behind(fleet.TargetsTable, gone)...); len(late) > 0 {
 				t.Fatalf("behind: %v", late)
 			}
 			for a, x := range n.nodes {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -81,13 +81,13 @@
 	// Strength is how much this router's VM bears against others': strong ones are relays first. Any unit does.
 	Strength uint32
 	Seed     uint64
-	// StartsFirst routers read the store soon after their start, if nobody gives them copies. The others leave
+	// ReadsAtStart routers read the store soon after their start, if nobody gives them copies. The others leave
 	// them the time to pass on what they read.
-	StartsFirst bool
-	// InForceWithin is the time in which a desired state has to be in force.
-	InForceWithin time.Duration
-	// LeftWithin is the time in which a leaving target has to be left alone.
-	LeftWithin time.Duration
+	ReadsAtStart bool
+	// MaxApplyDelay is the time in which a desired state has to be in force.
+	MaxApplyDelay time.Duration
+	// MaxLeavingDelay is the time in which a leaving target has to be left alone.
+	MaxLeavingDelay time.Duration
 }
 
 // reader is the state of following one table at the store.
@@ -113,8 +113,8 @@
 	settings Settings
 	own      candidate // this router, in rank
 	rand     *rand.Rand
-	tables   [Tables]*replica.Table
-	readers  [Tables]reader
+	tables   [TableCount]*replica.Table
+	readers  [TableCount]reader
 	peers    map[Address]*peer
 
 	started time.Time
@@ -142,7 +142,7 @@
 	news         bool // something that the others should hear at once
 	urgent       bool // the digest under way was asked for by news
 	moved        bool // what this router passes on differs from what it told last
-	copying      [Tables]copying
+	copying      [TableCount]copying
 
 	centres      map[string]*centre // those with routers that run
 	unarranged   bool               // centres are out of date
@@ -190,14 +190,14 @@
 	return c.tables[t].Rows(), c.tables[t].Version()
 }
 
-// Known reports whether a table has been read or copied.
-func (c *Core) Known(t Table) bool { return c.tables[t].Known() }
+// HasTable reports whether a table has been read or copied.
+func (c *Core) HasTable(t Table) bool { return c.tables[t].Loaded() }
 
-// Reading reports whether this router reads the store, or tries to.
-func (c *Core) Reading() bool { return c.reading }
+// ReadsStore reports whether this router reads the store, or tries to.
+func (c *Core) ReadsStore() bool { return c.reading }
 
-// First reports whether this router is the first of those that read the store, as far as it knows.
-func (c *Core) First() bool { return c.reading && c.first }
+// IsFirstReader reports whether this router is the first of those that read the store, as far as it knows.
+func (c *Core) IsFirstReader() bool { return c.reading && c.first }
 
 // Step takes one event and returns the actions that follow. The slice is valid
 // until the next call.
@@ -205,27 +205,27 @@
 	c.actions = c.actions[:0]
 	recount := true
 	switch ev := ev.(type) {
-	case FollowRead:
+	case ChangesRead:
 		c.followRead(now, ev)
-	case WholeRead:
+	case TableRead:
 		c.wholeRead(now, ev)
 	case ReadFailed:
 		c.readFailed(now, ev)
-	case DigestIn:
+	case DigestReceived:
 		recount = c.digestIn(now, ev)
-	case Copied:
+	case CopyCompleted:
 		c.copied(now, ev)
-	case Found:
+	case AddressesDiscovered:
 		c.found(now, ev)
 	case Tick:
 		c.tick(now, ev)
-	case Learned:
-		c.learned(ev.News)
+	case ReportsPending:
+		c.learned(ev.UrgentReports)
 		c.news = true
 		if len(ev.Departures) > 0 || len(ev.Poison.Suspects) > 0 {
 			c.announce = max(c.announce, 1)
 		}
-	case Leave:
+	case Shutdown:
 		c.leaving, c.news = true, true
 	}
 	if recount {
@@ -245,14 +245,14 @@
 // all of them, so not at every digest.
 func (c *Core) watchVersions(now time.Time) {
 	alive, ahead := 0, 0
-	var newest [Tables]uint64
+	var newest [TableCount]uint64
 	for _, p := range c.all() {
 		if p.direct(now) {
 			for t := range newest {
 				newest[t] = max(newest[t], p.told[t])
 			}
 			alive++
-			if p.told[Desired] > c.tables[Desired].Version() {
+			if p.told[DesiredTable] > c.tables[DesiredTable].Version() {
 				ahead++
 			}
 		}
@@ -274,12 +274,12 @@
 	}
 }
 
-// Behind reports whether a router that is alive tells of a newer desired state than this router's.
-func (c *Core) Behind() bool { return c.behind }
+// IsBehind reports whether a router that is alive tells of a newer desired state than this router's.
+func (c *Core) IsBehind() bool { return c.behind }
 
-// Outdated returns for how long half or more of the others that are alive have had a newer desired
+// OutdatedFor returns for how long half or more of the others that are alive have had a newer desired
 // state. If only a few have it, they can't pass it on, and nobody would be left to serve.
-func (c *Core) Outdated(now time.Time) time.Duration {
+func (c *Core) OutdatedFor(now time.Time) time.Duration {
 	if c.outdatedSince.IsZero() {
 		return 0
 	}
@@ -295,7 +295,7 @@
 	c.watch.tick(now, c.readsKnown(now))
 	c.watchVersions(now)
 	c.outcomes, c.prompts = ev.Outcomes, append(c.prompts, ev.Prompts...)
-	c.learned(ev.News)
+	c.learned(ev.UrgentReports)
 	heartbeat, passesOn := heartbeatEvery, false
 	if c.relay && c.centres[c.settings.DataCentre].hasMembers() {
 		heartbeat, passesOn = relayHeartbeat, c.moved || len(c.toFollowers.prompts) > 0
@@ -316,7 +316,7 @@
 }
 
 // learned notes what the next digest tells.
-func (c *Core) learned(n News) {
+func (c *Core) learned(n UrgentReports) {
 	c.departures, c.poison = n.Departures, n.Poison
 	c.hold(n)
 }
@@ -342,8 +342,8 @@
 func (c *Core) changed(t Table, source string) {
 	c.news = true
 	c.announce = max(c.announce, 1)
-	if t == Desired {
+	if t == DesiredTable {
 		c.behind = false // as far as is known; the next tick looks at all
 	}
-	c.emit(Changed{Table: t, Version: c.tables[t].Version(), Source: source})
+	c.emit(TableChanged{Table: t, Version: c.tables[t].Version(), Source: source})
 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -26,17 +26,17 @@
 
 	It("has three readers, and every router the same content", func() {
 		for _, x := range n.nodes {
-			Expect(x.core.Direct(n.now)).To(Equal(8), "%s", x.address)
+			Expect(x.core.DirectPeerCount(n.now)).To(Equal(8), "%s", x.address)
 		}
 		Expect(n.readers()).To(HaveLen(3))
-		Expect(n.behind(fleet.Desired, 1)).To(BeEmpty())
-		Expect(n.behind(fleet.Targets, 2)).To(BeEmpty())
+		Expect(n.behind(fleet.DesiredTable, 1)).To(BeEmpty())
+		Expect(n.behind(fleet.TargetsTable, 2)).To(BeEmpty())
 	})
 
 	It("puts a change in force at every router within milliseconds", func() {
-		v := n.write(fleet.Desired, "config", "v2")
+		v := n.write(fleet.DesiredTable, "config", "v2")
 		n.run(50 * time.Millisecond)
-		Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+		Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 	})
 
 	// The price of calls: what all routers would make alone is nine times two calls per
@@ -44,7 +44,7 @@
 	It("calls the store hardly more than three routers would", func() {
 		before := n.store.calls
 		for i := range 10 {
-			n.write(fleet.Targets, fmt.Sprint(i), "ready")
+			n.write(fleet.TargetsTable, fmt.Sprint(i), "ready")
 			n.run(3 * time.Second)
 		}
 		Expect(n.store.calls - before).To(BeNumerically("<", 90))
@@ -55,26 +55,26 @@
 		before := n.store.calls
 		var v uint64
 		for i := range 62 {
-			v = n.write(fleet.Targets, fmt.Sprint(i), "ready")
+			v = n.write(fleet.TargetsTable, fmt.Sprint(i), "ready")
 			n.run(65 * time.Millisecond)
 		}
 		n.run(leftWithin / 10)
-		Expect(n.behind(fleet.Targets, v)).To(BeEmpty())
+		Expect(n.behind(fleet.TargetsTable, v)).To(BeEmpty())
 		Expect(n.store.calls-before).To(BeNumerically("<", 80), "three readers, each change an answer: 186")
 	})
 
 	It("misses no change that the first reader alone can't read", func() {
-		v := n.write(fleet.Targets, "t1", "ready")
+		v := n.write(fleet.TargetsTable, "t1", "ready")
 		n.run(20 * time.Millisecond)
 		for _, a := range n.readers() {
-			if n.nodes[a].core.First() {
+			if n.nodes[a].core.IsFirstReader() {
 				n.store.silent[a] = true
 			}
 		}
-		Expect(n.behind(fleet.Targets, v)).To(BeEmpty())
-		v = n.write(fleet.Targets, "t1", "draining")
+		Expect(n.behind(fleet.TargetsTable, v)).To(BeEmpty())
+		v = n.write(fleet.TargetsTable, "t1", "draining")
 		n.run(leftWithin * 4 / 10)
-		Expect(n.behind(fleet.Targets, v)).To(BeEmpty())
+		Expect(n.behind(fleet.TargetsTable, v)).To(BeEmpty())
 	})
 
 	// Symptom: all routers act by an older desired state two seconds after the newer one
@@ -86,9 +86,9 @@
 			n.store.silent[a] = true
 		}
 		n.run(100 * time.Millisecond)
-		v := n.write(fleet.Desired, "config", "v2")
+		v := n.write(fleet.DesiredTable, "config", "v2")
 		n.run(inForceWithin)
-		Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+		Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 	})
 
 	// Symptom: a router acts by an older desired state for seconds, and takes callers all the while. Sequence: it
@@ -97,7 +97,7 @@
 	// had the same time, half a second.
 	It("gets a copy over a link that has room for one in eight tenths of a second", func() {
 		slow := n.nodes[address(5)]
-		v := n.write(fleet.Desired, "config", strings.Repeat("x", 80_000))
+		v := n.write(fleet.DesiredTable, "config", strings.Repeat("x", 80_000))
 		n.run(time.Second)
 		n.kill(slow.address)
 		n.start(slow.address)
@@ -105,27 +105,27 @@
 		slow.bytesPerSecond = 100_000
 		n.store.refused[slow.address] = true
 		n.run(4 * time.Second)
-		Expect(slow.core.Known(fleet.Desired)).To(BeTrue())
-		Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+		Expect(slow.core.HasTable(fleet.DesiredTable)).To(BeTrue())
+		Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 	})
 
 	It("tells for how long most others have had a newer desired state", func() {
 		lagging := n.nodes[address(5)]
-		Expect(lagging.core.Behind()).To(BeFalse())
-		Expect(lagging.core.Outdated(n.now)).To(BeZero())
+		Expect(lagging.core.IsBehind()).To(BeFalse())
+		Expect(lagging.core.OutdatedFor(n.now)).To(BeZero())
 		lagging.bytesPerSecond = 1
 		n.store.refused[lagging.address] = true
 		n.run(3 * time.Second)
-		n.write(fleet.Desired, "config", strings.Repeat("y", 1000))
+		n.write(fleet.DesiredTable, "config", strings.Repeat("y", 1000))
 		n.run(500 * time.Millisecond)
-		Expect(lagging.core.Behind()).To(BeTrue())
-		Expect(lagging.core.Outdated(n.now)).To(And(
+		Expect(lagging.core.IsBehind()).To(BeTrue())
+		Expect(lagging.core.OutdatedFor(n.now)).To(And(
 			BeNumerically(">=", 500*time.Millisecond-fleet.TickInterval-5*time.Millisecond), BeNumerically("<=", 500*time.Millisecond)),
 			"it is looked at once a tick")
 		lagging.bytesPerSecond, lagging.linkFree = 0, time.Time{}
 		n.run(6 * time.Second)
-		Expect(lagging.core.Behind()).To(BeFalse())
-		Expect(lagging.core.Outdated(n.now)).To(BeZero())
+		Expect(lagging.core.IsBehind()).To(BeFalse())
+		Expect(lagging.core.OutdatedFor(n.now)).To(BeZero())
 	})
 
 	// Symptom: nobody serves. Sequence: one router alone reads a new desired state, and its link is too full to
@@ -136,14 +136,14 @@
 			n.nodes[address(i)].bytesPerSecond = 1
 		}
 		n.run(3 * time.Second)
-		n.write(fleet.Desired, "config", strings.Repeat("z", 1000))
+		n.write(fleet.DesiredTable, "config", strings.Repeat("z", 1000))
 		n.run(3 * time.Second)
 		behind := 0
 		for i := range 9 {
-			if n.nodes[address(i)].core.Behind() {
+			if n.nodes[address(i)].core.IsBehind() {
 				behind++
 			}
-			Expect(n.nodes[address(i)].core.Outdated(n.now)).To(BeZero())
+			Expect(n.nodes[address(i)].core.OutdatedFor(n.now)).To(BeZero())
 		}
 		Expect(behind).To(Equal(8))
 	})
@@ -156,11 +156,11 @@
 			n.loss = loss
 			late := 0
 			for i := range 30 {
-				v := n.write(fleet.Desired, "config", fmt.Sprint("v", i))
+				v := n.write(fleet.DesiredTable, "config", fmt.Sprint("v", i))
 				n.run(inForceWithin / 2)
-				late += len(n.behind(fleet.Desired, v))
+				late += len(n.behind(fleet.DesiredTable, v))
 				n.run(inForceWithin / 2)
-				Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+				Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 			}
 			Expect(late).To(BeNumerically("<=", 3), "of 270 after half of the time")
 			seen := 0
@@ -180,7 +180,7 @@
 		func(reads bool, way func(a, b fleet.Address) [2]fleet.Address) {
 			var cut fleet.Address
 			for i := range n.nodes {
-				if n.nodes[i].core.Reading() == reads {
+				if n.nodes[i].core.ReadsStore() == reads {
 					cut = max(cut, i)
 				}
 			}
@@ -188,9 +188,9 @@
 				n.cut[way(cut, a)] = a != cut
 			}
 			n.run(2 * time.Second)
-			v := n.write(fleet.Desired, "config", "v2")
+			v := n.write(fleet.DesiredTable, "config", "v2")
 			n.run(inForceWithin)
-			Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+			Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 		},
 		Entry("a reader, it is not heard", true, func(a, b fleet.Address) [2]fleet.Address { return [2]fleet.Address{a, b} }),
 		Entry("a reader, it hears nobody", true, func(a, b fleet.Address) [2]fleet.Address { return [2]fleet.Address{b, a} }),
@@ -202,9 +202,9 @@
 		for _, a := range n.readers() {
 			n.store.refused[a] = true
 		}
-		v := n.write(fleet.Desired, "config", "v2")
+		v := n.write(fleet.DesiredTable, "config", "v2")
 		n.run(inForceWithin)
-		Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+		Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 	})
 
 	It("replaces readers that are killed at once", func() {
@@ -212,9 +212,9 @@
 			n.kill(a)
 		}
 		n.run(100 * time.Millisecond)
-		v := n.write(fleet.Desired, "config", "v2")
+		v := n.write(fleet.DesiredTable, "config", "v2")
 		n.run(inForceWithin)
-		Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+		Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 	})
 
 	It("replaces readers that freeze, and brings them up to date when they wake", func() {
@@ -223,14 +223,14 @@
 			n.nodes[a].frozen = true
 		}
 		n.run(100 * time.Millisecond)
-		v := n.write(fleet.Desired, "config", "v2")
+		v := n.write(fleet.DesiredTable, "config", "v2")
 		n.run(inForceWithin)
-		Expect(n.behind(fleet.Desired, v)).To(ConsistOf(frozen))
+		Expect(n.behind(fleet.DesiredTable, v)).To(ConsistOf(frozen))
 		for _, a := range frozen {
 			n.nodes[a].frozen = false
 		}
 		n.run(time.Second)
-		Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+		Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 		n.run(5 * time.Second)
 		Expect(n.readers()).To(HaveLen(3))
 	})
@@ -241,17 +241,17 @@
 		n.run(time.Second)
 		x := n.start(address(5))
 		n.run(time.Second)
-		Expect(x.core.Known(fleet.Desired)).To(BeTrue())
-		Expect(x.core.Known(fleet.Targets)).To(BeTrue())
+		Expect(x.core.HasTable(fleet.DesiredTable)).To(BeTrue())
+		Expect(x.core.HasTable(fleet.TargetsTable)).To(BeTrue())
 	})
 
 	It("finds routers that no seed names", func() {
 		x := n.start("10.0.9.9:7340")
 		n.run(time.Second)
-		Expect(x.core.Alive(n.now)).To(Equal(9))
+		Expect(x.core.AliveCount(n.now)).To(Equal(9))
 		for a, other := range n.nodes {
 			if a != x.address {
-				Expect(other.core.Alive(n.now)).To(Equal(9))
+				Expect(other.core.AliveCount(n.now)).To(Equal(9))
 			}
 		}
 	})
@@ -261,7 +261,7 @@
 		n.run(2 * time.Second)
 		Expect(n.nodes[address(0)].downs).To(HaveLen(1))
 		leaving := n.readers()[0]
-		n.step(n.nodes[leaving], fleet.Leave{})
+		n.step(n.nodes[leaving], fleet.Shutdown{})
 		n.run(2 * time.Second)
 		Expect(n.readers()).To(HaveLen(3))
 		Expect(n.readers()).NotTo(ContainElement(leaving))
@@ -271,7 +271,7 @@
 	// was under way while the router restarted. Cause: incarnations are not ordered.
 	It("tells which prompts were read where in one digest, and takes in what others tell", func() {
 		c := fleet.New(n.now, fleet.Settings{Self: "self", Incarnation: 1})
-		c.Step(n.now, fleet.DigestIn{From: "other", Digest: &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 1}})
+		c.Step(n.now, fleet.DigestReceived{From: "other", Digest: &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 1}})
 		read := []placement.Read{{Part: 1, Target: 2}}
 		told := func(t fleet.Tick, after time.Duration) (parts, targets []uint64) {
 			for _, a := range c.Step(n.now.Add(after), t) {
@@ -288,19 +288,19 @@
 		Expect(targets).To(Equal([]uint64{2}))
 		Expect(told(fleet.Tick{}, time.Second)).To(BeEmpty())
 		d := &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 2, Report: &peerv1.Report{}, PromptPart: []uint64{7, 8}, PromptTarget: []uint64{9}}
-		Expect(c.Step(n.now, fleet.DigestIn{From: "other", Digest: d})).To(ContainElement(
-			fleet.LoadsHeard{Source: fleet.RouterID("other"), Loads: []placement.Load{}, Prompts: []placement.Read{{Part: 7, Target: 9}}}))
+		Expect(c.Step(n.now, fleet.DigestReceived{From: "other", Digest: d})).To(ContainElement(
+			fleet.ReportReceived{Source: fleet.RouterID("other"), Loads: []placement.Load{}, Prompts: []placement.Read{{Part: 7, Target: 9}}}))
 	})
 
 	It("ignores late digests of an earlier process, and doubled ones", func() {
 		x := n.nodes[address(0)]
 		digest := func(incarnation, sequence uint64, open uint32) int {
 			heard := 0
-			for _, a := range x.core.Step(n.now, fleet.DigestIn{From: "10.0.0.77:7340", Digest: &peerv1.Digest{
+			for _, a := range x.core.Step(n.now, fleet.DigestReceived{From: "10.0.0.77:7340", Digest: &peerv1.Digest{
 				Protocol: fleet.Protocol, Incarnation: incarnation, Sequence: sequence,
 				DataCentre: "dc0", Report: &peerv1.Report{LoadTarget: []uint64{1}, LoadOpen: []uint32{open}},
 			}}) {
-				if l, ok := a.(fleet.LoadsHeard); ok {
+				if l, ok := a.(fleet.ReportReceived); ok {
 					Expect(l.Loads).To(Equal([]placement.Load{{Target: 1, Open: int(open)}}))
 					heard++
 				}
@@ -323,7 +323,7 @@
 		c := fleet.New(n.now, fleet.Settings{Self: "self", Incarnation: 1})
 		now := n.now
 		digest := func(incarnation, sequence uint64) {
-			c.Step(now, fleet.DigestIn{From: "other", Digest: &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: incarnation, Sequence: sequence}})
+			c.Step(now, fleet.DigestReceived{From: "other", Digest: &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: incarnation, Sequence: sequence}})
 		}
 		digest(8, 1)
 		digest(7, 40)
@@ -332,16 +332,16 @@
 			c.Step(now, fleet.Tick{})
 			digest(8, 2+i)
 		}
-		Expect(c.Alive(now)).To(Equal(1))
+		Expect(c.AliveCount(now)).To(Equal(1))
 		digest(7, 41)
 		now = now.Add(400 * time.Millisecond)
 		digest(8, 12)
-		Expect(c.Alive(now)).To(Equal(1), "a late one of the old process changes nothing while the new one is heard")
+		Expect(c.AliveCount(now)).To(Equal(1), "a late one of the old process changes nothing while the new one is heard")
 	})
 
 	It("ignores digests of another protocol and answers no copies of one", func() {
 		x := n.nodes[address(0)]
-		Expect(x.core.Step(n.now, fleet.DigestIn{From: "10.0.0.78:7340", Digest: &peerv1.Digest{Protocol: 99}})).To(BeEmpty())
-		Expect(x.core.Copy(&peerv1.CopyRequest{Protocol: 99})).To(Equal(&peerv1.CopyResponse{}))
+		Expect(x.core.Step(n.now, fleet.DigestReceived{From: "10.0.0.78:7340", Digest: &peerv1.Digest{Protocol: 99}})).To(BeEmpty())
+		Expect(x.core.ServeCopy(&peerv1.CopyRequest{Protocol: 99})).To(Equal(&peerv1.CopyResponse{}))
 	})
 })
--- a/internal/core/fleet/leaving_test.go
+++ b/internal/core/fleet/leaving_test.go
@@ -30,14 +30,14 @@
 		for i := range 9 {
 			n.store.silent[address(i)] = true
 		}
-		n.write(fleet.Targets, "t2", "ready")
+		n.write(fleet.TargetsTable, "t2", "ready")
 		n.run(200 * time.Millisecond)
 		clear(n.store.silent)
 		n.run(3 * time.Second)
 		Expect(n.readers()).To(HaveLen(3))
-		v := n.write(fleet.Targets, "t1", "draining")
+		v := n.write(fleet.TargetsTable, "t1", "draining")
 		n.run(leftWithin)
-		Expect(n.behind(fleet.Targets, v)).To(BeEmpty())
+		Expect(n.behind(fleet.TargetsTable, v)).To(BeEmpty())
 	})
 })
 
@@ -112,14 +112,14 @@
 		for _, x := range n.nodes {
 			n.limit(x, linkBytes)
 		}
-		v := n.write(fleet.Desired, "config", strings.Repeat("x", stateBytes))
+		v := n.write(fleet.DesiredTable, "config", strings.Repeat("x", stateBytes))
 		for range 50 {
 			n.run(20 * time.Millisecond)
 			for _, x := range n.nodes {
 				Expect(x.link.out.Sub(n.now)).To(BeNumerically("<", 300*time.Millisecond), "what a request waits for on its way out of %s", x.address)
 			}
 		}
-		Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+		Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 	})
 })
 
@@ -165,7 +165,7 @@
 				case 4:
 					n.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
 				case 5:
-					n.write(fleet.Desired, "config", strings.Repeat("x", rapid.IntRange(10, 2000).Draw(t, "bytes")))
+					n.write(fleet.DesiredTable, "config", strings.Repeat("x", rapid.IntRange(10, 2000).Draw(t, "bytes")))
 				case 6:
 					n.store.silent[a] = !n.store.silent[a]
 				}
@@ -181,9 +181,9 @@
 			for _, x := range n.nodes {
 				x.downs, x.link.digests = nil, 0
 			}
-			v := n.write(fleet.Targets, "t1", "draining")
+			v := n.write(fleet.TargetsTable, "t1", "draining")
 			n.run(leftWithin)
-			if late := n.behind(fleet.Targets, v); len(late) > 0 {
+			if late := n.behind(fleet.TargetsTable, v); len(late) > 0 {
 				t.Fatalf("behind: %v", late)
 			}
 			for i := range routers {
--- a/internal/core/fleet/levels_test.go
+++ b/internal/core/fleet/levels_test.go
@@ -122,7 +122,7 @@
 	count, first := n.deaf(allTargets)
 	Expect(count).To(BeZero(), first)
 	for _, x := range n.nodes {
-		Expect(x.core.Alive(n.now)).To(Equal(routers-1), "%s", x.address)
+		Expect(x.core.AliveCount(n.now)).To(Equal(routers-1), "%s", x.address)
 	}
 }
 
@@ -158,8 +158,8 @@
 	}
 	n.run(250 * time.Millisecond)
 	for _, x := range n.nodes {
-		Expect(x.core.Known(fleet.Desired)).To(BeTrue(), "%s", x.address)
-		Expect(x.core.Known(fleet.Targets)).To(BeTrue(), "%s", x.address)
+		Expect(x.core.HasTable(fleet.DesiredTable)).To(BeTrue(), "%s", x.address)
+		Expect(x.core.HasTable(fleet.TargetsTable)).To(BeTrue(), "%s", x.address)
 	}
 	n.run(2 * time.Second)
 	count, first := n.deaf(allTargets)
@@ -242,7 +242,7 @@
 				case 5:
 					n.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
 				case 6:
-					n.write(fleet.Desired, "config", strings.Repeat("x", rapid.IntRange(10, 20_000).Draw(t, "bytes")))
+					n.write(fleet.DesiredTable, "config", strings.Repeat("x", rapid.IntRange(10, 20_000).Draw(t, "bytes")))
 				}
 				n.run(time.Duration(rapid.IntRange(10, 2500).Draw(t, "ms")) * time.Millisecond)
 			}
@@ -252,9 +252,9 @@
 					n.equip(x, i%targets)
 				}
 			}
-			last := n.write(fleet.Desired, "config", "last")
+			last := n.write(fleet.DesiredTable, "config", "last")
 			n.run(10 * time.Second)
-			if late := n.behind(fleet.Desired, last); len(late) > 0 {
+			if late := n.behind(fleet.DesiredTable, last); len(late) > 0 {
 				t.Fatalf("behind: %v", late)
 			}
 			if count, first := n.deaf(targets); count > 0 {
@@ -278,7 +278,7 @@
 		}
 		n.run(5 * time.Second)
 		for _, x := range n.nodes {
-			Expect(x.core.Alive(n.now)).To(Equal(routers-1), "seed %d, %s", seed, x.address)
+			Expect(x.core.AliveCount(n.now)).To(Equal(routers-1), "seed %d, %s", seed, x.address)
 		}
 		Expect(n.readers()).To(HaveLen(3), "seed %d", seed)
 	}
--- a/internal/core/fleet/many_test.go
+++ b/internal/core/fleet/many_test.go
@@ -203,8 +203,8 @@
 	It("puts a large desired state in force everywhere in a part of the time that it has", func() {
 		n := fleetOf(62, targets)
 		n.run(3 * time.Second)
-		v := n.write(fleet.Desired, "config", strings.Repeat("x", 27_000)) // 1,650 routes, packed
+		v := n.write(fleet.DesiredTable, "config", strings.Repeat("x", 27_000)) // 1,650 routes, packed
 		n.run(inForceWithin / 2)
-		Expect(n.behind(fleet.Desired, v)).To(BeEmpty())
+		Expect(n.behind(fleet.DesiredTable, v)).To(BeEmpty())
 	})
 })
--- a/internal/core/fleet/net_store_test.go
+++ b/internal/core/fleet/net_store_test.go
@@ -21,8 +21,8 @@
 // store is a platform store whose rows have one counter of versions.
 type store struct {
 	version uint64
-	rows    [fleet.Tables]map[string]replica.Row
-	log     [fleet.Tables][]replica.Row
+	rows    [fleet.TableCount]map[string]replica.Row
+	log     [fleet.TableCount][]replica.Row
 	waiting []*waiting
 	calls   int
 	// rowsRead are those that calls for whole tables returned.
@@ -50,14 +50,14 @@
 	return true
 }
 
-func (n *net) whole(x *node, a fleet.ReadWhole) {
+func (n *net) whole(x *node, a fleet.ReadTable) {
 	if n.refuses(x, a.Table, time.Second) {
 		return
 	}
 	calls := x.calls[a.Table]
 	n.after(storeTime, func() {
-		n.store.rowsRead += min(len(n.store.rows[a.Table]), orAll(a.Most))
-		if a.Most > 0 && len(n.store.rows[a.Table]) > a.Most {
+		n.store.rowsRead += min(len(n.store.rows[a.Table]), orAll(a.MaxRows))
+		if a.MaxRows > 0 && len(n.store.rows[a.Table]) > a.MaxRows {
 			n.end(x, calls, a.Table, fleet.ReadFailed{Table: a.Table, TooLarge: true})
 			return
 		}
@@ -65,7 +65,7 @@
 		for _, r := range n.store.rows[a.Table] {
 			rows = append(rows, r)
 		}
-		n.end(x, calls, a.Table, fleet.WholeRead{Table: a.Table, Position: n.store.version, Rows: rows})
+		n.end(x, calls, a.Table, fleet.TableRead{Table: a.Table, Position: n.store.version, Rows: rows})
 	})
 }
 
@@ -77,7 +77,7 @@
 	return most
 }
 
-func (n *net) follow(x *node, a fleet.Follow) {
+func (n *net) follow(x *node, a fleet.ReadChanges) {
 	if n.refuses(x, a.Table, a.Wait) {
 		return
 	}
@@ -113,7 +113,7 @@
 		n.end(x, w.calls, w.table, fleet.ReadFailed{Table: w.table})
 		return
 	}
-	n.end(x, w.calls, w.table, fleet.FollowRead{Table: w.table, Position: n.store.version, Rows: rows})
+	n.end(x, w.calls, w.table, fleet.ChangesRead{Table: w.table, Position: n.store.version, Rows: rows})
 }
 
 func (n *net) expire(w *waiting) {
--- a/internal/core/fleet/net_test.go
+++ b/internal/core/fleet/net_test.go
@@ -58,7 +58,7 @@
 	// link carries digests and copies, each way; nil if there is no limit.
 	link *link
 	// budget bounds what copies take of the link.
-	budget *fleet.ServeBudget
+	budget *fleet.CopyBudget
 	// loads are what the node tells of its open requests, told what it knows of others', by source.
 	loads []placement.Load
 	told  map[uint32]heard
@@ -70,9 +70,9 @@
 	detector      *poison.Detector
 	knowsSuspects bool
 
-	calls   [fleet.Tables]int // generation: calls of an earlier one were stopped
-	pending [fleet.Tables]int
-	changed []fleet.Changed
+	calls   [fleet.TableCount]int // generation: calls of an earlier one were stopped
+	pending [fleet.TableCount]int
+	changed []fleet.TableChanged
 	downs   []fleet.PeerDown
 	// inForce are the versions of the desired table, as they came in force.
 	inForce []uint64
@@ -81,7 +81,7 @@
 // limit gives a node a link.
 func (n *net) limit(x *node, bytesPerSecond int) {
 	x.link = &link{bytesPerSecond: bytesPerSecond}
-	x.budget = fleet.NewServeBudget(n.now, int64(bytesPerSecond))
+	x.budget = fleet.NewCopyBudget(n.now, int64(bytesPerSecond))
 }
 
 // net is a fleet of cores on a simulated clock.
@@ -127,8 +127,8 @@
 	for i := range n.store.rows {
 		n.store.rows[i] = make(map[string]replica.Row)
 	}
-	n.write(fleet.Desired, "config", "v1")
-	n.write(fleet.Targets, "t1", "ready")
+	n.write(fleet.DesiredTable, "config", "v1")
+	n.write(fleet.TargetsTable, "t1", "ready")
 	for i := range routers {
 		n.start(address(i))
 	}
@@ -179,11 +179,11 @@
 	}
 	x.core = fleet.New(x.startsAt, fleet.Settings{
 		Self: a, Incarnation: n.starts * 7919, Seed: n.starts, DataCentre: dataCentre, Strength: strength,
-		StartsFirst: n.now.After(start), InForceWithin: inForceWithin, LeftWithin: leftWithin,
+		ReadsAtStart: n.now.After(start), MaxApplyDelay: inForceWithin, MaxLeavingDelay: leftWithin,
 	})
 	n.nodes[a] = x
 	n.after(x.startsAt.Sub(n.now), func() {
-		n.step(x, fleet.Found{Addresses: []fleet.Address{address(0), address(1), address(2)}})
+		n.step(x, fleet.AddressesDiscovered{Addresses: []fleet.Address{address(0), address(1), address(2)}})
 	})
 	n.after(x.startsAt.Sub(n.now)+time.Duration(n.rand.Float64()*float64(fleet.TickInterval)), func() { n.tick(x) })
 	return x
@@ -193,7 +193,7 @@
 	n.after(fleet.TickInterval, func() {
 		if x.up {
 			x.detector.Tick(n.now)
-			n.step(x, fleet.Tick{Loads: x.loads, News: x.news(n.now)})
+			n.step(x, fleet.Tick{Loads: x.loads, UrgentReports: x.news(n.now)})
 			n.tick(x)
 		}
 	})
@@ -213,7 +213,7 @@
 		n.act(x, a)
 	}
 	if x.fresh || x.detector.Fresh() {
-		n.step(x, fleet.Learned{News: x.news(n.now)})
+		n.step(x, fleet.ReportsPending{UrgentReports: x.news(n.now)})
 	}
 }
 
@@ -242,53 +242,53 @@
 	case fleet.SendDigest:
 		for i, to := range a.To {
 			d := a.Digest
-			if i < len(a.Yours) && a.Yours[i] != nil {
+			if i < len(a.RecipientReports) && a.RecipientReports[i] != nil {
 				d = proto.Clone(d).(*peerv1.Digest)
-				d.Yours = a.Yours[i]
+				d.Yours = a.RecipientReports[i]
 			}
 			n.after(time.Duration(i/burst)*burstPause, func() { n.digest(x.address, to, d) })
 		}
-	case fleet.Follow:
+	case fleet.ReadChanges:
 		n.follow(x, a)
-	case fleet.ReadWhole:
+	case fleet.ReadTable:
 		n.whole(x, a)
-	case fleet.StopFollowing:
+	case fleet.CancelReadChanges:
 		x.calls[a.Table]++
 		for range x.pending[a.Table] {
-			n.after(hop, func() { n.step(x, fleet.ReadFailed{Table: a.Table, Stopped: true}) })
+			n.after(hop, func() { n.step(x, fleet.ReadFailed{Table: a.Table, Cancelled: true}) })
 		}
 		x.pending[a.Table] = 0
-	case fleet.CopyFrom:
+	case fleet.RequestCopy:
 		n.copy(x, a)
-	case fleet.Changed:
+	case fleet.TableChanged:
 		x.changed = append(x.changed, a)
-		if a.Table == fleet.Desired {
+		if a.Table == fleet.DesiredTable {
 			x.inForce = append(x.inForce, a.Version)
 		}
 	case fleet.PeerDown:
 		x.downs = append(x.downs, a)
 		delete(x.told, a.Source)
-	case fleet.LoadsForgotten:
+	case fleet.ReportsDiscarded:
 		if len(a.Sources) == 0 {
 			clear(x.told)
 		}
 		for _, s := range a.Sources {
 			delete(x.told, s)
 		}
-	case fleet.SuspectsKnown:
+	case fleet.SuspectsSynced:
 		x.knowsSuspects = true
-	case fleet.LoadsHeard:
+	case fleet.ReportReceived:
 		x.hear(n.now, a)
 	}
 }
 
 // news returns what is to be told at once.
-func (x *node) news(now time.Time) fleet.News {
-	return fleet.News{Departures: x.tell(), Poison: x.detector.TakeNews(now), Held: x.detector.All(now), HeldKnown: x.knowsSuspects}
+func (x *node) news(now time.Time) fleet.UrgentReports {
+	return fleet.UrgentReports{Departures: x.tell(), Poison: x.detector.TakeNews(now), HeldSuspects: x.detector.All(now), HeldSynced: x.knowsSuspects}
 }
 
 // hear takes in what others told, and passes news of departures on as the gateway does.
-func (x *node) hear(now time.Time, a fleet.LoadsHeard) {
+func (x *node) hear(now time.Time, a fleet.ReportReceived) {
 	if !a.Partial {
 		x.told[a.Source] = heard{now, a.Loads}
 	}
@@ -343,7 +343,7 @@
 			x.link.heard += size
 		}
 		if took, lost := x.link.receive(n.now, size, true); !lost {
-			n.after(took, func() { n.step(x, fleet.DigestIn{From: from, Digest: d}) })
+			n.after(took, func() { n.step(x, fleet.DigestReceived{From: from, Digest: d}) })
 		}
 	})
 }
@@ -351,19 +351,19 @@
 // datagramHeader is what the network adds to a digest.
 const datagramHeader = 28
 
-func (n *net) copy(x *node, a fleet.CopyFrom) {
+func (n *net) copy(x *node, a fleet.RequestCopy) {
 	n.after(2*hop, func() {
 		peer, ok := n.nodes[a.Peer]
 		if !ok || !peer.up || peer.frozen || !n.converse(x.address, a.Peer) {
-			n.after(a.Timeout, func() { n.step(x, fleet.Copied{From: a.Peer, Table: a.Table}) })
+			n.after(a.Timeout, func() { n.step(x, fleet.CopyCompleted{From: a.Peer, Table: a.Table}) })
 			return
 		}
-		reply := peer.core.Copy(&peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(a.Table), After: a.After})
+		reply := peer.core.ServeCopy(&peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(a.Table), After: a.After})
 		wait := x.receive(n.now, reply)
 		if peer.link != nil {
-			if !peer.budget.Take(n.now, proto.Size(reply)) {
-				holders := peer.core.Holders(n.now, a.Table, x.address)
-				n.after(hop, func() { n.step(x, fleet.Copied{From: a.Peer, Table: a.Table, Busy: true, Holders: holders}) })
+			if !peer.budget.Allow(n.now, proto.Size(reply)) {
+				holders := peer.core.TableHolders(n.now, a.Table, x.address)
+				n.after(hop, func() { n.step(x, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Busy: true, Holders: holders}) })
 				return
 			}
 			sent, _ := peer.link.send(n.now, proto.Size(reply), false)
@@ -373,7 +373,7 @@
 		if wait > a.Timeout {
 			wait, reply = a.Timeout, nil
 		}
-		n.after(wait, func() { n.step(x, fleet.Copied{From: a.Peer, Table: a.Table, Reply: reply}) })
+		n.after(wait, func() { n.step(x, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Reply: reply}) })
 	})
 }
 
@@ -405,7 +405,7 @@
 // readers returns the routers that read the store.
 func (n *net) readers() (out []fleet.Address) {
 	for a, x := range n.nodes {
-		if x.up && x.core.Reading() {
+		if x.up && x.core.ReadsStore() {
 			out = append(out, a)
 		}
 	}
--- a/internal/core/fleet/peers.go
+++ b/internal/core/fleet/peers.go
@@ -18,8 +18,8 @@
 	vouched     time.Time      // when a relay told last that it runs; zero if never
 	voucher     Address        // that relay
 	since       time.Time      // known since, or told of again after a while
-	versions    [Tables]uint64 // to be had from it; 0 after a copy failed, until its next digest
-	told        [Tables]uint64 // versions as it told last
+	versions    [TableCount]uint64 // to be had from it; 0 after a copy failed, until its next digest
+	told        [TableCount]uint64 // versions as it told last
 	reading     bool
 	leaving     bool
 	up          bool
@@ -81,7 +81,7 @@
 func centreID(dataCentre string) uint32 { return uint32(rendezvous.Hash("data centre " + dataCentre)) }
 
 // digestIn takes in a digest and reports whether it may change who reads the store.
-func (c *Core) digestIn(now time.Time, ev DigestIn) bool {
+func (c *Core) digestIn(now time.Time, ev DigestReceived) bool {
 	d := ev.Digest
 	if d.GetProtocol() != Protocol || ev.From == c.settings.Self {
 		return false
@@ -113,7 +113,7 @@
 		p.greeted = now
 		c.greet = append(c.greet, ev.From)
 	}
-	c.behind = c.behind || p.told[Desired] > c.tables[Desired].Version()
+	c.behind = c.behind || p.told[DesiredTable] > c.tables[DesiredTable].Version()
 	if p.ahead(c) {
 		c.copyIfBehind(now)
 	}
@@ -152,7 +152,7 @@
 func (p *peer) take(now time.Time, from Address, d *peerv1.Digest) {
 	p.incarnation, p.sequence, p.heard = d.GetIncarnation(), d.GetSequence(), now
 	p.reading, p.leaving, p.relay = d.GetReading(), d.GetLeaving(), d.GetRelay()
-	p.versions = [Tables]uint64{}
+	p.versions = [TableCount]uint64{}
 	copy(p.versions[:], d.GetVersions())
 	p.told = p.versions
 	p.placed, p.dataCentre, p.rank = true, d.GetDataCentre(), rankOf(from, d.GetStrength())
@@ -196,7 +196,7 @@
 // data centre says that of those only that the same relay told of before: another one may hear them. One of
 // the fleet says it of all, unless it has less than half of those that are known: then it says more of its sender.
 func (c *Core) dropUnlisted(now time.Time, from Address, scope peerv1.Scope, listed int) {
-	if scope == peerv1.Scope_SCOPE_FLEET && 2*listed < c.Alive(now) {
+	if scope == peerv1.Scope_SCOPE_FLEET && 2*listed < c.AliveCount(now) {
 		return
 	}
 	for _, p := range c.all() {
@@ -241,7 +241,7 @@
 	return p
 }
 
-func (c *Core) found(now time.Time, ev Found) {
+func (c *Core) found(now time.Time, ev AddressesDiscovered) {
 	for _, a := range ev.Addresses {
 		if a != c.settings.Self {
 			c.peer(now, a)
@@ -261,7 +261,7 @@
 	for _, p := range c.all() {
 		if p.up && !p.alive(now) {
 			p.up = false
-			c.emit(PeerDown{Peer: p.address, Source: RouterID(p.address), Silent: now.Sub(p.heard)})
+			c.emit(PeerDown{Peer: p.address, Source: RouterID(p.address), SilentFor: now.Sub(p.heard)})
 		}
 		if now.Sub(latest(p.sign(), p.since)) > forgetAfter {
 			delete(c.peers, p.address)
@@ -277,8 +277,8 @@
 	return b
 }
 
-// Heard returns the routers of which there was a sign within forgetAfter, this one included.
-func (c *Core) Heard() map[Address]bool {
+// RecentRouters returns the routers of which there was a sign within forgetAfter, this one included.
+func (c *Core) RecentRouters() map[Address]bool {
 	out := map[Address]bool{c.settings.Self: true}
 	for _, p := range c.all() {
 		if !p.sign().IsZero() {
@@ -288,8 +288,8 @@
 	return out
 }
 
-// Alive returns the number of other routers that are alive.
-func (c *Core) Alive(now time.Time) int {
+// AliveCount returns the number of other routers that are alive.
+func (c *Core) AliveCount(now time.Time) int {
 	return c.count(func(p *peer) bool { return p.alive(now) })
 }
 
@@ -304,9 +304,9 @@
 	return out
 }
 
-// Others returns the other routers of which there was a sign within forgetAfter, or that were told of then, in order, whether they run
+// PeerAddresses returns the other routers of which there was a sign within forgetAfter, or that were told of then, in order, whether they run
 // or not.
-func (c *Core) Others() []Address {
+func (c *Core) PeerAddresses() []Address {
 	out := make([]Address, 0, len(c.peers))
 	for _, p := range c.all() {
 		out = append(out, p.address)
@@ -314,8 +314,8 @@
 	return out
 }
 
-// Direct returns the number of other routers that this one hears itself.
-func (c *Core) Direct(now time.Time) int {
+// DirectPeerCount returns the number of other routers that this one hears itself.
+func (c *Core) DirectPeerCount(now time.Time) int {
 	return c.count(func(p *peer) bool { return p.direct(now) })
 }
 
--- a/internal/core/fleet/poison_test.go
+++ b/internal/core/fleet/poison_test.go
@@ -37,7 +37,7 @@
 	x := n.nodes[a]
 	x.detector.Ended(n.now, f, target)
 	if x.detector.Fresh() {
-		n.step(x, fleet.Learned{News: x.news(n.now)})
+		n.step(x, fleet.ReportsPending{UrgentReports: x.news(n.now)})
 	}
 }
 
--- a/internal/core/fleet/serve.go
+++ b/internal/core/fleet/serve.go
@@ -14,27 +14,27 @@
 	onePacket = 1400
 )
 
-// ServeBudget bounds what copies take of a VM's link. When a large table changes, all routers ask the few that have
+// CopyBudget bounds what copies take of a VM's link. When a large table changes, all routers ask the few that have
 // it at the same moment. Served all at once, each copy is so slow that it is given up and asked for elsewhere, and
 // the bytes of both fill the link. Those that find no room are told so at once, and ask one of the others
 // that have it by then; so a change spreads like a tree, and faster. It is not safe for concurrent use.
-type ServeBudget struct {
+type CopyBudget struct {
 	rate   float64 // bytes a second; 0 if there is no bound
 	burst  float64
 	tokens float64
 	at     time.Time
 }
 
-// NewServeBudget returns the budget for a link that carries so many bytes a second, 0 if it is not known.
-func NewServeBudget(now time.Time, linkBytes int64) *ServeBudget {
-	b := &ServeBudget{rate: serveShare * float64(linkBytes), burst: serveBurst.Seconds() * float64(linkBytes), at: now}
+// NewCopyBudget returns the budget for a link that carries so many bytes a second, 0 if it is not known.
+func NewCopyBudget(now time.Time, linkBytes int64) *CopyBudget {
+	b := &CopyBudget{rate: serveShare * float64(linkBytes), burst: serveBurst.Seconds() * float64(linkBytes), at: now}
 	b.tokens = b.burst
 	return b
 }
 
-// Take takes the bytes of a copy out of the budget if there is room. A copy larger than the burst finds room when
+// Allow takes the bytes of a copy out of the budget if there is room. A copy larger than the burst finds room when
 // nothing else was served for a while, and is paid for afterwards.
-func (b *ServeBudget) Take(now time.Time, bytes int) bool {
+func (b *CopyBudget) Allow(now time.Time, bytes int) bool {
 	if b.rate == 0 {
 		return true
 	}
--- a/internal/core/fleet/store.go
+++ b/internal/core/fleet/store.go
@@ -5,7 +5,7 @@
 // storeSource is the source of content that this router read itself.
 const storeSource = "store"
 
-func (c *Core) followRead(now time.Time, ev FollowRead) {
+func (c *Core) followRead(now time.Time, ev ChangesRead) {
 	r := &c.readers[ev.Table]
 	c.succeeded(r)
 	r.position, r.heardAt = max(r.position, ev.Position), now
@@ -18,7 +18,7 @@
 	}
 }
 
-func (c *Core) wholeRead(now time.Time, ev WholeRead) {
+func (c *Core) wholeRead(now time.Time, ev TableRead) {
 	r := &c.readers[ev.Table]
 	c.succeeded(r)
 	r.heardAt = now
@@ -47,14 +47,14 @@
 
 // batchPause returns how long to wait after changes of a table before asking for more.
 func (c *Core) batchPause(t Table) time.Duration {
-	bound := c.settings.InForceWithin
-	if t == Targets {
-		bound = c.settings.LeftWithin
+	bound := c.settings.MaxApplyDelay
+	if t == TargetsTable {
+		bound = c.settings.MaxLeavingDelay
 	}
 	switch {
 	case !c.first:
 		return time.Duration(standbyBatchShare * float64(bound))
-	case t == Targets:
+	case t == TargetsTable:
 		return time.Duration(listBatchShare * float64(bound))
 	}
 	return 0
@@ -76,7 +76,7 @@
 // this router tells the others that it reads. Brief waits for this table as well would cost half as many calls again
 // on a calm day; doubts cost two for each change of another table. The other readers need none: the first one hears.
 func (c *Core) doubt(now time.Time, newest uint64) {
-	r := &c.readers[Targets]
+	r := &c.readers[TargetsTable]
 	if c.first && r.waiting && r.position < newest && r.doubtedAt.IsZero() {
 		r.doubtedAt = now
 	}
@@ -85,13 +85,13 @@
 // endDoubted ends a call that has been doubted for long enough. The next one goes on where it began, and
 // does not wait: if its answer is lost as well, that shows at once.
 func (c *Core) endDoubted(now time.Time) {
-	r := &c.readers[Targets]
-	if !r.waiting || r.doubtedAt.IsZero() || now.Sub(r.heardAt) < time.Duration(doubtShare*float64(c.settings.InForceWithin)) {
+	r := &c.readers[TargetsTable]
+	if !r.waiting || r.doubtedAt.IsZero() || now.Sub(r.heardAt) < time.Duration(doubtShare*float64(c.settings.MaxApplyDelay)) {
 		return
 	}
 	if now.Sub(r.doubtedAt) >= answerTime {
 		r.doubtedAt, r.probe = time.Time{}, true
-		c.emit(StopFollowing{Table: Targets})
+		c.emit(CancelReadChanges{Table: TargetsTable})
 	}
 }
 
@@ -99,7 +99,7 @@
 	r := &c.readers[ev.Table]
 	r.waiting, r.doubtedAt = false, time.Time{}
 	switch {
-	case ev.Stopped:
+	case ev.Cancelled:
 		return
 	case ev.HistoryLost:
 		r.needAll = true
@@ -125,7 +125,7 @@
 	if reachable := c.healthy(); reachable != c.reachable {
 		c.reachable = reachable
 		c.news = true
-		c.emit(StoreChanged{Reading: c.reading, Reachable: reachable})
+		c.emit(StoreStateChanged{Reading: c.reading, Reachable: reachable})
 	}
 }
 
@@ -153,7 +153,7 @@
 			r := &c.readers[i]
 			r.ok = should && !r.heardAt.IsZero() && now.Sub(r.heardAt) < noReaderFor // it has just been reached
 		}
-		c.emit(StoreChanged{Reading: should, Reachable: c.reachable})
+		c.emit(StoreStateChanged{Reading: should, Reachable: c.reachable})
 		if !should {
 			c.stopReading()
 		}
@@ -179,7 +179,7 @@
 func (c *Core) stopFollowing() {
 	for i := range c.readers {
 		c.readers[i].pausedUntil = time.Time{}
-		c.emit(StopFollowing{Table: Table(i)})
+		c.emit(CancelReadChanges{Table: Table(i)})
 	}
 }
 
@@ -196,14 +196,14 @@
 	if r.waiting || now.Before(r.retryAt) || now.Before(r.pausedUntil) {
 		return
 	}
-	if !c.relay && t != Desired && c.readers[Desired].failures > 0 {
+	if !c.relay && t != DesiredTable && c.readers[DesiredTable].failures > 0 {
 		return // one table tells when the store is back
 	}
 	r.waiting = true
 	// A copy from another router may be newer than what this one read last.
 	r.position = max(r.position, c.tables[t].Version())
 	if r.needAll {
-		c.emit(ReadWhole{Table: t})
+		c.emit(ReadTable{Table: t})
 		return
 	}
 	wait := longWait
@@ -211,10 +211,10 @@
 	case !r.ok || r.probe:
 		r.probe = false
 		wait = 0 // the answer shows at once that the store is within reach
-	case c.first && t == Desired:
-		wait = time.Duration(briefShare * float64(c.settings.InForceWithin))
+	case c.first && t == DesiredTable:
+		wait = time.Duration(briefShare * float64(c.settings.MaxApplyDelay))
 	}
-	c.emit(Follow{Table: t, After: r.position, Wait: wait})
+	c.emit(ReadChanges{Table: t, After: r.position, Wait: wait})
 }
 
 // mayJoin reports whether this router should begin to read, if so many readers are
@@ -240,7 +240,7 @@
 // waits for nobody.
 func (c *Core) startDelay(now time.Time) time.Duration {
 	delay := startDelay
-	if c.settings.StartsFirst {
+	if c.settings.ReadsAtStart {
 		delay = min(restartDelay, restartDelay*time.Duration(len(c.peers)))
 		for _, p := range c.all() {
 			if p.placed && !p.alive(now) {
@@ -308,20 +308,20 @@
 			if !r.largeAt.IsZero() {
 				most = 0
 			}
-			c.emit(ReadWhole{Table: Table(i), Most: most})
+			c.emit(ReadTable{Table: Table(i), MaxRows: most})
 		}
 	}
 }
 
 func (c *Core) lacks(now time.Time, t Table) bool {
 	copying := &c.copying[t]
-	if !c.tables[t].Known() {
-		waited := c.settings.StartsFirst || now.Sub(c.started) >= firstStartPatience
+	if !c.tables[t].Loaded() {
+		waited := c.settings.ReadsAtStart || now.Sub(c.started) >= firstStartPatience
 		if large := c.readers[t].largeAt; !large.IsZero() {
 			waited = now.Sub(large) >= largePatience
 		}
 		return waited && !now.Before(copying.until)
 	}
 	behind := copying.behindSince
-	return !behind.IsZero() && now.Sub(behind) >= time.Duration(behindShare*float64(c.settings.InForceWithin))
+	return !behind.IsZero() && now.Sub(behind) >= time.Duration(behindShare*float64(c.settings.MaxApplyDelay))
 }
--- a/internal/core/fleet/store_test.go
+++ b/internal/core/fleet/store_test.go
@@ -21,7 +21,7 @@
 		n.run(8 * time.Second)
 		Expect(n.store.calls - before).To(BeNumerically("<", 500))
 		n.store.down = false
-		n.write(fleet.Desired, "config", "v2")
+		n.write(fleet.DesiredTable, "config", "v2")
 		n.run(1500 * time.Millisecond)
 		for _, x := range n.nodes {
 			Expect(x.inForce[len(x.inForce)-1]).To(Equal(n.store.version))
@@ -33,7 +33,7 @@
 		const routers, entries = 150, 1500
 		n := newNetOf(routers, 3, 2)
 		for i := range entries {
-			n.write(fleet.Targets, fmt.Sprint("t", i), "ready")
+			n.write(fleet.TargetsTable, fmt.Sprint("t", i), "ready")
 		}
 		n.run(4 * time.Second)
 		for i := range routers {
@@ -46,7 +46,7 @@
 		}
 		n.run(2500 * time.Millisecond)
 		for _, x := range n.nodes {
-			Expect(x.core.Known(fleet.Targets)).To(BeTrue())
+			Expect(x.core.HasTable(fleet.TargetsTable)).To(BeTrue())
 		}
 		Expect(n.store.rowsRead).To(BeNumerically("<", 60*entries))
 	})
--- a/internal/core/fleet/sums.go
+++ b/internal/core/fleet/sums.go
@@ -12,7 +12,7 @@
 // each other one by its sum; all others count what their relay tells of the fleet.
 func (c *Core) takeReport(now time.Time, from Address, p *peer, d *peerv1.Digest) {
 	loads, outcomes := loadsOf(d.GetReport()), outcomesOf(d.GetReport())
-	h := LoadsHeard{Prompts: promptsOf(d), Departures: departuresOf(d), Poison: poisonOf(d), Partial: true}
+	h := ReportReceived{Prompts: promptsOf(d), Departures: departuresOf(d), Poison: poisonOf(d), Partial: true}
 	near := p.dataCentre == c.settings.DataCentre
 	if c.relay && d.GetScope() != peerv1.Scope_SCOPE_FLEET {
 		c.toFollowers.add(h.Prompts)
@@ -73,7 +73,7 @@
 			}
 		}
 		if len(forgotten) > 0 {
-			c.emit(LoadsForgotten{Sources: forgotten})
+			c.emit(ReportsDiscarded{Sources: forgotten})
 		}
 	}
 	c.moved = s.take(now, loads, outcomes) || c.moved
@@ -94,7 +94,7 @@
 	}
 	c.toCentres, c.toFollowers = outbox{}, outbox{}
 	c.fedAt = time.Time{}
-	c.emit(LoadsForgotten{})
+	c.emit(ReportsDiscarded{})
 }
 
 func (c *Core) centreNames() []string {
--- a/internal/core/fleet/suspects.go
+++ b/internal/core/fleet/suspects.go
@@ -23,8 +23,8 @@
 	known bool // this router holds what the others do, or what the store has
 }
 
-func (c *Core) hold(n News) {
-	c.suspects = suspects{held: n.Held, sum: poison.Sum(n.Held), known: n.HeldKnown}
+func (c *Core) hold(n UrgentReports) {
+	c.suspects = suspects{held: n.HeldSuspects, sum: poison.Sum(n.HeldSuspects), known: n.HeldSynced}
 }
 
 // compareSuspects notes whether the sender of a digest holds the same suspects as this router.
@@ -34,12 +34,12 @@
 	case d.GetSuspectsSum() == own.sum:
 		if !own.known && !d.GetSuspectsUnknown() {
 			own.known = true
-			c.emit(SuspectsKnown{})
+			c.emit(SuspectsSynced{})
 		}
 		return
 	case len(own.held) == 0, now.Sub(p.toldSuspects) < differEvery:
 		return
-	case d.GetScope() == peerv1.Scope_SCOPE_FLEET && c.rand.IntN(c.Alive(now)+1) >= differTold:
+	case d.GetScope() == peerv1.Scope_SCOPE_FLEET && c.rand.IntN(c.AliveCount(now)+1) >= differTold:
 		return
 	}
 	p.toldSuspects = now
--- a/internal/core/fleet/sweep_test.go
+++ b/internal/core/fleet/sweep_test.go
@@ -38,13 +38,13 @@
 		n := newNet(3)
 		n.run(5e9)
 		one := n.nodes[address(0)]
-		Expect(one.core.Heard()).To(HaveLen(3))
+		Expect(one.core.RecentRouters()).To(HaveLen(3))
 		n.kill(address(2))
 		n.run(70e9)
-		Expect(one.core.Heard()).To(HaveLen(2))
+		Expect(one.core.RecentRouters()).To(HaveLen(2))
 		firsts := 0
 		for _, x := range n.nodes {
-			if x.up && x.core.First() {
+			if x.up && x.core.IsFirstReader() {
 				firsts++
 			}
 		}
--- a/internal/core/fleet/tell.go
+++ b/internal/core/fleet/tell.go
@@ -164,7 +164,7 @@
 		if part.lists {
 			c.list(now, d, func(p *peer) bool { return p.alive(now) })
 		}
-		c.emit(SendDigest{To: part.to, Digest: d, Yours: c.yours(now, part.to, tells)})
+		c.emit(SendDigest{To: part.to, Digest: d, RecipientReports: c.yours(now, part.to, tells)})
 	}
 }
 
--- a/internal/core/fleet/topology.go
+++ b/internal/core/fleet/topology.go
@@ -205,8 +205,8 @@
 // FedAt returns when the relay that feeds this router did so last; zero if never.
 func (c *Core) FedAt() time.Time { return c.fedAt }
 
-// Local returns the routers of the own data centre that run and do not leave, if this one is the first relay there.
-func (c *Core) Local(now time.Time) []Address {
+// LocalRouters returns the routers of the own data centre that run and do not leave, if this one is the first relay there.
+func (c *Core) LocalRouters(now time.Time) []Address {
 	own := c.centres[c.settings.DataCentre]
 	if c.leaving || !c.relay || own.relays()[0].address != c.settings.Self {
 		return nil
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -100,7 +100,7 @@
 
 // candidates are targets that a chat may go to, the first one first.
 type candidates struct {
-	targets [rendezvous.MaxTop]*target // not a slice: every placement would allocate one
+	targets [rendezvous.MaxTopNodes]*target // not a slice: every placement would allocate one
 	n       int
 	// home says that the first is the first in the chat's order.
 	home bool
@@ -115,10 +115,10 @@
 	order := p.order(a.Chat, skip)
 	for i, t := range p.targets {
 		if t.stays() && !a.excludes(t.UID) {
-			top.Offer(int32(i), order.weight(t), rendezvous.MaxTop)
+			top.Insert(int32(i), order.weight(t), rendezvous.MaxTopNodes)
 		}
 	}
-	var crowded [rendezvous.MaxTop]*target
+	var crowded [rendezvous.MaxTopNodes]*target
 	m := 0
 	level := spillLevel*p.mean() + 1
 	for i := range top.Len {
--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -17,21 +17,21 @@
 	return z ^ (z >> 31)
 }
 
-// MaxTop is the largest number of nodes that Top returns.
-const MaxTop = 16
+// MaxTopNodes is the largest number of nodes that Top returns.
+const MaxTopNodes = 16
 
 // Top holds the indexes of the highest weighted nodes in descending order.
 type Top struct {
-	Index  [MaxTop]int32
-	weight [MaxTop]uint64
+	Index  [MaxTopNodes]int32
+	weight [MaxTopNodes]uint64
 	Len    int
 }
 
 // Reset empties t.
 func (t *Top) Reset() { t.Len = 0 }
 
-// Offer inserts node index with the given weight, keeping the best limit nodes.
-func (t *Top) Offer(index int32, weight uint64, limit int) {
+// Insert inserts node index with the given weight, keeping the best limit nodes.
+func (t *Top) Insert(index int32, weight uint64, limit int) {
 	if t.Len == limit && weight <= t.weight[limit-1] {
 		return
 	}
@@ -50,8 +50,8 @@
 	t.Index[at] = index
 }
 
-// First returns the id with the highest weight for key, and false if ids is empty.
-func First(key uint64, ids []uint32) (uint32, bool) {
+// Highest returns the id with the highest weight for key, and false if ids is empty.
+func Highest(key uint64, ids []uint32) (uint32, bool) {
 	var best uint32
 	var bestWeight uint64
 	for i, id := range ids {
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -34,8 +34,8 @@
 // New returns the copy of a table of which nothing is known.
 func New() *Table { return &Table{rows: make(map[string]Row)} }
 
-// Known reports whether the table has been read at all.
-func (t *Table) Known() bool { return t.known }
+// Loaded reports whether the table has been read at all.
+func (t *Table) Loaded() bool { return t.known }
 
 // Version returns the version of the last change of content, 0 if unknown.
 func (t *Table) Version() uint64 { return t.version }
@@ -114,10 +114,10 @@
 	}
 }
 
-// Since returns what another copy lacks: the changes after its version in order,
+// ChangesSince returns what another copy lacks: the changes after its version in order,
 // or the whole table if removals may be missing from those. Rows newer than the table's version, as a read in
 // several pages brings, are left out: a copy that had them would take itself to have all that is older.
-func (t *Table) Since(after uint64) (rows []Row, whole bool) {
+func (t *Table) ChangesSince(after uint64) (rows []Row, whole bool) {
 	if after == 0 || after < t.floor {
 		return t.Rows(), true
 	}
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -77,15 +77,15 @@
 				case 1:
 					c.Load(h.version(), h.whole())
 				case 2:
-					if c.Known() {
+					if c.Loaded() {
 						c.Apply(h.since(c.Version()), 0)
 					}
 				case 3:
 					from := copies[rapid.IntRange(0, len(copies)-1).Draw(t, "from")]
-					if !from.Known() {
+					if !from.Loaded() {
 						continue
 					}
-					if rows, whole := from.Since(c.Version()); whole {
+					if rows, whole := from.ChangesSince(c.Version()); whole {
 						c.Load(from.Version(), rows)
 					} else {
 						c.Apply(rows, from.Version())
@@ -95,7 +95,7 @@
 					t.Fatalf("version fell from %d to %d", before, c.Version())
 				}
 				asOf[i] = c.Version()
-				if !c.Known() {
+				if !c.Loaded() {
 					continue
 				}
 				want := h.content[c.Version()]
@@ -118,7 +118,7 @@
 	It("takes in the first transaction after an empty read", func() {
 		t := replica.New()
 		t.Load(0, nil)
-		Expect(t.Known()).To(BeTrue())
+		Expect(t.Loaded()).To(BeTrue())
 		r := row("config", "first")
 		r.Version = 1
 		Expect(t.Apply([]replica.Row{r}, 0)).To(BeTrue())
@@ -136,7 +136,7 @@
 		b.Load(4, []replica.Row{r})
 		Expect(a.Load(9, []replica.Row{r})).To(BeFalse())
 		Expect(a.Version()).To(BeEquivalentTo(9))
-		rows, whole := a.Since(b.Version())
+		rows, whole := a.ChangesSince(b.Version())
 		Expect(whole).To(BeFalse())
 		Expect(b.Apply(rows, a.Version())).To(BeFalse())
 		Expect(b.Version()).To(BeEquivalentTo(9))
@@ -148,9 +148,9 @@
 		for v := uint64(2); v < 2000; v++ {
 			t.Apply([]replica.Row{{Key: fmt.Sprint(v), Version: v, Removed: true}}, 0)
 		}
-		_, whole := t.Since(2)
+		_, whole := t.ChangesSince(2)
 		Expect(whole).To(BeTrue())
-		rows, whole := t.Since(1998)
+		rows, whole := t.ChangesSince(1998)
 		Expect(whole).To(BeFalse())
 		Expect(rows).To(HaveLen(1))
 	})
@@ -166,7 +166,7 @@
 		other.Load(10, []replica.Row{{Key: "a", Value: []byte("ready"), Version: 5}, {Key: "k", Value: []byte("old"), Version: 6}})
 		ahead.Load(10, []replica.Row{{Key: "a", Value: []byte("ready"), Version: 5}, {Key: "k", Value: []byte("new"), Version: 12}})
 		copyTo := func() {
-			rows, whole := ahead.Since(other.Version())
+			rows, whole := ahead.ChangesSince(other.Version())
 			if whole {
 				other.Load(ahead.Version(), rows)
 			} else {
--- a/internal/core/router/requests.go
+++ b/internal/core/router/requests.go
@@ -118,7 +118,7 @@
 	}
 	live := c.ownersInReach(now)
 	for _, name := range pools {
-		owner, ok := rendezvous.First(rendezvous.Hash(name), live)
+		owner, ok := rendezvous.Highest(rendezvous.Hash(name), live)
 		if !ok {
 			owner = c.settings.Self
 		}
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -262,6 +262,6 @@
 		if p.Targets[i].Leaving {
 			continue
 		}
-		top.Offer(int32(i), rendezvous.Mix(chat, p.Targets[i].seed), limit)
+		top.Insert(int32(i), rendezvous.Mix(chat, p.Targets[i].seed), limit)
 	}
 }
--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -130,7 +130,7 @@
 	var top rendezvous.Top
 	key := rendezvous.Mix(uint64(r.chat.id), 1)
 	for i, e := range usable {
-		top.Offer(int32(i), rendezvous.Mix(key, rendezvous.Hash(e.name)), rendezvous.MaxTop)
+		top.Insert(int32(i), rendezvous.Mix(key, rendezvous.Hash(e.name)), rendezvous.MaxTopNodes)
 	}
 	out := make([]uint64, top.Len)
 	for i := range out {
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -88,7 +88,7 @@
 		for i := range ids {
 			ids[i] = uint32(i + 1)
 		}
-		owner, _ := rendezvous.First(rendezvous.Hash(poolName), ids)
+		owner, _ := rendezvous.Highest(rendezvous.Hash(poolName), ids)
 		f.kill(int(owner) - 1)
 		f.sim.clock.After(restartAfter, func() { f.net.Restart(int(owner)-1, f.newCore(int(owner)-1)) })
 		f.killOwners()
