--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous orders nodes for a key by highest random weight, so that
-// every process computes the same order without shared state, and a joining or
-// leaving node moves only the keys that it gains or loses.
+// Package rendezvous orders nodes for a key by highest random weight. All processes compute the
+// same order without shared state. A node that joins or leaves moves only the keys that it gains or
+// loses.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
@@ -17,10 +17,10 @@
 	return z ^ (z >> 31)
 }
 
-// MaxTopNodes is the largest number of nodes that Top returns.
+// MaxTopNodes is the largest number of nodes that a Top can hold.
 const MaxTopNodes = 16
 
-// Top holds the indexes of the highest weighted nodes in descending order.
+// Top holds the indexes of the nodes with the highest weights, in descending order of weight.
 type Top struct {
 	Index  [MaxTopNodes]int32
 	weight [MaxTopNodes]uint64
@@ -30,27 +30,27 @@
 // Reset empties t.
 func (t *Top) Reset() { t.Len = 0 }
 
-// Insert inserts node index with the given weight, keeping the best limit nodes.
+// Insert adds the node at index with its weight. It keeps only the limit nodes of highest weight.
 func (t *Top) Insert(index int32, weight uint64, limit int) {
 	if t.Len == limit && weight <= t.weight[limit-1] {
 		return
 	}
-	at := t.Len
-	if at == limit {
-		at--
+	pos := t.Len
+	if pos == limit {
+		pos--
 	} else {
 		t.Len++
 	}
-	for at > 0 && t.weight[at-1] < weight {
-		t.weight[at] = t.weight[at-1]
-		t.Index[at] = t.Index[at-1]
-		at--
+	for pos > 0 && t.weight[pos-1] < weight {
+		t.weight[pos] = t.weight[pos-1]
+		t.Index[pos] = t.Index[pos-1]
+		pos--
 	}
-	t.weight[at] = weight
-	t.Index[at] = index
+	t.weight[pos] = weight
+	t.Index[pos] = index
 }
 
-// Highest returns the id with the highest weight for key, and false if ids is empty.
+// Highest returns the ID with the highest weight for key. It returns false if ids is empty.
 func Highest(key uint64, ids []uint32) (uint32, bool) {
 	var best uint32
 	var bestWeight uint64
@@ -63,11 +63,11 @@
 	return best, len(ids) > 0
 }
 
-// Rank returns how many of ids rank before id for key.
+// Rank returns how many of ids have a higher weight than id for key.
 func Rank(key uint64, id uint32, ids []uint32) int {
-	own, rank := Mix(key, uint64(id)+1), 0
+	weight, rank := Mix(key, uint64(id)+1), 0
 	for _, other := range ids {
-		if other != id && Mix(key, uint64(other)+1) > own {
+		if other != id && Mix(key, uint64(other)+1) > weight {
 			rank++
 		}
 	}
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -1,7 +1,6 @@
-// Package replica holds one router's copy of a platform table. Copies of different
-// routers agree because each is the table as of one version: the copy with the
-// higher version replaces the other, whichever way it arrives, and never the
-// reverse.
+// Package replica holds one router's copy of a platform table. Each copy is the table as of one
+// version, so copies of different routers agree: a copy with a higher version replaces an older
+// one, whichever way it arrives, and never the reverse.
 package replica
 
 import (
@@ -14,33 +13,34 @@
 type Row struct {
 	Key     string
 	Value   []byte
-	Version uint64 // of the transaction that wrote it
+	Version uint64 // version of the transaction that wrote the row
 	Removed bool
 }
 
-// maxRemoved is how many removed rows are kept for routers that lag. Those that
-// lag by more get the whole table.
+// maxRemoved is how many removed rows are kept for routers with older copies. A router whose copy
+// is older than these receives the whole table.
 const maxRemoved = 512
 
-// Table is a copy of one table. It is not safe for concurrent use.
+// Table is a router's copy of one table. It is not safe for concurrent use.
 type Table struct {
-	rows    map[string]Row
-	removed []Row  // by version
-	version uint64 // of the last change of content
-	floor   uint64 // all removals after this version are in removed
-	known   bool
+	rows         map[string]Row
+	removed      []Row  // in order of version
+	version      uint64 // version of the last change to the content
+	removedSince uint64 // removed holds every removal after this version
+	loaded       bool
 }
 
-// New returns the copy of a table of which nothing is known.
+// New returns an empty copy that has not been loaded.
 func New() *Table { return &Table{rows: make(map[string]Row)} }
 
-// Loaded reports whether the table has been read at all.
-func (t *Table) Loaded() bool { return t.known }
+// Loaded reports whether the table has been loaded at least once.
+func (t *Table) Loaded() bool { return t.loaded }
 
-// Version returns the version of the last change of content, 0 if unknown.
+// Version returns the version of the last change to the content, or 0 if the table has not been
+// loaded.
 func (t *Table) Version() uint64 { return t.version }
 
-// Rows returns the rows in the order of their keys.
+// Rows returns the rows sorted by key.
 func (t *Table) Rows() []Row {
 	out := make([]Row, 0, len(t.rows))
 	for _, r := range t.rows {
@@ -50,26 +50,26 @@
 	return out
 }
 
-// Load replaces the copy by the whole table as of a version and reports whether
-// the content changed. An older one changes nothing.
+// Load replaces the copy with the whole table as of version. It reports whether the content
+// changed. A version that is not newer than the copy is ignored.
 func (t *Table) Load(version uint64, rows []Row) bool {
-	if t.known && version <= t.version {
+	if t.loaded && version <= t.version {
 		return false
 	}
 	next := make(map[string]Row, len(rows))
 	for _, r := range rows {
 		next[r.Key] = r
 	}
-	if t.known && t.equals(next) {
+	if t.loaded && t.hasSameRows(next) {
 		t.version = version
 		return false
 	}
 	t.rows, t.removed = next, nil
-	t.version, t.floor, t.known = version, version, true
+	t.version, t.removedSince, t.loaded = version, version, true
 	return true
 }
 
-func (t *Table) equals(rows map[string]Row) bool {
+func (t *Table) hasSameRows(rows map[string]Row) bool {
 	if len(rows) != len(t.rows) {
 		return false
 	}
@@ -82,24 +82,24 @@
 	return true
 }
 
-// Apply takes in changes in the order of their versions and reports whether the
-// content changed. Rows that the copy has already change nothing. The copy is then
-// as of version at least; 0 if that is not known.
+// Apply applies changes, which are sorted by version, and reports whether the content changed. Rows
+// that are not newer than the copy are ignored. The version of the copy is at least version
+// afterwards; 0 means that the version is unknown.
 func (t *Table) Apply(rows []Row, version uint64) bool {
 	changed := false
-	before := t.version // several rows of one transaction share their version
+	versionBefore := t.version // rows of one transaction share a version
 	for _, r := range rows {
-		if r.Version <= before {
+		if r.Version <= versionBefore {
 			continue
 		}
-		t.put(r)
+		t.applyRow(r)
 		changed = true
 	}
 	t.version = max(t.version, version)
 	return changed
 }
 
-func (t *Table) put(r Row) {
+func (t *Table) applyRow(r Row) {
 	t.version = r.Version
 	if !r.Removed {
 		t.rows[r.Key] = r
@@ -109,16 +109,17 @@
 	t.removed = append(t.removed, r)
 	if len(t.removed) > maxRemoved {
 		cut := len(t.removed) - maxRemoved/2
-		t.floor = t.removed[cut-1].Version
+		t.removedSince = t.removed[cut-1].Version
 		t.removed = slices.Clone(t.removed[cut:])
 	}
 }
 
-// ChangesSince returns what another copy lacks: the changes after its version in order,
-// or the whole table if removals may be missing from those. Rows newer than the table's version, as a read in
-// several pages brings, are left out: a copy that had them would take itself to have all that is older.
+// ChangesSince returns what a copy of version after lacks: the later changes sorted by version, or
+// the whole table if removals may be missing from the changes. A read in several pages can leave
+// rows newer than the table's version; these are omitted, because a copy that received them would
+// wrongly skip all older changes.
 func (t *Table) ChangesSince(after uint64) (rows []Row, whole bool) {
-	if after == 0 || after < t.floor {
+	if after == 0 || after < t.removedSince {
 		return t.Rows(), true
 	}
 	for _, r := range t.rows {
--- a/internal/core/replica/replica_test.go
+++ b/internal/core/replica/replica_test.go
@@ -11,17 +11,17 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-// history is a table at the store: every transaction, and the content after each.
+// history simulates a table of the store: all changes, and the content at each version.
 type history struct {
 	log     []replica.Row
-	content []map[string]replica.Row // by version
+	content []map[string]replica.Row // indexed by version
 }
 
 func newHistory() *history { return &history{content: []map[string]replica.Row{{}}} }
 
 func (h *history) version() uint64 { return uint64(len(h.content) - 1) }
 
-// transact changes some rows in one transaction.
+// transact applies changes in one transaction.
 func (h *history) transact(rows ...replica.Row) {
 	next := make(map[string]replica.Row)
 	for k, r := range h.content[h.version()] {
@@ -57,20 +57,20 @@
 
 func row(key, value string) replica.Row { return replica.Row{Key: key, Value: []byte(value)} }
 
-var _ = Describe("a copy of a table", func() {
-	// Symptom: routers at the same version that hold different rows, or one that goes
-	// back to an older state. Sequence: any mixture of reads, changes and copies from
-	// other routers, late and doubled. Cause would be a merge by anything but versions.
-	It("is the table as of its version, whichever way the content came", func() {
+var _ = Describe("a table copy", func() {
+	// Guards against routers that hold different rows at the same version, or return to an older
+	// state. Reads, changes and copies from other routers arrive in any order, late and more than
+	// once. A merge that ignored versions would cause it.
+	It("is the table as of its version, whichever way the content arrived", func() {
 		testkit.Check("300", func(t *rapid.T) {
 			h := newHistory()
 			copies := []*replica.Table{replica.New(), replica.New(), replica.New()}
-			asOf := make([]uint64, len(copies))
+			versions := make([]uint64, len(copies))
 			for range rapid.IntRange(1, 40).Draw(t, "steps") {
 				i := rapid.IntRange(0, len(copies)-1).Draw(t, "copy")
 				c := copies[i]
-				before := c.Version()
-				switch rapid.IntRange(0, 3).Draw(t, "what") {
+				versionBefore := c.Version()
+				switch rapid.IntRange(0, 3).Draw(t, "operation") {
 				case 0:
 					key := fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "key"))
 					h.transact(replica.Row{Key: key, Removed: rapid.Bool().Draw(t, "removed")}, row("both", key))
@@ -91,31 +91,30 @@
 						c.Apply(rows, from.Version())
 					}
 				}
-				if c.Version() < before {
-					t.Fatalf("version fell from %d to %d", before, c.Version())
+				if c.Version() < versionBefore {
+					t.Fatalf("version decreased from %d to %d", versionBefore, c.Version())
 				}
-				asOf[i] = c.Version()
+				versions[i] = c.Version()
 				if !c.Loaded() {
 					continue
 				}
 				want := h.content[c.Version()]
 				if len(c.Rows()) != len(want) {
-					t.Fatalf("at version %d: %v, want %v", c.Version(), c.Rows(), want)
+					t.Fatalf("at version %d: rows are %v, want %v", c.Version(), c.Rows(), want)
 				}
 				for _, r := range c.Rows() {
 					if want[r.Key].Version != r.Version {
-						t.Fatalf("at version %d: row %q of version %d, want %d", c.Version(), r.Key, r.Version, want[r.Key].Version)
+						t.Fatalf("at version %d: row %q has version %d, want %d", c.Version(), r.Key, r.Version, want[r.Key].Version)
 					}
 				}
 			}
 		})
 	})
 
-	// Symptom: all routers answer "not ready" for good, though the desired state is
-	// written. Sequence: the table is read while the store has no transaction yet, then
-	// the first one writes the row. Cause: the empty table counted as version 1, and the
-	// first row as known.
-	It("takes in the first transaction after an empty read", func() {
+	// Guards against routers that answer "not ready" permanently although the desired state is
+	// stored. The table is read before the first transaction of the store; if the empty table
+	// counted as version 1, the first row would be ignored as already known.
+	It("applies the first transaction after a read of an empty store", func() {
 		t := replica.New()
 		t.Load(0, nil)
 		Expect(t.Loaded()).To(BeTrue())
@@ -125,10 +124,10 @@
 		Expect(t.Rows()).To(HaveLen(1))
 	})
 
-	// Symptom: two routers copy the same table from each other without end. Sequence:
-	// one reads the whole table again after its history was dropped, with equal content
-	// and a newer version. Cause: the other kept its older version after the copy.
-	It("rises to the version of an equal table", func() {
+	// Guards against two routers that copy the same table from each other without end. One of them
+	// reads the table again after its history was dropped, with equal content and a newer version;
+	// the other must adopt that version when it copies.
+	It("adopts the newer version of a table with equal content", func() {
 		a, b := replica.New(), replica.New()
 		r := row("k", "v")
 		r.Version = 4
@@ -142,7 +141,7 @@
 		Expect(b.Version()).To(BeEquivalentTo(9))
 	})
 
-	It("hands out the whole table to a copy that lags beyond the removals it keeps", func() {
+	It("returns the whole table for a version older than the removals it keeps", func() {
 		t := replica.New()
 		t.Load(1, nil)
 		for v := uint64(2); v < 2000; v++ {
@@ -156,27 +155,27 @@
 	})
 })
 
-var _ = Describe("a table that was read in pages while it changed", func() {
-	// Symptom: a target that said it leaves gets requests from some routers until its entry changes again. Sequence: a list
-	// of more than one page is read while it changes: a row of a later page is newer than the first page, and a
-	// row of the first page changes in between. A router copies the newer row and takes itself to be as new as that. Cause:
-	// a copy was given rows that are newer than the version up to which the table is whole.
-	It("gives others nothing newer than what it has whole", func() {
-		ahead, other := replica.New(), replica.New()
+var _ = Describe("a table copy read in pages during a change", func() {
+	// Guards against a leaving target that receives requests from some routers until its entry
+	// changes again. A list of several pages is read while it changes: a row of a later page is
+	// newer than the first page, and a row of the first page changes in between. A router that
+	// received the newer row would consider its copy as new as that row.
+	It("passes on no rows newer than its complete version", func() {
+		source, other := replica.New(), replica.New()
 		other.Load(10, []replica.Row{{Key: "a", Value: []byte("ready"), Version: 5}, {Key: "k", Value: []byte("old"), Version: 6}})
-		ahead.Load(10, []replica.Row{{Key: "a", Value: []byte("ready"), Version: 5}, {Key: "k", Value: []byte("new"), Version: 12}})
-		copyTo := func() {
-			rows, whole := ahead.ChangesSince(other.Version())
+		source.Load(10, []replica.Row{{Key: "a", Value: []byte("ready"), Version: 5}, {Key: "k", Value: []byte("new"), Version: 12}})
+		copyToOther := func() {
+			rows, whole := source.ChangesSince(other.Version())
 			if whole {
-				other.Load(ahead.Version(), rows)
+				other.Load(source.Version(), rows)
 			} else {
-				other.Apply(rows, ahead.Version())
+				other.Apply(rows, source.Version())
 			}
 		}
-		copyTo()
+		copyToOther()
 		Expect(other.Version()).To(Equal(uint64(10)))
-		ahead.Apply([]replica.Row{{Key: "a", Value: []byte("leaving"), Version: 11}, {Key: "k", Value: []byte("new"), Version: 12}}, 0)
-		copyTo()
-		Expect(other.Rows()).To(Equal(ahead.Rows()))
+		source.Apply([]replica.Row{{Key: "a", Value: []byte("leaving"), Version: 11}, {Key: "k", Value: []byte("new"), Version: 12}}, 0)
+		copyToOther()
+		Expect(other.Rows()).To(Equal(source.Rows()))
 	})
 })
