--- a/internal/core/fleet/sums.go
+++ b/internal/core/fleet/sums.go
@@ -8,89 +8,92 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/placement"
 )
 
-// takeReport takes in what a digest tells of requests. A relay counts the routers of its own data centre one by one, and
-// each other one by its sum; all others count what their relay tells of the fleet.
-func (c *Core) takeReport(now time.Time, from Address, p *peer, d *peerv1.Digest) {
-	loads, outcomes := loadsOf(d.GetReport()), outcomesOf(d.GetReport())
-	h := ReportReceived{Prompts: promptsOf(d), Departures: departuresOf(d), Poison: poisonOf(d), Partial: true}
-	near := p.dataCentre == c.settings.DataCentre
+// handleReport processes the report in a digest. A relay counts each router of its own data centre
+// separately and each other data centre by its sum. All other routers count the fleet's sum from
+// their feeder.
+func (c *Core) handleReport(now time.Time, from Address, p *peer, d *peerv1.Digest) {
+	loads, outcomes := decodeLoads(d.GetReport()), decodeOutcomes(d.GetReport())
+	report := ReportReceived{Prompts: decodePrompts(d), Departures: decodeDepartures(d), Poison: decodePoison(d), Partial: true}
+	sameCentre := p.dataCentre == c.settings.DataCentre
 	if c.relay && d.GetScope() != peerv1.Scope_SCOPE_FLEET {
-		c.toFollowers.add(h.Prompts)
-		if near && p.feeder == c.own.rank.hash {
-			c.toCentres.add(h.Prompts)
+		c.toFollowers.add(report.Prompts)
+		if sameCentre && p.feeder == c.own.rank.hash {
+			c.toCentres.add(report.Prompts)
 		}
 	}
 	switch scope := d.GetScope(); {
-	case d.GetReport() == nil: // it greets or looks for others, and says nothing of requests
-	case scope == peerv1.Scope_SCOPE_FLEET && near && !c.relay:
+	case d.GetReport() == nil: // a greeting or a search for relays has no report
+	case scope == peerv1.Scope_SCOPE_FLEET && sameCentre && !c.relay:
 		if from == c.feeder {
 			c.fedAt = now
 		}
-		loads, outcomes = without(loads, loadsOf(d.GetYours()), outcomes, outcomesOf(d.GetYours()))
-		h.Source, h.Partial = fleetID, false
-	case scope == peerv1.Scope_SCOPE_DATA_CENTRE && !near && c.relay:
-		if c.takeSum(now, p.dataCentre, int(d.GetCounted()), loads, outcomes) {
-			h.Source, h.Partial = centreID(p.dataCentre), false
+		loads, outcomes = subtract(loads, decodeLoads(d.GetYours()), outcomes, decodeOutcomes(d.GetYours()))
+		report.Source, report.Partial = fleetID, false
+	case scope == peerv1.Scope_SCOPE_DATA_CENTRE && !sameCentre && c.relay:
+		if c.updateCentreSum(now, p.dataCentre, int(d.GetCounted()), loads, outcomes) {
+			report.Source, report.Partial = centreID(p.dataCentre), false
 		}
-	case scope == peerv1.Scope_SCOPE_ROUTER && c.relay && !c.summed(now, p.dataCentre):
-		c.moved = p.report.take(now, loads, outcomes) || c.moved
-		h.Source, h.Partial = RouterID(from), false
+	case scope == peerv1.Scope_SCOPE_ROUTER && c.relay && !c.hasCentreSum(now, p.dataCentre):
+		c.reportsChanged = p.report.update(now, loads, outcomes) || c.reportsChanged
+		report.Source, report.Partial = RouterID(from), false
 	}
-	if !h.Partial {
-		h.Loads, h.Outcomes = loads, outcomes
+	if !report.Partial {
+		report.Loads, report.Outcomes = loads, outcomes
 	}
-	if !h.Partial || len(h.Prompts) > 0 || len(h.Departures) > 0 || !h.Poison.Empty() {
-		c.emit(h)
+	if !report.Partial || len(report.Prompts) > 0 || len(report.Departures) > 0 || !report.Poison.Empty() {
+		c.emit(report)
 	}
 }
 
 const (
-	// fuller is the part of the routers that the last sum of a data centre counts which the next one has to count as well,
-	// and fullerFor for how long: a relay that few of its data centre tell, because it has just become one or was cut off,
-	// would otherwise take turns with those that hear all.
-	fuller    = 0.9
-	fullerFor = 500 * time.Millisecond
+	// A data centre's sum is rejected if it covers less than minCountShare of the routers of the
+	// previous sum, unless that sum is older than minCountPeriod. Otherwise the sums of a relay
+	// that receives few digests, because it has just become a relay or was cut off, would alternate
+	// with complete sums.
+	minCountShare  = 0.9
+	minCountPeriod = 500 * time.Millisecond
 )
 
-// takeSum counts a data centre by its sum, and its routers no longer one by one. It reports false if another relay
-// there counts more of them.
-func (c *Core) takeSum(now time.Time, dataCentre string, counted int, loads []placement.Load, outcomes []placement.Outcomes) bool {
-	s, ok := c.sums[dataCentre]
+// updateCentreSum counts a data centre by its sum, and no longer by its routers' own reports. It
+// returns false if another relay there covers more routers.
+func (c *Core) updateCentreSum(now time.Time, dataCentre string, counted int, loads []placement.Load, outcomes []placement.Outcomes) bool {
+	s, ok := c.centreSums[dataCentre]
 	if !ok {
-		s = &reported{}
-		c.sums[dataCentre] = s
+		s = &sourceReport{}
+		c.centreSums[dataCentre] = s
 	}
-	if float64(counted) < fuller*float64(s.counted) && now.Sub(s.at) < fullerFor {
+	if float64(counted) < minCountShare*float64(s.counted) && now.Sub(s.at) < minCountPeriod {
 		return false
 	}
 	s.counted = counted
 	if !s.fresh(now) {
-		var forgotten []uint32
-		for _, p := range c.all() {
+		var discarded []uint32
+		for _, p := range c.sortedPeers() {
 			if p.dataCentre == dataCentre && !p.report.at.IsZero() {
-				p.report = reported{}
-				forgotten = append(forgotten, RouterID(p.address))
+				p.report = sourceReport{}
+				discarded = append(discarded, RouterID(p.address))
 			}
 		}
-		if len(forgotten) > 0 {
-			c.emit(ReportsDiscarded{Sources: forgotten})
+		if len(discarded) > 0 {
+			c.emit(ReportsDiscarded{Sources: discarded})
 		}
 	}
-	c.moved = s.take(now, loads, outcomes) || c.moved
+	c.reportsChanged = s.update(now, loads, outcomes) || c.reportsChanged
 	return true
 }
 
-// summed reports whether a data centre is counted by its sum.
-func (c *Core) summed(now time.Time, dataCentre string) bool {
-	s := c.sums[dataCentre]
+// hasCentreSum reports whether a data centre is counted by its sum.
+func (c *Core) hasCentreSum(now time.Time, dataCentre string) bool {
+	s := c.centreSums[dataCentre]
 	return s != nil && s.fresh(now)
 }
 
-// forgetReports begins to count anew, as a relay or as one that is fed: the sources of both overlap.
-func (c *Core) forgetReports() {
-	clear(c.sums)
-	for _, p := range c.all() {
-		p.report = reported{}
+// discardReports discards all reports when this router becomes a relay or stops being one, because
+// the sources of the two roles overlap.
+func (c *Core) discardReports() {
+	clear(c.centreSums)
+	for _, p := range c.sortedPeers() {
+		p.report = sourceReport{}
 	}
 	c.toCentres, c.toFollowers = outbox{}, outbox{}
 	c.fedAt = time.Time{}
@@ -98,8 +101,8 @@
 }
 
 func (c *Core) centreNames() []string {
-	out := make([]string, 0, len(c.sums))
-	for dc := range c.sums {
+	out := make([]string, 0, len(c.centreSums))
+	for dc := range c.centreSums {
 		out = append(out, dc)
 	}
 	slices.Sort(out)
--- a/internal/core/fleet/suspects.go
+++ b/internal/core/fleet/suspects.go
@@ -8,72 +8,75 @@
 )
 
 const (
-	// differEvery is how often a router is told of all suspects at the most, and suspectsPerDigest how many one digest tells.
-	differEvery       = 400 * time.Millisecond
-	suspectsPerDigest = 32
-	// differTold is how many of a relay's followers tell it what it lacks, in the mean: each hears the same difference.
-	differTold = 3
+	// suspectSyncInterval is the shortest time between two transmissions of all suspects to one
+	// router. suspectsPerDigest is the largest number of suspects in a digest.
+	suspectSyncInterval = 400 * time.Millisecond
+	suspectsPerDigest   = 32
+	// suspectSyncSenders is how many of a relay's followers, on average, send it the suspects that
+	// it lacks. All of them see the same difference.
+	suspectSyncSenders = 3
 )
 
-// suspects is what a router holds of requests that are refused. News of them is told a few times; a router that
-// was not there then, as it started, was cut off or frozen, shows it by its sum.
+// suspects is what a router holds of suspected requests. Poison reports are sent a few times only;
+// a router that missed them because it was starting, cut off or stalled is detected by its
+// checksum.
 type suspects struct {
-	held  []poison.Suspect
-	sum   uint64
-	known bool // this router holds what the others do, or what the store has
+	held   []poison.Suspect
+	sum    uint64
+	synced bool // this router holds the suspects of the other routers or of the store
 }
 
-func (c *Core) hold(n UrgentReports) {
-	c.suspects = suspects{held: n.HeldSuspects, sum: poison.Sum(n.HeldSuspects), known: n.HeldSynced}
+func (c *Core) holdSuspects(reports UrgentReports) {
+	c.suspects = suspects{held: reports.HeldSuspects, sum: poison.Sum(reports.HeldSuspects), synced: reports.HeldSynced}
 }
 
-// compareSuspects notes whether the sender of a digest holds the same suspects as this router.
+// compareSuspects checks whether the sender of a digest holds the same suspects as this router.
 func (c *Core) compareSuspects(now time.Time, p *peer, d *peerv1.Digest) {
 	own := &c.suspects
 	switch {
 	case d.GetSuspectsSum() == own.sum:
-		if !own.known && !d.GetSuspectsUnknown() {
-			own.known = true
+		if !own.synced && !d.GetSuspectsUnknown() {
+			own.synced = true
 			c.emit(SuspectsSynced{})
 		}
 		return
-	case len(own.held) == 0, now.Sub(p.toldSuspects) < differEvery:
+	case len(own.held) == 0, now.Sub(p.suspectsSentAt) < suspectSyncInterval:
 		return
-	case d.GetScope() == peerv1.Scope_SCOPE_FLEET && c.rand.IntN(c.AliveCount(now)+1) >= differTold:
+	case d.GetScope() == peerv1.Scope_SCOPE_FLEET && c.rand.IntN(c.AliveCount(now)+1) >= suspectSyncSenders:
 		return
 	}
-	p.toldSuspects = now
-	c.differ = append(c.differ, p.address)
+	p.suspectsSentAt = now
+	c.suspectSyncPeers = append(c.suspectSyncPeers, p.address)
 }
 
-// tellSuspects tells those that hold other suspects of all that this router holds.
-func (c *Core) tellSuspects(now time.Time) {
-	to := c.differ
+// sendSuspects sends all suspects to the routers that hold other ones.
+func (c *Core) sendSuspects(now time.Time) {
+	to := c.suspectSyncPeers
 	if len(to) == 0 {
 		return
 	}
-	c.differ = nil
+	c.suspectSyncPeers = nil
 	held := c.suspects.held
 	for len(held) > 0 {
 		n := min(len(held), suspectsPerDigest)
-		d := c.compose(now)
+		d := c.newDigest(now)
 		d.Suspects = encodeSuspects(held[:n])
 		held = held[n:]
 		c.emit(SendDigest{To: to, Digest: d})
 	}
 }
 
-// hasNews reports whether there is something that is told at once.
-func (c *Core) hasNews() bool { return len(c.departures) > 0 || !c.poison.Empty() }
+// hasUrgentReports reports whether there are urgent reports to send.
+func (c *Core) hasUrgentReports() bool { return len(c.departures) > 0 || !c.poison.Empty() }
 
-// setNews adds what is told at once.
-func (c *Core) setNews(d *peerv1.Digest) {
-	for _, left := range c.departures {
-		d.LeftTarget = append(d.LeftTarget, left.Target)
-		d.LeftList = append(d.LeftList, left.List)
-		d.LeftGone = append(d.LeftGone, left.Gone)
-		d.LeftSaid = append(d.LeftSaid, left.Said)
-		d.LeftEnded = append(d.LeftEnded, left.Ended)
+// addUrgentReports adds the urgent reports to a digest.
+func (c *Core) addUrgentReports(d *peerv1.Digest) {
+	for _, departure := range c.departures {
+		d.LeftTarget = append(d.LeftTarget, departure.Target)
+		d.LeftList = append(d.LeftList, departure.List)
+		d.LeftGone = append(d.LeftGone, departure.Gone)
+		d.LeftSaid = append(d.LeftSaid, departure.Said)
+		d.LeftEnded = append(d.LeftEnded, departure.Ended)
 	}
 	for _, e := range c.poison.Ends {
 		d.EndedRequest = append(d.EndedRequest, uint64(e.Request))
@@ -96,8 +99,8 @@
 	return out
 }
 
-// poisonOf decodes the news of requests under which targets end.
-func poisonOf(d *peerv1.Digest) poison.News {
+// decodePoison decodes the poison reports of a digest.
+func decodePoison(d *peerv1.Digest) poison.News {
 	var n poison.News
 	for i := range min(len(d.GetEndedRequest()), len(d.GetEndedTarget())) {
 		n.Ends = append(n.Ends, poison.End{Request: poison.Fingerprint(d.GetEndedRequest()[i]), Target: d.GetEndedTarget()[i]})
--- a/internal/core/fleet/sweep.go
+++ b/internal/core/fleet/sweep.go
@@ -1,17 +1,18 @@
 package fleet
 
-// Sweep decides which entries of the store's list of routers are out of date. The zero
-// Sweep has seen nothing.
+// Sweep finds outdated entries in the store's list of routers. The zero Sweep has no earlier
+// result.
 type Sweep struct{ silent map[Address]bool }
 
-// Stale returns the listed routers of which there was no sign at this sweep nor at the one
-// before. One sweep alone says little: an entry may be younger than its first digest.
-func (s *Sweep) Stale(listed []Address, heard map[Address]bool) []Address {
+// Stale returns the listed routers that were neither heard nor vouched for at this sweep and at the
+// one before. One sweep is not enough: an entry may be listed before the router's first digest
+// arrives.
+func (s *Sweep) Stale(listed []Address, recent map[Address]bool) []Address {
 	var out []Address
 	silent := make(map[Address]bool)
 	for _, a := range listed {
 		switch {
-		case heard[a]:
+		case recent[a]:
 		case s.silent[a]:
 			out = append(out, a)
 		default:
--- a/internal/core/fleet/sweep_test.go
+++ b/internal/core/fleet/sweep_test.go
@@ -8,7 +8,7 @@
 )
 
 var _ = Describe("the sweep of the store's list of routers", func() {
-	heard := func(n ...int) map[fleet.Address]bool {
+	recent := func(n ...int) map[fleet.Address]bool {
 		out := map[fleet.Address]bool{}
 		for _, i := range n {
 			out[address(i)] = true
@@ -17,37 +17,37 @@
 	}
 	listed := []fleet.Address{address(0), address(1), address(2)}
 
-	// Symptom: the list grows for ever. Sequence: VMs are lost without a stop, and nobody takes
-	// their entries out.
-	It("finds those of which there is no sign twice", func() {
+	// Guards against a list that grows without limit. VMs are lost without a shutdown, so their
+	// entries are not removed.
+	It("returns routers without a sign at two sweeps", func() {
 		var s fleet.Sweep
-		Expect(s.Stale(listed, heard(0, 1))).To(BeEmpty())
-		Expect(s.Stale(listed, heard(0, 1))).To(Equal([]fleet.Address{address(2)}))
+		Expect(s.Stale(listed, recent(0, 1))).To(BeEmpty())
+		Expect(s.Stale(listed, recent(0, 1))).To(Equal([]fleet.Address{address(2)}))
 	})
 
-	It("keeps those that were heard in between, and those that are new", func() {
+	It("keeps routers heard in between, and new ones", func() {
 		var s fleet.Sweep
-		s.Stale(listed, heard(0, 1))
-		Expect(s.Stale(append(listed, address(3)), heard(0, 1, 2))).To(BeEmpty())
-		Expect(s.Stale(listed, heard(0, 1))).To(BeEmpty(), "counts from anew")
+		s.Stale(listed, recent(0, 1))
+		Expect(s.Stale(append(listed, address(3)), recent(0, 1, 2))).To(BeEmpty())
+		Expect(s.Stale(listed, recent(0, 1))).To(BeEmpty(), "the count restarts")
 	})
 })
 
-var _ = Describe("what a router has heard of", func() {
-	It("is itself and those that spoke within the last minute", func() {
+var _ = Describe("the recently heard routers", func() {
+	It("are the router itself and those heard within the last minute", func() {
 		n := newNet(3)
 		n.run(5e9)
-		one := n.nodes[address(0)]
-		Expect(one.core.RecentRouters()).To(HaveLen(3))
+		survivor := n.nodes[address(0)]
+		Expect(survivor.core.RecentRouters()).To(HaveLen(3))
 		n.kill(address(2))
 		n.run(70e9)
-		Expect(one.core.RecentRouters()).To(HaveLen(2))
-		firsts := 0
+		Expect(survivor.core.RecentRouters()).To(HaveLen(2))
+		firstReaders := 0
 		for _, x := range n.nodes {
 			if x.up && x.core.IsFirstReader() {
-				firsts++
+				firstReaders++
 			}
 		}
-		Expect(firsts).To(Equal(1))
+		Expect(firstReaders).To(Equal(1))
 	})
 })
--- a/internal/core/fleet/tell.go
+++ b/internal/core/fleet/tell.go
@@ -11,133 +11,140 @@
 )
 
 const (
-	// relayHeartbeat is how long a relay without news stays silent: feedSilent has three of them.
-	relayHeartbeat = 200 * time.Millisecond
-	// listEvery is how often relays tell which routers run: three may be lost in a row before vouchLasts is over.
-	listEvery = 400 * time.Millisecond
-	// standbyEvery is how often relays other than the first of a data centre tell its sum: they are there for the case that
-	// the first one fails. All three telling it every time were 31 KB/s a router in the mean at 340 routers.
-	standbyEvery = 400 * time.Millisecond
-	// relayOutcomesEvery is how often a relay tells outcomes. Each level adds to how late they are.
-	relayOutcomesEvery = 200 * time.Millisecond
-	// promptsPerRelayDigest bounds what a relay tells of prompts at once, 16 bytes each, and promptsWaiting what waits: the
-	// oldest is left out, as a target that has read it says so to nobody else.
-	promptsPerRelayDigest = 64
-	promptsWaiting        = 1024
+	// relayHeartbeatInterval is the longest time between two digests of a relay. feedTimeout spans
+	// three of them.
+	relayHeartbeatInterval = 200 * time.Millisecond
+	// listInterval is how often relays send the list of running routers. Three lists in a row may
+	// be lost before vouchTTL ends.
+	listInterval = 400 * time.Millisecond
+	// standbyInterval is how often relays other than the first of a data centre send its sum. They
+	// only cover a failure of the first. If all three sent it every time, the mean would be 31 KB/s
+	// per router at 340 routers.
+	standbyInterval = 400 * time.Millisecond
+	// relayOutcomesInterval is how often a relay sends outcomes. Each level adds to their delay.
+	relayOutcomesInterval = 200 * time.Millisecond
+	// maxPromptsPerDigest limits the prompts in a relay's digest, at 16 bytes each.
+	// maxQueuedPrompts limits the queue. The oldest prompts are dropped, because a target that has
+	// read a prompt reports it to no other router.
+	maxPromptsPerDigest = 64
+	maxQueuedPrompts    = 1024
 )
 
-// outbox is what a relay has to pass on.
+// outbox holds the prompts that a relay has to pass on, and when it last sent the list of routers,
+// a sum and outcomes.
 type outbox struct {
-	prompts  []placement.Read
-	listedAt time.Time
-	summedAt time.Time
-	toldAt   time.Time // of outcomes
+	prompts        []placement.Read
+	listSentAt     time.Time
+	sumSentAt      time.Time
+	outcomesSentAt time.Time
 }
 
 func (o *outbox) add(prompts []placement.Read) {
 	o.prompts = append(o.prompts, prompts...)
-	if over := len(o.prompts) - promptsWaiting; over > 0 {
+	if over := len(o.prompts) - maxQueuedPrompts; over > 0 {
 		o.prompts = slices.Delete(o.prompts, 0, over)
 	}
 }
 
-// take returns what the next digest tells.
-func (o *outbox) take() []placement.Read {
-	n := min(len(o.prompts), promptsPerRelayDigest)
+// takePrompts removes and returns the prompts of the next digest.
+func (o *outbox) takePrompts() []placement.Read {
+	n := min(len(o.prompts), maxPromptsPerDigest)
 	out := o.prompts[:n:n]
 	o.prompts = o.prompts[n:]
 	return out
 }
 
-// due reports whether it is time again, and notes it.
-func due(now time.Time, last *time.Time, every time.Duration) bool {
-	if now.Sub(*last) < every {
+// due reports whether interval has passed since last, and if so sets last to now.
+func due(now time.Time, last *time.Time, interval time.Duration) bool {
+	if now.Sub(*last) < interval {
 		return false
 	}
 	*last = now
 	return true
 }
 
-// digest tells those that this router speaks to what it holds.
-func (c *Core) digest(now time.Time, loads []placement.Load) {
-	c.urgent, c.news, c.moved = c.news, false, false
-	c.lastDigest, c.lastLoads = now, loads
-	c.digestSelf(now)
+// sendDigests sends all digests that this router's role requires.
+func (c *Core) sendDigests(now time.Time, loads []placement.Load) {
+	c.urgent, c.digestPending, c.reportsChanged = c.digestPending, false, false
+	c.lastSentAt, c.lastLoads = now, loads
+	c.sendOwnDigest(now)
 	if c.relay {
-		c.digestCentre(now)
-		c.digestFleet(now)
+		c.sendCentreDigest(now)
+		c.sendFleetDigest(now)
 	}
 	c.prompts, c.departures, c.poison = c.prompts[:0], nil, poison.News{}
 }
 
-// digestSelf tells the relays of the own data centre what this router has open, and those of the others if all
-// routers of the own one do so. One that nobody feeds tells some others as well, which tell it of relays.
-func (c *Core) digestSelf(now time.Time) {
+// sendOwnDigest reports this router's open requests to the relays of its data centre, and to those
+// of the other data centres if its own has relays only. A router without a feeder also sends it to
+// other routers, which reply with a greeting.
+func (c *Core) sendOwnDigest(now time.Time) {
 	own := c.centres[c.settings.DataCentre]
-	to := c.contact
-	c.contact = nil
+	to := c.contacts
+	c.contacts = nil
 	for _, r := range own.relays() {
-		to = c.with(to, r.address)
+		to = c.appendPeer(to, r.address)
 	}
-	if c.relay && !own.hasMembers() {
-		to = append(to, c.relaysElsewhere(now)...)
+	if c.relay && !own.hasFollowers() {
+		to = append(to, c.remoteRelays(now)...)
 	}
-	if c.announce > 0 {
-		c.announce--
-		to = c.announceTo(now, to)
+	if c.announcements > 0 {
+		c.announcements--
+		to = c.announceRecipients(now, to)
 	}
-	if c.seeks(now) && due(now, &c.soughtAt, seekEvery) {
-		if a, ok := c.anyPeer(); ok {
-			to = c.with(to, a)
+	if c.needsRelays(now) && due(now, &c.relaySearchAt, relaySearchInterval) {
+		if a, ok := c.randomPeer(); ok {
+			to = c.appendPeer(to, a)
 		}
 	}
 	if len(to) == 0 {
 		return
 	}
-	d := c.compose(now)
-	d.Seeks = c.seeks(now)
-	d.Report = encode(c.lastLoads, c.outcomes, due(now, &c.toldOutcomes, outcomesEvery))
+	d := c.newDigest(now)
+	d.Seeks = c.needsRelays(now)
+	d.Report = encodeReport(c.lastLoads, c.outcomes, due(now, &c.outcomesSentAt, outcomesInterval))
 	setPrompts(d, c.prompts)
-	c.setNews(d)
-	if c.relay && !own.hasMembers() && due(now, &c.toCentres.listedAt, listEvery) {
-		c.list(now, d, func(p *peer) bool { return p.direct(now) })
+	c.addUrgentReports(d)
+	if c.relay && !own.hasFollowers() && due(now, &c.toCentres.listSentAt, listInterval) {
+		c.addPeerList(now, d, func(p *peer) bool { return p.isHeard(now) })
 	}
 	c.emit(SendDigest{To: to, Digest: d})
 }
 
-// digestCentre tells the relays of the other data centres what the own one has open, in all.
-func (c *Core) digestCentre(now time.Time) {
-	to := c.relaysElsewhere(now)
-	if !c.centres[c.settings.DataCentre].hasMembers() || len(to) == 0 {
+// sendCentreDigest reports the sum of this data centre's open requests to the relays of the others.
+func (c *Core) sendCentreDigest(now time.Time) {
+	to := c.remoteRelays(now)
+	if !c.centres[c.settings.DataCentre].hasFollowers() || len(to) == 0 {
 		return
 	}
 	c.toCentres.add(c.prompts)
-	every := standbyEvery
+	interval := standbyInterval
 	if c.centres[c.settings.DataCentre].relays()[0].address == c.settings.Self {
-		every = 0
+		interval = 0
 	}
-	sums := due(now, &c.toCentres.summedAt, every)
-	if !sums && len(c.toCentres.prompts) == 0 && !c.hasNews() && !c.urgent {
+	sendSum := due(now, &c.toCentres.sumSentAt, interval)
+	if !sendSum && len(c.toCentres.prompts) == 0 && !c.hasUrgentReports() && !c.urgent {
 		return
 	}
-	d := c.compose(now)
+	d := c.newDigest(now)
 	d.Scope = peerv1.Scope_SCOPE_DATA_CENTRE
-	if sums {
+	if sendSum {
 		sum := newTally()
 		c.addOwnCentre(now, sum)
-		d.Report = encode(sum.loads, sum.outcomes, due(now, &c.toCentres.toldAt, relayOutcomesEvery))
-		d.Counted = uint32(c.counted(now))
+		d.Report = encodeReport(sum.loads, sum.outcomes, due(now, &c.toCentres.outcomesSentAt, relayOutcomesInterval))
+		d.Counted = uint32(c.countedRouters(now))
 	}
-	setPrompts(d, c.toCentres.take())
-	c.setNews(d)
-	if due(now, &c.toCentres.listedAt, listEvery) {
-		c.list(now, d, func(p *peer) bool { return p.direct(now) })
+	setPrompts(d, c.toCentres.takePrompts())
+	c.addUrgentReports(d)
+	if due(now, &c.toCentres.listSentAt, listInterval) {
+		c.addPeerList(now, d, func(p *peer) bool { return p.isHeard(now) })
 	}
 	c.emit(SendDigest{To: to, Digest: d})
 }
 
-// digestFleet feeds the routers that ask this relay what the whole fleet has open, and how much of that is theirs.
-func (c *Core) digestFleet(now time.Time) {
+// sendFleetDigest reports the fleet's open requests to the followers of this relay, and each
+// follower's own part of the sum.
+func (c *Core) sendFleetDigest(now time.Time) {
 	to := c.followers(now)
 	if len(to) == 0 {
 		c.toFollowers.prompts = nil
@@ -147,33 +154,33 @@
 	sum := newTally()
 	c.addOwnCentre(now, sum)
 	c.addElsewhere(now, sum)
-	tells := due(now, &c.toFollowers.toldAt, relayOutcomesEvery)
-	report, prompts := encode(sum.loads, sum.outcomes, tells), c.toFollowers.take()
-	listed, others := c.toList(now, to)
+	includeOutcomes := due(now, &c.toFollowers.outcomesSentAt, relayOutcomesInterval)
+	report, prompts := encodeReport(sum.loads, sum.outcomes, includeOutcomes), c.toFollowers.takePrompts()
+	listed, others := c.splitByListDue(now, to)
 	for _, part := range []struct {
-		to    []Address
-		lists bool
+		to          []Address
+		includeList bool
 	}{{listed, true}, {others, false}} {
 		if len(part.to) == 0 {
 			continue
 		}
-		d := c.compose(now)
+		d := c.newDigest(now)
 		d.Scope, d.Report = peerv1.Scope_SCOPE_FLEET, report
 		setPrompts(d, prompts)
-		c.setNews(d)
-		if part.lists {
-			c.list(now, d, func(p *peer) bool { return p.alive(now) })
+		c.addUrgentReports(d)
+		if part.includeList {
+			c.addPeerList(now, d, func(p *peer) bool { return p.isAlive(now) })
 		}
-		c.emit(SendDigest{To: part.to, Digest: d, RecipientReports: c.yours(now, part.to, tells)})
+		c.emit(SendDigest{To: part.to, Digest: d, RecipientReports: c.recipientReports(now, part.to, includeOutcomes)})
 	}
 }
 
-// followers returns the routers that this relay feeds. They begin with another one each time: what a full queue
-// loses is the end, and must not be the same ones' for ever.
+// followers returns the routers that this relay feeds, starting at a random one. A full link queue
+// loses the last digests, and must not always lose those of the same routers.
 func (c *Core) followers(now time.Time) []Address {
 	var to []Address
-	for _, p := range c.all() {
-		if p.feeder == c.own.rank.hash && p.dataCentre == c.settings.DataCentre && p.direct(now) {
+	for _, p := range c.sortedPeers() {
+		if p.feeder == c.own.rank.hash && p.dataCentre == c.settings.DataCentre && p.isHeard(now) {
 			to = append(to, p.address)
 		}
 	}
@@ -184,18 +191,20 @@
 	return append(to[first:len(to):len(to)], to[:first]...)
 }
 
-// listTurns is over how many digests the list of routers is spread. It is larger than all else: told to all
-// followers at once, at 340 routers it took longer than what a small link's queue holds.
-const listTurns = 3
+// listRounds is the number of digests over which the list of routers is spread. The list is larger
+// than all other content: sent to all followers at once, at 340 routers it exceeded the queue of a
+// small link.
+const listRounds = 3
 
-// toList returns those that are due to get the list of routers, and the others.
-func (c *Core) toList(now time.Time, to []Address) (listed, others []Address) {
-	room := (len(to) + listTurns - 1) / listTurns
-	longest := slices.SortedStableFunc(slices.Values(to), func(a, b Address) int {
-		return c.peers[a].listedAt.Compare(c.peers[b].listedAt)
+// splitByListDue splits the recipients into those that are due to receive the list of routers and
+// the others.
+func (c *Core) splitByListDue(now time.Time, to []Address) (listed, others []Address) {
+	listSlots := (len(to) + listRounds - 1) / listRounds
+	byListAge := slices.SortedStableFunc(slices.Values(to), func(a, b Address) int {
+		return c.peers[a].listSentAt.Compare(c.peers[b].listSentAt)
 	})
-	for i, a := range longest {
-		if i < room && due(now, &c.peers[a].listedAt, listEvery) {
+	for i, a := range byListAge {
+		if i < listSlots && due(now, &c.peers[a].listSentAt, listInterval) {
 			listed = append(listed, a)
 		} else {
 			others = append(others, a)
@@ -204,57 +213,57 @@
 	return listed, others
 }
 
-// yours returns what of the sum each router told itself.
-func (c *Core) yours(now time.Time, to []Address, tells bool) []*peerv1.Report {
+// recipientReports returns each recipient's own part of the sum.
+func (c *Core) recipientReports(now time.Time, to []Address, includeOutcomes bool) []*peerv1.Report {
 	out := make([]*peerv1.Report, len(to))
 	for i, a := range to {
 		own := newTally()
 		own.add(now, &c.peers[a].report)
-		out[i] = encode(own.loads, own.outcomes, tells)
+		out[i] = encodeReport(own.loads, own.outcomes, includeOutcomes)
 	}
 	return out
 }
 
-// addOwnCentre adds up what the routers of the own data centre told.
+// addOwnCentre adds the reports of this data centre's routers to sum.
 func (c *Core) addOwnCentre(now time.Time, sum *tally) {
 	sum.addLoads(c.lastLoads, 1)
 	sum.addOutcomes(c.outcomes, 1)
-	for _, p := range c.all() {
+	for _, p := range c.sortedPeers() {
 		if p.dataCentre == c.settings.DataCentre {
 			sum.add(now, &p.report)
 		}
 	}
 }
 
-// counted returns how many routers of the own data centre are in its sum.
-func (c *Core) counted(now time.Time) int {
-	return 1 + c.count(func(p *peer) bool { return p.dataCentre == c.settings.DataCentre && p.report.fresh(now) })
+// countedRouters returns how many routers the sum of this data centre covers.
+func (c *Core) countedRouters(now time.Time) int {
+	return 1 + c.countPeers(func(p *peer) bool { return p.dataCentre == c.settings.DataCentre && p.report.fresh(now) })
 }
 
-// addElsewhere adds up what the other data centres told, each as a sum or by its routers.
+// addElsewhere adds the reports of the other data centres to sum, each as its sum or by router.
 func (c *Core) addElsewhere(now time.Time, sum *tally) {
 	for _, dc := range c.centreNames() {
-		if s := c.sums[dc]; s != nil {
+		if s := c.centreSums[dc]; s != nil {
 			sum.add(now, s)
 		}
 	}
-	for _, p := range c.all() {
+	for _, p := range c.sortedPeers() {
 		if p.dataCentre != c.settings.DataCentre {
 			sum.add(now, &p.report)
 		}
 	}
 }
 
-// compose returns the next digest, with what every digest tells.
-func (c *Core) compose(now time.Time) *peerv1.Digest {
+// newDigest returns a digest with the fields that every digest has.
+func (c *Core) newDigest(now time.Time) *peerv1.Digest {
 	c.sequence++
 	d := &peerv1.Digest{
 		Protocol: Protocol, Incarnation: c.settings.Incarnation, Sequence: c.sequence,
-		Reading: c.reading && c.healthy(), Leaving: c.leaving, Readers: uint32(c.readersKnown),
+		Reading: c.reading && c.storeReachable(), Leaving: c.leaving, Readers: uint32(c.knownReaders),
 		DataCentre: c.settings.DataCentre, Strength: c.settings.Strength, Relay: c.relay,
-		SuspectsSum: c.suspects.sum, SuspectsUnknown: !c.suspects.known,
+		SuspectsSum: c.suspects.sum, SuspectsUnknown: !c.suspects.synced,
 	}
-	c.watch.tell(now, d)
+	c.outages.writeTo(now, d)
 	if p, ok := c.peers[c.feeder]; ok {
 		d.Feeder = p.rank.hash
 	}
@@ -271,27 +280,28 @@
 	}
 }
 
-// with adds an address that is not there yet and not this router's.
-func (c *Core) with(to []Address, a Address) []Address {
+// appendPeer appends an address unless it is already present or this router's own.
+func (c *Core) appendPeer(to []Address, a Address) []Address {
 	if a == c.settings.Self || slices.Contains(to, a) {
 		return to
 	}
 	return append(to, a)
 }
 
-// relaysElsewhere returns the relays of the other data centres, in order: those that rank first, and those that tell
-// this one that they are relays, if the first ones have ended and this router does not know it yet.
-func (c *Core) relaysElsewhere(now time.Time) []Address {
+// remoteRelays returns the relays of the other data centres, sorted: the highest-ranked routers,
+// and standbys whose digests say that they are relays. Such a standby replaced a relay whose exit
+// this router has not detected yet.
+func (c *Core) remoteRelays(now time.Time) []Address {
 	var out []Address
-	for dc, at := range c.centres {
+	for dc, entry := range c.centres {
 		if dc == c.settings.DataCentre {
 			continue
 		}
-		for _, r := range at.relays() {
+		for _, r := range entry.relays() {
 			out = append(out, r.address)
 		}
-		for _, r := range at.next() {
-			if p := c.peers[r.address]; p.relay && p.direct(now) {
+		for _, r := range entry.standbys() {
+			if p := c.peers[r.address]; p.relay && p.isHeard(now) {
 				out = append(out, r.address)
 			}
 		}
@@ -300,14 +310,15 @@
 	return out
 }
 
-// all returns the other routers in order: what is sent must not depend on the order of a map.
-func (c *Core) all() []*peer {
-	if len(c.order) != len(c.peers) || c.reordered {
-		c.order, c.reordered = make([]*peer, 0, len(c.peers)), false
+// sortedPeers returns the other routers sorted by address, because messages must not depend on map
+// order.
+func (c *Core) sortedPeers() []*peer {
+	if len(c.peerOrder) != len(c.peers) || c.peersChanged {
+		c.peerOrder, c.peersChanged = make([]*peer, 0, len(c.peers)), false
 		for _, p := range c.peers {
-			c.order = append(c.order, p)
+			c.peerOrder = append(c.peerOrder, p)
 		}
-		slices.SortFunc(c.order, func(a, b *peer) int { return cmp.Compare(a.address, b.address) })
+		slices.SortFunc(c.peerOrder, func(a, b *peer) int { return cmp.Compare(a.address, b.address) })
 	}
-	return c.order
+	return c.peerOrder
 }
--- a/internal/core/fleet/topology.go
+++ b/internal/core/fleet/topology.go
@@ -8,43 +8,51 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/rendezvous"
 )
 
-// Routers talk on two levels. The first routers in rank of each data centre are its relays: each router tells its
-// relays what it has open, relays tell those of the other data centres the sum, and each router is fed by one relay
-// with the sum over the fleet. What a router sends and takes in so follows the number of relays, and of a relay that of its
-// data centre, where all telling all grew with the fleet.
-// Nobody elects relays: each router ranks those that it knows to run, and a relay that falls silent is left out.
+// Routers exchange reports on two levels. The highest-ranked routers of each data centre are its
+// relays. Each router reports its open requests to its relays, relays send the sum to those of the
+// other data centres, and one relay feeds each router with the sum over the fleet. A router's
+// traffic thus grows with the number of relays, and a relay's also with its data centre, whereas
+// all-to-all digests would grow with the fleet. Relays are not elected: each router ranks the
+// routers that it believes to be running, and omits a relay that falls silent.
 
 const (
-	// relaysPerCentre is how many relays a data centre has: two may fail at the same moment, as with readers. Data centres of so
-	// many routers have relays only, which tell each other all themselves.
+	// relaysPerCentre is the number of relays of a data centre. Two may fail at the same time, as
+	// with store readers. A data centre with no more routers than this has relays only, which
+	// exchange all reports directly.
 	relaysPerCentre = 3
-	// announceTimes is in how many digests a router that has become a relay tells all of its data centre, and the next in rank
-	// of the others: those that know it for ended tell it nothing, and if all relays end at once the new ones must
-	// find each other.
-	announceTimes = 3
-	// feedSilent is how long a router waits for a digest of the relay that feeds it before it asks another one: three
-	// lost in a row and a part. Loads are then almost a second old, of the 1.5 s for which they count.
-	feedSilent = 700 * time.Millisecond
-	// askPatience is how long one that is asked has the time to begin: a tick of each, and one lost digest.
-	askPatience = 400 * time.Millisecond
-	// vouchLasts is for how long the word of a relay counts that another router runs: if all relays of a data centre end
-	// at once, it is 1.5 s before the others have asked each of them, and they have to know of each other then.
-	vouchLasts = 2500 * time.Millisecond
-	// feederDistrusted is for how long a relay that fell silent is asked last, longer than others tell of it.
-	feederDistrusted = vouchLasts + 2*time.Second
-	// seekEvery is how often a router that nobody feeds asks others for relays: at each tick. What hundreds that start at one
-	// moment ask their seeds first is lost in the queues of these; their ticks are not at one moment.
-	seekEvery = TickInterval
-	// greetEvery is how often the same router is told of relays at the most.
-	greetEvery = TickInterval
-	// probeEvery is how often a relay tells some routers that have fallen silent of itself: after a cut between data centres
-	// has ended, none would know of the others otherwise.
-	probeEvery = time.Second
-	// probes is how many it picks at random, beside the first in rank of each data centre of which nobody runs.
-	probes = 3
+	// announceDigests is the number of digests that a new relay sends to its whole data centre and
+	// to the standby relays of the others. Routers that believe the new relay to have exited send
+	// it nothing, and if all relays exit at once the new ones must find each other.
+	announceDigests = 3
+	// feedTimeout is how long a router waits for a digest of its feeder before it chooses another.
+	// It covers three lost digests in a row and a margin. Loads are then almost a second old, of
+	// the 1.5 s for which they count.
+	feedTimeout = 700 * time.Millisecond
+	// feedRequestTimeout is how long a newly chosen feeder has to send its first digest: a tick of
+	// each router and one lost digest.
+	feedRequestTimeout = 400 * time.Millisecond
+	// vouchTTL is how long a relay's vouch for another router counts. If all relays of a data
+	// centre exit at once, the others need 1.5 s to try each of them as feeder, and must still know
+	// of each other then.
+	vouchTTL = 2500 * time.Millisecond
+	// distrustPeriod is how long a relay that fell silent is the last choice as feeder. It exceeds
+	// the time for which other routers vouch for it.
+	distrustPeriod = vouchTTL + 2*time.Second
+	// relaySearchInterval is how often a router without a feeder searches for relays: at each tick.
+	// When hundreds start at once, their first requests are lost in the queues of the seeds' links.
+	// Their ticks are spread over time.
+	relaySearchInterval = TickInterval
+	// greetInterval is the shortest time between two greetings to the same router.
+	greetInterval = TickInterval
+	// probeInterval is how often a relay sends a digest to some silent routers. Without it, data
+	// centres that were cut off from each other would not reconnect.
+	probeInterval = time.Second
+	// randomProbes is the number of silent routers probed at random, besides the highest-ranked of
+	// each data centre without running routers.
+	randomProbes = 3
 )
 
-// rank orders routers in a way that all of them compute alike: those on strong VMs first.
+// rank orders routers by strength, then by hash. All routers compute the same order.
 type rank struct {
 	strength uint32
 	hash     uint64
@@ -61,112 +69,115 @@
 	return cmp.Compare(r.hash, o.hash)
 }
 
-// candidate is a router that runs, as far as is known.
+// candidate is a router that is believed to be running.
 type candidate struct {
 	rank    rank
 	address Address
 }
 
-// centre is a data centre with routers that run.
+// centre is a data centre with running routers.
 type centre struct {
-	first  [2 * relaysPerCentre]candidate // in rank order
-	ranked int                            // how many of first there are
-	alive  int
+	candidates [2 * relaysPerCentre]candidate // highest-ranked routers, in order of rank
+	count      int                            // number of entries of candidates
+	alive      int
 }
 
-// relays returns the first in rank, next those that are relays when these have ended.
-func (c *centre) relays() []candidate { return c.first[:min(c.ranked, relaysPerCentre)] }
-func (c *centre) next() []candidate   { return c.first[min(c.ranked, relaysPerCentre):c.ranked] }
+// relays returns the highest-ranked routers. standbys returns the next ones, which become relays
+// when relays exit.
+func (c *centre) relays() []candidate   { return c.candidates[:min(c.count, relaysPerCentre)] }
+func (c *centre) standbys() []candidate { return c.candidates[min(c.count, relaysPerCentre):c.count] }
 
 func (c *centre) add(n candidate) {
 	c.alive++
-	at := c.ranked
-	for at > 0 && n.rank.compare(c.first[at-1].rank) < 0 {
-		at--
+	pos := c.count
+	for pos > 0 && n.rank.compare(c.candidates[pos-1].rank) < 0 {
+		pos--
 	}
-	if at == len(c.first) {
+	if pos == len(c.candidates) {
 		return
 	}
-	c.ranked = min(c.ranked+1, len(c.first))
-	copy(c.first[at+1:c.ranked], c.first[at:])
-	c.first[at] = n
+	c.count = min(c.count+1, len(c.candidates))
+	copy(c.candidates[pos+1:c.count], c.candidates[pos:])
+	c.candidates[pos] = n
 }
 
-func (c *centre) hasMembers() bool { return c.alive > len(c.relays()) }
+func (c *centre) hasFollowers() bool { return c.alive > len(c.relays()) }
 
 func (c *centre) isRelay(a Address) bool {
 	return c != nil && slices.ContainsFunc(c.relays(), func(r candidate) bool { return r.address == a })
 }
 
-// arrange ranks the routers that run. Those that leave are relays no longer, and are fed until they end.
-func (c *Core) arrange(now time.Time) {
-	c.unarranged = false
+// updateTopology ranks the running routers. Leaving routers are no relays, but are fed until they
+// exit.
+func (c *Core) updateTopology(now time.Time) {
+	c.topologyStale = false
 	clear(c.centres)
-	c.join(c.settings.DataCentre, c.own, !c.leaving)
-	for _, p := range c.all() {
-		if p.placed && (p.alive(now) || p.young(now)) && !p.lost(now) {
-			c.join(p.dataCentre, candidate{p.rank, p.address}, !p.leaving)
+	c.addCandidate(c.settings.DataCentre, c.own, !c.leaving)
+	for _, p := range c.sortedPeers() {
+		if p.located && (p.isAlive(now) || p.isNew(now)) && !p.failedAsFeeder(now) {
+			c.addCandidate(p.dataCentre, candidate{p.rank, p.address}, !p.leaving)
 		}
 	}
-	was := c.relay
+	wasRelay := c.relay
 	c.relay = c.centres[c.settings.DataCentre].isRelay(c.settings.Self)
-	if was != c.relay {
-		c.forgetReports()
-		c.news = true
-		c.announce = announceTimes
+	if wasRelay != c.relay {
+		c.discardReports()
+		c.digestPending = true
+		c.announcements = announceDigests
 	}
-	before := c.feeder
+	feederBefore := c.feeder
 	c.chooseFeeder(now)
-	if was != c.relay || before != c.feeder {
+	if wasRelay != c.relay || feederBefore != c.feeder {
 		c.emit(RoleChanged{Relay: c.relay, Feeder: c.feeder})
 	}
 }
 
-func (c *Core) join(dataCentre string, n candidate, mayRelay bool) {
-	at, ok := c.centres[dataCentre]
+func (c *Core) addCandidate(dataCentre string, n candidate, canRelay bool) {
+	entry, ok := c.centres[dataCentre]
 	if !ok {
-		at = &centre{}
-		c.centres[dataCentre] = at
+		entry = &centre{}
+		c.centres[dataCentre] = entry
 	}
-	if mayRelay {
-		at.add(n)
+	if canRelay {
+		entry.add(n)
 	} else {
-		at.alive++
+		entry.alive++
 	}
 }
 
-// chooseFeeder keeps the relay that feeds this router, or asks another one if it is silent or relay no longer.
+// chooseFeeder keeps the current feeder, or chooses another relay if the feeder is silent or no
+// longer a relay.
 func (c *Core) chooseFeeder(now time.Time) {
 	own := c.centres[c.settings.DataCentre]
 	if c.relay {
 		c.feeder = ""
 		return
 	}
-	silent := now.Sub(c.askedAt) > askPatience
-	if !c.fedAt.Before(c.askedAt) {
-		silent = now.Sub(c.fedAt) > feedSilent
+	silent := now.Sub(c.feedRequestedAt) > feedRequestTimeout
+	if !c.fedAt.Before(c.feedRequestedAt) {
+		silent = now.Sub(c.fedAt) > feedTimeout
 	}
 	if c.feeder != "" && own.isRelay(c.feeder) && !silent {
 		return
 	}
 	if p, ok := c.peers[c.feeder]; ok && silent {
-		// Who told that it runs may not know yet that it has ended. Were all relays killed at once, all others
-		// would wait for them until the last word has run out.
-		p.distrusted, p.vouched = now, time.Time{}
+		// Routers that vouch for it may not know yet that it exited. Without this, if all relays
+		// were killed at once, the other routers would wait for them until the last vouch expires.
+		p.distrustedAt, p.vouchedAt = now, time.Time{}
 	}
-	c.feeder, c.askedAt = "", now
+	c.feeder, c.feedRequestedAt = "", now
 	var best candidate
 	for _, r := range own.relays() {
-		if c.feeder == "" || c.feedsBefore(now, r, best) {
+		if c.feeder == "" || c.isBetterFeeder(now, r, best) {
 			best, c.feeder = r, r.address
 		}
 	}
 }
 
-// feedsBefore orders relays for this router: trusted ones first, strong ones first, and of equal ones each
-// router prefers another, so that they share the work.
-func (c *Core) feedsBefore(now time.Time, a, b candidate) bool {
-	if x, y := c.distrusts(now, a.address), c.distrusts(now, b.address); x != y {
+// isBetterFeeder orders relays as feeders of this router: trusted ones first, then by strength.
+// Among equals, each router has an order of its own, which spreads the load.
+func (c *Core) isBetterFeeder(now time.Time, a, b candidate) bool {
+	if x, y := c.isDistrusted(now, a.address), c.isDistrusted(now, b.address); x != y {
 		return y
 	}
 	if a.rank.strength != b.rank.strength {
@@ -175,45 +186,47 @@
 	return rendezvous.Mix(c.own.rank.hash, a.rank.hash) > rendezvous.Mix(c.own.rank.hash, b.rank.hash)
 }
 
-func (c *Core) distrusts(now time.Time, a Address) bool {
+func (c *Core) isDistrusted(now time.Time, a Address) bool {
 	p, ok := c.peers[a]
-	return ok && !p.distrusted.IsZero() && now.Sub(p.distrusted) < feederDistrusted
+	return ok && !p.distrustedAt.IsZero() && now.Sub(p.distrustedAt) < distrustPeriod
 }
 
-// seeks reports whether this router has to ask others for relays: nobody feeds it, or it is a relay and hears nobody.
-func (c *Core) seeks(now time.Time) bool {
+// needsRelays reports whether this router must search for relays: no relay feeds it, or it is a
+// relay that receives no digests.
+func (c *Core) needsRelays(now time.Time) bool {
 	if !c.relay {
-		return c.fedAt.IsZero() || now.Sub(c.fedAt) > feedSilent
+		return c.fedAt.IsZero() || now.Sub(c.fedAt) > feedTimeout
 	}
-	return c.heardAt.IsZero() || now.Sub(c.heardAt) > silentAfter
+	return c.lastReceivedAt.IsZero() || now.Sub(c.lastReceivedAt) > peerTimeout
 }
 
-// ahead returns how many running routers of the own data centre rank before this one.
-func (c *Core) ahead(now time.Time) int {
+// higherRankedCount returns how many running routers of this data centre have a higher rank.
+func (c *Core) higherRankedCount(now time.Time) int {
 	n := 0
-	for _, p := range c.all() {
-		if p.placed && p.dataCentre == c.settings.DataCentre && !p.leaving && p.alive(now) && p.rank.compare(c.own.rank) < 0 {
+	for _, p := range c.sortedPeers() {
+		if p.located && p.dataCentre == c.settings.DataCentre && !p.leaving && p.isAlive(now) && p.rank.compare(c.own.rank) < 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// Role returns whether this router is a relay of its data centre, and which one feeds it.
+// Role returns whether this router is a relay of its data centre, and its feeder if it has one.
 func (c *Core) Role() (relay bool, feeder Address) { return c.relay, c.feeder }
 
-// FedAt returns when the relay that feeds this router did so last; zero if never.
+// FedAt returns when the feeder last sent a digest; zero if never.
 func (c *Core) FedAt() time.Time { return c.fedAt }
 
-// LocalRouters returns the routers of the own data centre that run and do not leave, if this one is the first relay there.
+// LocalRouters returns the running routers of this data centre that are not leaving. It returns nil
+// unless this router is the first relay there.
 func (c *Core) LocalRouters(now time.Time) []Address {
 	own := c.centres[c.settings.DataCentre]
 	if c.leaving || !c.relay || own.relays()[0].address != c.settings.Self {
 		return nil
 	}
 	out := []Address{c.settings.Self}
-	for _, p := range c.all() {
-		if p.placed && p.dataCentre == c.settings.DataCentre && !p.leaving && p.alive(now) {
+	for _, p := range c.sortedPeers() {
+		if p.located && p.dataCentre == c.settings.DataCentre && !p.leaving && p.isAlive(now) {
 			out = append(out, p.address)
 		}
 	}
