--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -260,6 +260,6 @@
 		if p.Targets[i].Leaving {
 			continue
 		}
-		top.Offer(int32(i), rendezvous.Mix(chat, p.Targets[i].seed), limit)
+		top.Insert(int32(i), rendezvous.Mix(chat, p.Targets[i].seed), limit)
 	}
 }
