--- a/internal/app/gateway/bench_test.go
+++ b/internal/app/gateway/bench_test.go
@@ -28,7 +28,7 @@
 	for _, r := range rows {
 		var fields map[string]json.RawMessage
 		if json.Unmarshal(r.Value, &fields) == nil {
-			out["p"] = append(out["p"], placement.Target{UID: placement.UID(r.Key, 0), ID: r.Key, Row: r.Version, Slots: 16, DataCentre: r.Key[len(r.Key)-1:]})
+			out["p"] = append(out["p"], placement.Target{UID: placement.UID(r.Key, 0), ID: r.Key, RowVersion: r.Version, Slots: 16, DataCentre: r.Key[len(r.Key)-1:]})
 		}
 	}
 	return out, nil
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -45,7 +45,7 @@
 	// Owned by the control goroutine.
 	ctx        context.Context // of Run
 	core       *fleet.Core
-	roster     *placement.Roster
+	roster     *placement.TargetSet
 	list       *decodedList
 	copies     *copies
 	entries    *entryLog
@@ -72,7 +72,7 @@
 func NewControl(s Settings, store Store, decoder Decoder, peers Peers, up Upstream, log *eventlog.Log, now func() time.Time) *Control {
 	incarnation := rand.Uint64()
 	board := placement.DefaultSettings(s.DataCentre)
-	board.Multiple, board.Slack = s.LoadMultiple, s.LoadSlack
+	board.LoadMultiple, board.LoadSlack = s.LoadMultiple, s.LoadSlack
 	board.ColdMultiple, board.ColdSlack = s.ColdMultiple, s.ColdSlack
 	return &Control{
 		startedAt: now(),
@@ -91,7 +91,7 @@
 			DataCentre: s.DataCentre, Strength: s.Strength, InForceWithin: s.InForceWithin, LeftWithin: s.LeftWithin,
 		}),
 		copies:  newCopies(fleet.NewServeBudget(now(), s.LinkBytes)),
-		roster:  placement.NewRoster(),
+		roster:  placement.NewTargetSet(),
 		list:    newDecodedList(decoder),
 		entries: newEntryLog(log),
 	}
@@ -138,22 +138,22 @@
 	}
 	c.askEnded(ctx, now)
 	c.updateFleet(now)
-	c.upstream.Prune(c.roster.Has)
+	c.upstream.Prune(c.roster.HasLifetime)
 	c.shareSlack(now)
 }
 
 // keep returns for how long targets are used that left the list.
-func (c *Control) keep(now time.Time) placement.Keep {
-	k := placement.Keep{Gone: time.Duration(goneShare * float64(c.settings.LeftWithin))}
+func (c *Control) keep(now time.Time) placement.Retention {
+	k := placement.Retention{AfterRemoval: time.Duration(goneShare * float64(c.settings.LeftWithin))}
 	away := c.core.StoreAway(now)
 	if away {
 		since, until := c.core.Outage()
-		k.Lapsed, k.Since, k.Until = lapsedBackWithin, since, until.Add(lapsedBackWithin)
+		k.AfterOutageRemoval, k.OutageStart, k.OutageEnd = lapsedBackWithin, since, until.Add(lapsedBackWithin)
 	}
 	if ablate.Off(ablate.GoneGrace) {
-		k = placement.Keep{}
+		k = placement.Retention{}
 	}
-	c.view.goneGrace.Store(int64(max(k.Gone, k.Lapsed)))
+	c.view.goneGrace.Store(int64(max(k.AfterRemoval, k.AfterOutageRemoval)))
 	c.view.storeAway.Store(away)
 	return k
 }
@@ -182,7 +182,7 @@
 // updateFleet tells placement which routers there are, once this one has had the time to learn it. One that hears nobody goes by the
 // store's list: it may be the only router, or cut off from all others, of which each would take itself for the only one.
 func (c *Control) updateFleet(now time.Time) {
-	if now.Sub(c.startedAt) < warmup.Hold || (c.fleet == nil && !c.listRead.Load() && c.core.Alive(now) == 0) {
+	if now.Sub(c.startedAt) < warmup.StartupDelay || (c.fleet == nil && !c.listRead.Load() && c.core.Alive(now) == 0) {
 		return
 	}
 	if known := texts(c.core.Others()); c.fleet == nil || !slices.Equal(known, c.fleet) {
@@ -267,10 +267,10 @@
 	var ejected []string
 	c.view.mu.Lock()
 	if !a.Partial {
-		ejected = c.view.board.Heard(now, a.Source, a.Loads, a.Outcomes)
+		ejected = c.view.board.ReceiveReport(now, a.Source, a.Loads, a.Outcomes)
 		c.view.updated = now
 	}
-	c.view.board.HeardRead(now, a.Prompts)
+	c.view.board.ReceivePrefixReads(now, a.Prompts)
 	c.view.mu.Unlock()
 	c.heardDepartures(now, a.Departures)
 	if !a.Poison.Empty() {
@@ -307,7 +307,7 @@
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
 	c.view.limits.Ratio, c.view.limits.Slack = s.RetryRatio, s.RetrySlack
-	c.view.board.SetBound(s.LoadMultiple, s.LoadSlack, s.ColdMultiple, s.ColdSlack)
+	c.view.board.SetLoadBounds(s.LoadMultiple, s.LoadSlack, s.ColdMultiple, s.ColdSlack)
 }
 
 // Digest takes in another router's digest.
--- a/internal/app/gateway/departures.go
+++ b/internal/app/gateway/departures.go
@@ -61,11 +61,11 @@
 // heardDepartures takes in what another router tells. What is news is told on: the router that told it may
 // reach few others.
 func (c *Control) heardDepartures(now time.Time, told []placement.Departure) {
-	news, ids := c.roster.Depart(now, slices.DeleteFunc(slices.Clone(told), func(d placement.Departure) bool { return d.Said || d.Ended }))
+	news, ids := c.roster.ApplyDepartures(now, slices.DeleteFunc(slices.Clone(told), func(d placement.Departure) bool { return d.Announced || d.Exited }))
 	for _, d := range told {
-		if (d.Said && c.view.saysLeaving(now, d.Target)) || (d.Ended && c.view.targetEnded(now, d.Target)) {
+		if (d.Announced && c.view.saysLeaving(now, d.Target)) || (d.Exited && c.view.targetEnded(now, d.Target)) {
 			news = append(news, d)
-			c.log.Line(eventlog.TargetLeft).Str("target", c.view.targetID(d.Target)).Bool("said", d.Said).Bool("ended", d.Ended).Msg("")
+			c.log.Line(eventlog.TargetLeft).Str("target", c.view.targetID(d.Target)).Bool("said", d.Announced).Bool("ended", d.Exited).Msg("")
 		}
 	}
 	if len(news) == 0 {
--- a/internal/app/gateway/inforce.go
+++ b/internal/app/gateway/inforce.go
@@ -70,7 +70,7 @@
 func limitsOf(table *route.Table) map[string]placement.PoolLimits {
 	out := make(map[string]placement.PoolLimits)
 	for name, p := range table.Pools() {
-		out[name] = placement.PoolLimits{Connections: p.MaxConnections, ColdPerSecond: p.ColdPerSecond, ColdFor: p.ColdFor}
+		out[name] = placement.PoolLimits{MaxConnections: p.MaxConnections, ColdPerSecond: p.ColdPerSecond, ColdDuration: p.ColdFor}
 	}
 	return out
 }
--- a/internal/app/gateway/ports.go
+++ b/internal/app/gateway/ports.go
@@ -86,7 +86,7 @@
 	// Chat is the hash of the longest prompt part that later requests share; 0 if none.
 	Chat uint64
 	// Prompt are the beginnings of the prompt that later requests share, the shortest first.
-	Prompt []placement.Part
+	Prompt []placement.Prefix
 	Tokens int // of the whole prompt; 0 if it has none
 	// ResumeAfter is the event after which the caller wants a stream to go on.
 	ResumeAfter string
--- a/internal/app/gateway/run.go
+++ b/internal/app/gateway/run.go
@@ -78,8 +78,8 @@
 	if x.trial {
 		defer func() { r.view.guard.trialOver(r.now(), x.fingerprint) }()
 	}
-	choice, verdict, ok := r.view.place(now, placement.Ask{
-		Pool: x.match.pool, Chat: x.match.call.Chat, Prompt: x.match.call.Prompt, Tokens: x.match.call.Tokens,
+	choice, verdict, ok := r.view.place(now, placement.Request{
+		Pool: x.match.pool, Chat: x.match.call.Chat, PromptPrefixes: x.match.call.Prompt, PromptTokens: x.match.call.Tokens,
 		Objective: x.match.route.Objective, Excluded: x.machine.Excluded(),
 	}, admission.Ask{Team: x.match.teamName(), Rank: x.match.rank(), RouteRank: x.match.route.Priority, Left: x.ends.Sub(now), Objective: x.match.route.Objective}, x.machine.MayHaveRun())
 	switch {
@@ -176,12 +176,12 @@
 func (x *run) notePlaced(a *try, loadsAge time.Duration) {
 	c := a.choice
 	line := x.note(eventlog.Placed)
-	if gone := c.Target.Gone; !gone.IsZero() {
+	if gone := c.Target.RemovedAt; !gone.IsZero() {
 		line.Dur("gone", a.began.Sub(gone)).Dur("grace", time.Duration(x.relay.view.goneGrace.Load())).Bool("store_away", x.relay.view.storeAway.Load())
 	}
 	line.Int("attempt", a.number).Str("pool", x.match.pool).Str("team", x.match.teamName()).
 		Stringer("fingerprint", x.fingerprint).Str("target", c.Target.ID).Str("rule", string(c.Rule)).Int("open", c.Open).Float64("bound", c.Bound).
-		Str("source", c.Source).Dur("loads_age", loadsAge).Uint64("version", x.match.version).
+		Str("source", c.CacheSource).Dur("loads_age", loadsAge).Uint64("version", x.match.version).
 		Uint64("targets_row", x.relay.view.targetsRow.Load()).
 		Str("resume_from", x.stream.last).Bool("trial", x.trial).Msg("")
 }
--- a/internal/app/gateway/said.go
+++ b/internal/app/gateway/said.go
@@ -30,7 +30,7 @@
 	}
 	r.view.saysPause(r.now(), t.choice.Target.UID, reply.Pause)
 	if reply.Leaving && r.view.saysLeaving(r.now(), t.choice.Target.UID) {
-		r.depart(placement.Departure{Target: t.choice.Target.UID, Said: true})
+		r.depart(placement.Departure{Target: t.choice.Target.UID, Announced: true})
 	}
 }
 
--- a/internal/app/gateway/status.go
+++ b/internal/app/gateway/status.go
@@ -42,7 +42,7 @@
 	s.Suspects = int(c.view.guard.suspects.Load())
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
-	s.Cold = c.view.board.Cold(c.now())
-	s.OpenAt = c.view.board.OpenAt()
+	s.Cold = c.view.board.CountCold(c.now())
+	s.OpenAt = c.view.board.OpenByTarget()
 	return s
 }
--- a/internal/app/gateway/targets.go
+++ b/internal/app/gateway/targets.go
@@ -15,14 +15,14 @@
 	targets, rejected := c.list.update(rows)
 	rejected = append(rejected, c.unnamed(targets)...)
 	c.entries.rejected(rejected, source)
-	staying := c.roster.Staying()
+	staying := c.roster.ActiveTargets()
 	ended := c.roster.Update(now, version, targets, c.entries.keys())
-	news, left := c.roster.Departures(staying, c.list.has)
+	news, left := c.roster.DeparturesSince(staying, c.list.has)
 	c.departures.add(news)
 	c.publishTargets(now)
 	for _, t := range ended {
 		n := c.view.attempts.restarted(t.UID)
-		c.log.Line(eventlog.TargetRestarted).Str("target", t.ID).Int64("started", t.Started).Int("attempts", n).Msg("")
+		c.log.Line(eventlog.TargetRestarted).Str("target", t.ID).Int64("started", t.StartedAtMs).Int("attempts", n).Msg("")
 	}
 	return left
 }
@@ -41,7 +41,7 @@
 		}
 		for _, t := range list {
 			err := code.AtField(code.BadTargetEntry, t.ID, "pool %q is not in desired state %d", pool, table.Version)
-			out = append(out, RejectedEntry{Key: t.ID, Version: t.Row, Err: err})
+			out = append(out, RejectedEntry{Key: t.ID, Version: t.RowVersion, Err: err})
 		}
 		delete(targets, pool)
 	}
@@ -50,7 +50,7 @@
 
 func (c *Control) publishTargets(now time.Time) {
 	c.view.mu.Lock()
-	c.view.board.SetTargets(now, c.roster.Pools())
+	c.view.board.SetTargets(now, c.roster.ByPool())
 	c.view.mu.Unlock()
 	c.updateReady()
 }
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -105,7 +105,7 @@
 	call := x.match.call
 	a := Attempt{
 		Left: x.ends.Sub(t.began), TargetID: t.choice.Target.ID, ResumeFrom: x.stream.last,
-		Source: t.choice.Source, Team: x.match.teamName(), Priority: x.match.rank(),
+		Source: t.choice.CacheSource, Team: x.match.teamName(), Priority: x.match.rank(),
 	}
 	return upstream.Request{
 		Target: t.choice.Target.UID, Address: t.choice.Target.Address,
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -40,7 +40,7 @@
 	guard    *guard
 
 	mu      sync.Mutex
-	board   *placement.Board
+	board   *placement.Balancer
 	gates   map[string]*admission.Gate
 	budgets map[string]*retry.Window
 	limits  retry.Limits
@@ -51,19 +51,19 @@
 // place chooses a target and decides whether the request is sent there. One that a
 // target has run in part is always sent: what was done for it would be lost. ok is
 // false if the pool has no target.
-func (v *view) place(now time.Time, a placement.Ask, q admission.Ask, begun bool) (c placement.Choice, verdict admission.Verdict, ok bool) {
+func (v *view) place(now time.Time, a placement.Request, q admission.Ask, begun bool) (c placement.Choice, verdict admission.Verdict, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	gate, age := v.gate(a.Pool), v.newsAge(now)
-	a.Stale = gate.Short(age)
+	a.LoadsOutdated = gate.Short(age)
 	c, ok = v.board.Place(now, a)
 	if !ok {
 		return c, verdict, false
 	}
 	verdict = gate.Decide(now, q, admission.Load{Open: c.Open, Slots: c.Target.Slots, Age: age})
 	if verdict.Code != code.OK && !begun {
-		v.board.FirstEvent(now, c, false)
-		v.board.Done(now, c.Target.UID, placement.Neutral)
+		v.board.RecordFirstEvent(now, c, false)
+		v.board.FinishRequest(now, c.Target.UID, placement.Neutral)
 		return c, verdict, true
 	}
 	gate.Began(q.Team)
@@ -75,7 +75,7 @@
 func (v *view) firstEvent(now time.Time, c placement.Choice, answered bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.board.FirstEvent(now, c, answered)
+	v.board.RecordFirstEvent(now, c, answered)
 }
 
 // newsAge returns how old what is known of the others' open requests is: they tell it once in a tick, and it takes its way. It is 0 if
@@ -92,7 +92,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.gate(pool).Ended(now, team, took, answer)
-	return v.board.Done(now, target, o)
+	return v.board.FinishRequest(now, target, o)
 }
 
 func (v *view) gate(pool string) *admission.Gate {
@@ -108,49 +108,49 @@
 func (v *view) targetLeaves(target uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.Leaves(target)
+	return v.board.IsLeavingOrRemoved(target)
 }
 
 // saysLeaving takes in that a target says that it leaves, and reports whether that is news.
 func (v *view) saysLeaving(now time.Time, target uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.SaysLeaving(now, target)
+	return v.board.MarkLeaving(now, target)
 }
 
 // targetEnded takes in that a target's process has ended, and reports whether that is news.
 func (v *view) targetEnded(now time.Time, target uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.Ended(now, target)
+	return v.board.MarkExited(now, target)
 }
 
 // endedToAsk returns the targets that have ended, as far as is known, and whose ports are to be asked now.
 func (v *view) endedToAsk(now time.Time) []placement.Target {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.EndedToAsk(now)
+	return v.board.ExitedTargetsToProbe(now)
 }
 
 // endedAnswer takes in whether a target that has ended, as far as was known, accepts connections.
 func (v *view) endedAnswer(now time.Time, target uint64, accepts bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.board.EndedAnswer(now, target, accepts)
+	v.board.RecordProbe(now, target, accepts)
 }
 
 // saysPause takes in for how long a target wants nothing from this router.
 func (v *view) saysPause(now time.Time, target uint64, d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.board.SaysPause(now, target, d)
+	v.board.MarkPaused(now, target, d)
 }
 
 // saysCold takes in for how long a target says that it is cold, and reports whether that is news.
 func (v *view) saysCold(now time.Time, target uint64, d time.Duration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.SaysCold(now, target, d)
+	return v.board.MarkCold(now, target, d)
 }
 
 // setFleet tells which routers there are.
@@ -164,7 +164,7 @@
 func (v *view) wants(now time.Time, c placement.Choice) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.Wants(now, c)
+	return v.board.MaySend(now, c)
 }
 
 // noTarget returns the code for a request that found no target.
@@ -172,11 +172,11 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
-	case v.board.Evacuated(pool):
+	case v.board.IsEvacuated(pool):
 		return code.Evacuated
-	case v.board.Resumes(now, pool) > 0:
+	case v.board.PausedRetryAfter(now, pool) > 0:
 		return code.TargetsPaused
-	case v.board.AllCold(now, pool) > 0:
+	case v.board.ColdRetryAfter(now, pool) > 0:
 		return code.TargetsCold
 	}
 	return code.NoTarget
@@ -186,7 +186,7 @@
 func (v *view) evacuate(now time.Time, dataCentres []string) []evacuation.Change {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.Evacuate(now, dataCentres)
+	return v.board.SetEvacuated(now, dataCentres)
 }
 
 // resumes returns in what time the first target of a pool takes requests again, if none does now because they want none or are cold; 0
@@ -194,14 +194,14 @@
 func (v *view) resumes(now time.Time, pool string) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return max(v.board.Resumes(now, pool), v.board.AllCold(now, pool))
+	return max(v.board.PausedRetryAfter(now, pool), v.board.ColdRetryAfter(now, pool))
 }
 
 // targetID returns the name of a target's lifetime, empty if it is not known.
 func (v *view) targetID(target uint64) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.ID(target)
+	return v.board.TargetID(target)
 }
 
 // silent tells the board of a target that leaves a request unanswered, while the
@@ -209,7 +209,7 @@
 func (v *view) silent(now time.Time, target uint64) (suspended bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.Silent(now, target)
+	return v.board.RecordSilence(now, target)
 }
 
 func (v *view) budget(now time.Time, pool string) *retry.Window {
@@ -243,10 +243,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(sources) == 0 {
-		v.board.ForgetAll()
+		v.board.ForgetAllRouters()
 	}
 	for _, s := range sources {
-		v.board.Forget(s)
+		v.board.ForgetRouter(s)
 	}
 }
 
@@ -269,5 +269,5 @@
 func (v *view) toTell(now time.Time) fleet.Tick {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return fleet.Tick{Loads: v.board.Own(), Outcomes: v.board.Outcomes(now), Prompts: v.board.TakeRead(promptsPerDigest)}
+	return fleet.Tick{Loads: v.board.OwnLoads(), Outcomes: v.board.OutcomesToReport(now), Prompts: v.board.TakePrefixReads(promptsPerDigest)}
 }
--- a/internal/core/admission/short_test.go
+++ b/internal/core/admission/short_test.go
@@ -101,7 +101,7 @@
 		list[i] = placement.Target{UID: uint64(i + 1), ID: fmt.Sprint("i-", i), Slots: slots, DataCentre: "a"}
 		engines[list[i].UID] = &plainTarget{slots: slots, queue: queue, free: make([]time.Duration, slots)}
 	}
-	boards, gates := make([]*placement.Board, l.routers), make([]*admission.Gate, l.routers)
+	boards, gates := make([]*placement.Balancer, l.routers), make([]*admission.Gate, l.routers)
 	for i := range boards {
 		boards[i] = placement.New(placement.DefaultSettings("a"), rand.New(rand.NewPCG(seed, uint64(i))))
 		boards[i].SetTargets(start, map[string][]placement.Target{"p": list})
@@ -115,7 +115,7 @@
 		if now%(100*time.Millisecond) == 0 {
 			told := make([][]placement.Load, l.routers)
 			for i, b := range boards {
-				told[i] = b.Own()
+				told[i] = b.OwnLoads()
 			}
 			news = append(news, told)
 		}
@@ -123,7 +123,7 @@
 			for i, b := range boards {
 				for o, loads := range news[old] {
 					if o != i {
-						b.Heard(at, uint32(o+1), loads, nil)
+						b.ReceiveReport(at, uint32(o+1), loads, nil)
 					}
 				}
 			}
@@ -139,7 +139,7 @@
 				end = admission.Late
 			}
 			gates[a.router].Ended(at, "", took, end)
-			boards[a.router].Done(at, a.choice.Target.UID, o)
+			boards[a.router].FinishRequest(at, a.choice.Target.UID, o)
 			rank := a.rank
 			switch {
 			case a.sent < 2*time.Second:
@@ -158,7 +158,7 @@
 					got[rank].asked++
 				}
 				r := rnd.IntN(l.routers)
-				c, ok := boards[r].Place(at, placement.Ask{Pool: "p", Stale: !l.exact && gates[r].Short(l.newsAge)})
+				c, ok := boards[r].Place(at, placement.Request{Pool: "p", LoadsOutdated: !l.exact && gates[r].Short(l.newsAge)})
 				Expect(ok).To(BeTrue())
 				age := l.newsAge
 				if l.exact {
@@ -166,7 +166,7 @@
 				}
 				v := gates[r].Decide(at, admission.Ask{Rank: 1, RouteRank: rank, Left: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, Age: age})
 				if v.Code != code.OK {
-					boards[r].Done(at, c.Target.UID, placement.Neutral)
+					boards[r].FinishRequest(at, c.Target.UID, placement.Neutral)
 					Expect(v.RetryAfter).To(BeNumerically(">", 0))
 					if now >= 2*time.Second {
 						got[rank].refused++
--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -39,5 +39,5 @@
 	return changes
 }
 
-// Holds reports whether a data centre is to get nothing.
-func (o *Orders) Holds(dataCentre string) bool { return o.evacuated[dataCentre] }
+// IsEvacuated reports whether a data centre is to get nothing.
+func (o *Orders) IsEvacuated(dataCentre string) bool { return o.evacuated[dataCentre] }
--- a/internal/core/evacuation/evacuation_test.go
+++ b/internal/core/evacuation/evacuation_test.go
@@ -30,7 +30,7 @@
 				next = slices.Compact(next)
 				for _, dc := range []string{"a", "b", "c", "d"} {
 					is, was := slices.Contains(next, dc), slices.Contains(before, dc)
-					Expect(o.Holds(dc)).To(Equal(is))
+					Expect(o.IsEvacuated(dc)).To(Equal(is))
 					Expect(slices.Contains(changes, evacuation.Change{DataCentre: dc, Evacuated: is})).To(Equal(is != was))
 				}
 				before = next
--- a/internal/core/fleet/events.go
+++ b/internal/core/fleet/events.go
@@ -81,9 +81,9 @@
 	// Tick: time has passed. The core expects one every TickInterval.
 	Tick struct {
 		Loads    []placement.Load
-		Outcomes []placement.Outcomes
+		Outcomes []placement.TargetOutcomes
 		// Prompts goes out with the next digest, and with no other.
-		Prompts []placement.Read
+		Prompts []placement.PrefixRead
 		News
 	}
 	// Learned: something has just been learned that is told at once.
@@ -159,8 +159,8 @@
 		// overlap, but for those forgotten.
 		Source     uint32
 		Loads      []placement.Load
-		Outcomes   []placement.Outcomes
-		Prompts    []placement.Read
+		Outcomes   []placement.TargetOutcomes
+		Prompts    []placement.PrefixRead
 		Departures []placement.Departure
 		Poison     poison.News
 		// Partial: only prompts, departures and poison are told.
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -131,8 +131,8 @@
 	sequence   uint64
 	lastDigest time.Time
 	lastLoads  []placement.Load
-	outcomes   []placement.Outcomes
-	prompts    []placement.Read // not told yet
+	outcomes   []placement.TargetOutcomes
+	prompts    []placement.PrefixRead // not told yet
 	departures []placement.Departure
 	poison     poison.News
 	suspects   suspects
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -272,7 +272,7 @@
 	It("tells which prompts were read where in one digest, and takes in what others tell", func() {
 		c := fleet.New(n.now, fleet.Settings{Self: "self", Incarnation: 1})
 		c.Step(n.now, fleet.DigestIn{From: "other", Digest: &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 1}})
-		read := []placement.Read{{Part: 1, Target: 2}}
+		read := []placement.PrefixRead{{Prefix: 1, Target: 2}}
 		told := func(t fleet.Tick, after time.Duration) (parts, targets []uint64) {
 			for _, a := range c.Step(n.now.Add(after), t) {
 				if d, ok := a.(fleet.SendDigest); ok {
@@ -289,7 +289,7 @@
 		Expect(told(fleet.Tick{}, time.Second)).To(BeEmpty())
 		d := &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 2, Report: &peerv1.Report{}, PromptPart: []uint64{7, 8}, PromptTarget: []uint64{9}}
 		Expect(c.Step(n.now, fleet.DigestIn{From: "other", Digest: d})).To(ContainElement(
-			fleet.LoadsHeard{Source: fleet.RouterID("other"), Loads: []placement.Load{}, Prompts: []placement.Read{{Part: 7, Target: 9}}}))
+			fleet.LoadsHeard{Source: fleet.RouterID("other"), Loads: []placement.Load{}, Prompts: []placement.PrefixRead{{Prefix: 7, Target: 9}}}))
 	})
 
 	It("ignores late digests of an earlier process, and doubled ones", func() {
--- a/internal/core/fleet/many_test.go
+++ b/internal/core/fleet/many_test.go
@@ -183,7 +183,7 @@
 			n.loss = loss
 			for target := range uint64(10) {
 				teller := n.nodes[address(int(target)*6)]
-				teller.learn(n.now, placement.Departure{Target: 1000 + target, List: 1})
+				teller.learn(n.now, placement.Departure{Target: 1000 + target, ListVersion: 1})
 				n.run(300 * time.Millisecond)
 			}
 			missed := 0
--- a/internal/core/fleet/net_test.go
+++ b/internal/core/fleet/net_test.go
@@ -308,7 +308,7 @@
 func (x *node) open(now time.Time, target uint64) int {
 	sum := 0
 	for _, h := range x.told {
-		if now.Sub(h.at) > placement.DefaultSettings("").LoadsExpire {
+		if now.Sub(h.at) > placement.DefaultSettings("").LoadReportTTL {
 			continue
 		}
 		for _, l := range h.loads {
--- a/internal/core/fleet/report.go
+++ b/internal/core/fleet/report.go
@@ -12,7 +12,7 @@
 type reported struct {
 	at       time.Time // of the loads; zero if there are none
 	loads    []placement.Load
-	outcomes []placement.Outcomes
+	outcomes []placement.TargetOutcomes
 	told     time.Time // of the outcomes
 	counted  int       // routers, in a sum
 }
@@ -23,7 +23,7 @@
 func (r *reported) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < reportLasts }
 
 // take replaces the loads, and the outcomes if there are any, and reports whether the loads differ.
-func (r *reported) take(now time.Time, loads []placement.Load, outcomes []placement.Outcomes) bool {
+func (r *reported) take(now time.Time, loads []placement.Load, outcomes []placement.TargetOutcomes) bool {
 	differ := !r.fresh(now) || !equalLoads(r.loads, loads)
 	r.at, r.loads = now, loads
 	if outcomes != nil {
@@ -36,7 +36,7 @@
 type tally struct {
 	at       map[uint64]int
 	loads    []placement.Load
-	outcomes []placement.Outcomes
+	outcomes []placement.TargetOutcomes
 	seen     map[uint64]int
 }
 
@@ -54,13 +54,13 @@
 	}
 }
 
-func (t *tally) addOutcomes(outcomes []placement.Outcomes, weight float64) {
+func (t *tally) addOutcomes(outcomes []placement.TargetOutcomes, weight float64) {
 	for _, o := range outcomes {
 		i, ok := t.seen[o.Target]
 		if !ok {
 			i = len(t.outcomes)
 			t.seen[o.Target] = i
-			t.outcomes = append(t.outcomes, placement.Outcomes{Target: o.Target})
+			t.outcomes = append(t.outcomes, placement.TargetOutcomes{Target: o.Target})
 		}
 		t.outcomes[i].Add(o, weight)
 	}
@@ -72,26 +72,26 @@
 		t.addLoads(r.loads, 1)
 	}
 	if !r.told.IsZero() && now.Sub(r.told) < reportLasts {
-		t.addOutcomes(r.outcomes, placement.Remaining(now.Sub(r.told)))
+		t.addOutcomes(r.outcomes, placement.DecayFactor(now.Sub(r.told)))
 	}
 }
 
 // without returns loads and outcomes of which a part belongs to somebody else.
-func without(loads, part []placement.Load, outcomes, ofThose []placement.Outcomes) ([]placement.Load, []placement.Outcomes) {
+func without(loads, part []placement.Load, outcomes, ofThose []placement.TargetOutcomes) ([]placement.Load, []placement.TargetOutcomes) {
 	t := newTally()
 	t.addLoads(loads, 1)
 	t.addLoads(part, -1)
 	if outcomes == nil {
 		return t.loads, nil
 	}
-	t.outcomes = make([]placement.Outcomes, 0, len(outcomes))
+	t.outcomes = make([]placement.TargetOutcomes, 0, len(outcomes))
 	t.addOutcomes(outcomes, 1)
 	t.addOutcomes(ofThose, -1)
 	return t.loads, t.outcomes
 }
 
 // encode returns loads and, if they are to be told, outcomes.
-func encode(loads []placement.Load, outcomes []placement.Outcomes, tells bool) *peerv1.Report {
+func encode(loads []placement.Load, outcomes []placement.TargetOutcomes, tells bool) *peerv1.Report {
 	r := &peerv1.Report{TellsOutcomes: tells}
 	for _, l := range loads {
 		if l.Open > 0 {
@@ -108,10 +108,10 @@
 			r.OutcomeEnded = append(r.OutcomeEnded, float32(o.Ended))
 			r.OutcomeFailed = append(r.OutcomeFailed, float32(o.Failed))
 		}
-		if o.Took > 0 {
+		if o.FirstEventSeconds > 0 {
 			r.SlowTarget = append(r.SlowTarget, o.Target)
-			r.SlowTook = append(r.SlowTook, float32(o.Took))
-			r.SlowExpected = append(r.SlowExpected, float32(o.Expected))
+			r.SlowTook = append(r.SlowTook, float32(o.FirstEventSeconds))
+			r.SlowExpected = append(r.SlowExpected, float32(o.ExpectedSeconds))
 		}
 	}
 	return r
@@ -130,33 +130,33 @@
 func sensible(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
 
 // outcomesOf returns nil if the report tells none.
-func outcomesOf(r *peerv1.Report) []placement.Outcomes {
+func outcomesOf(r *peerv1.Report) []placement.TargetOutcomes {
 	if !r.GetTellsOutcomes() {
 		return nil
 	}
 	n := min(len(r.GetOutcomeTarget()), len(r.GetOutcomeEnded()), len(r.GetOutcomeFailed()))
 	slow := min(len(r.GetSlowTarget()), len(r.GetSlowTook()), len(r.GetSlowExpected()))
-	out := make([]placement.Outcomes, 0, n+slow)
+	out := make([]placement.TargetOutcomes, 0, n+slow)
 	for i := range n {
 		ended, failed := float64(r.GetOutcomeEnded()[i]), float64(r.GetOutcomeFailed()[i])
 		if sensible(ended) && sensible(failed) {
-			out = append(out, placement.Outcomes{Target: r.GetOutcomeTarget()[i], Ended: ended, Failed: failed})
+			out = append(out, placement.TargetOutcomes{Target: r.GetOutcomeTarget()[i], Ended: ended, Failed: failed})
 		}
 	}
 	for i := range slow {
 		took, expected := float64(r.GetSlowTook()[i]), float64(r.GetSlowExpected()[i])
 		if sensible(took) && sensible(expected) {
-			out = append(out, placement.Outcomes{Target: r.GetSlowTarget()[i], Took: took, Expected: expected})
+			out = append(out, placement.TargetOutcomes{Target: r.GetSlowTarget()[i], FirstEventSeconds: took, ExpectedSeconds: expected})
 		}
 	}
 	return out
 }
 
-func promptsOf(d *peerv1.Digest) []placement.Read {
+func promptsOf(d *peerv1.Digest) []placement.PrefixRead {
 	n := min(len(d.GetPromptPart()), len(d.GetPromptTarget()))
-	out := make([]placement.Read, n)
+	out := make([]placement.PrefixRead, n)
 	for i := range n {
-		out[i] = placement.Read{Part: d.GetPromptPart()[i], Target: d.GetPromptTarget()[i]}
+		out[i] = placement.PrefixRead{Prefix: d.GetPromptPart()[i], Target: d.GetPromptTarget()[i]}
 	}
 	return out
 }
@@ -168,12 +168,12 @@
 	}
 	out := make([]placement.Departure, n)
 	for i := range n {
-		out[i] = placement.Departure{Target: d.GetLeftTarget()[i], List: d.GetLeftList()[i], Gone: d.GetLeftGone()[i]}
+		out[i] = placement.Departure{Target: d.GetLeftTarget()[i], ListVersion: d.GetLeftList()[i], Removed: d.GetLeftGone()[i]}
 		if i < len(d.GetLeftSaid()) { // routers of earlier releases tell none
-			out[i].Said = d.GetLeftSaid()[i]
+			out[i].Announced = d.GetLeftSaid()[i]
 		}
 		if i < len(d.GetLeftEnded()) {
-			out[i].Ended = d.GetLeftEnded()[i]
+			out[i].Exited = d.GetLeftEnded()[i]
 		}
 	}
 	return out
--- a/internal/core/fleet/sums.go
+++ b/internal/core/fleet/sums.go
@@ -54,7 +54,7 @@
 
 // takeSum counts a data centre by its sum, and its routers no longer one by one. It reports false if another relay
 // there counts more of them.
-func (c *Core) takeSum(now time.Time, dataCentre string, counted int, loads []placement.Load, outcomes []placement.Outcomes) bool {
+func (c *Core) takeSum(now time.Time, dataCentre string, counted int, loads []placement.Load, outcomes []placement.TargetOutcomes) bool {
 	s, ok := c.sums[dataCentre]
 	if !ok {
 		s = &reported{}
--- a/internal/core/fleet/suspects.go
+++ b/internal/core/fleet/suspects.go
@@ -70,10 +70,10 @@
 func (c *Core) setNews(d *peerv1.Digest) {
 	for _, left := range c.departures {
 		d.LeftTarget = append(d.LeftTarget, left.Target)
-		d.LeftList = append(d.LeftList, left.List)
-		d.LeftGone = append(d.LeftGone, left.Gone)
-		d.LeftSaid = append(d.LeftSaid, left.Said)
-		d.LeftEnded = append(d.LeftEnded, left.Ended)
+		d.LeftList = append(d.LeftList, left.ListVersion)
+		d.LeftGone = append(d.LeftGone, left.Removed)
+		d.LeftSaid = append(d.LeftSaid, left.Announced)
+		d.LeftEnded = append(d.LeftEnded, left.Exited)
 	}
 	for _, e := range c.poison.Ends {
 		d.EndedRequest = append(d.EndedRequest, uint64(e.Request))
--- a/internal/core/fleet/tell.go
+++ b/internal/core/fleet/tell.go
@@ -28,13 +28,13 @@
 
 // outbox is what a relay has to pass on.
 type outbox struct {
-	prompts  []placement.Read
+	prompts  []placement.PrefixRead
 	listedAt time.Time
 	summedAt time.Time
 	toldAt   time.Time // of outcomes
 }
 
-func (o *outbox) add(prompts []placement.Read) {
+func (o *outbox) add(prompts []placement.PrefixRead) {
 	o.prompts = append(o.prompts, prompts...)
 	if over := len(o.prompts) - promptsWaiting; over > 0 {
 		o.prompts = slices.Delete(o.prompts, 0, over)
@@ -42,7 +42,7 @@
 }
 
 // take returns what the next digest tells.
-func (o *outbox) take() []placement.Read {
+func (o *outbox) take() []placement.PrefixRead {
 	n := min(len(o.prompts), promptsPerRelayDigest)
 	out := o.prompts[:n:n]
 	o.prompts = o.prompts[n:]
@@ -264,9 +264,9 @@
 	return d
 }
 
-func setPrompts(d *peerv1.Digest, prompts []placement.Read) {
+func setPrompts(d *peerv1.Digest, prompts []placement.PrefixRead) {
 	for _, s := range prompts {
-		d.PromptPart = append(d.PromptPart, s.Part)
+		d.PromptPart = append(d.PromptPart, s.Prefix)
 		d.PromptTarget = append(d.PromptTarget, s.Target)
 	}
 }
--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -13,12 +13,12 @@
 		b.Run(fmt.Sprint(n, " targets"), func(b *testing.B) {
 			board := board(targets(n)...)
 			for i := range b.N {
-				c, ok := board.Place(start, placement.Ask{Pool: pool, Chat: uint64(i + 1)})
+				c, ok := board.Place(start, placement.Request{Pool: pool, Chat: uint64(i + 1)})
 				if !ok {
 					b.Fatal("no target")
 				}
-				board.FirstEvent(start, c, true)
-				board.Done(start, c.Target.UID, placement.Answered)
+				board.RecordFirstEvent(start, c, true)
+				board.FinishRequest(start, c.Target.UID, placement.Answered)
 			}
 		})
 	}
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -9,11 +9,11 @@
 
 // bound is the highest count that a placement may bring a target to. The mean is
 // over all targets, leaving ones as well: those still hold requests and receive none.
-func (b *Board) bound(p *pool) float64 {
+func (b *Balancer) bound(p *pool) float64 {
 	if len(p.targets) == 0 {
 		return 0
 	}
-	return max(b.settings.Multiple*p.mean()+b.settings.Slack-b.settings.Margin, 1)
+	return max(b.settings.LoadMultiple*p.mean()+b.settings.LoadSlack-b.settings.LoadMargin, 1)
 }
 
 // panicShare is the share of suspended targets above which suspensions are passed
@@ -56,7 +56,7 @@
 }
 
 // choose returns the target for an ask and the rule that chose it, nil if there is none.
-func (b *Board) choose(now time.Time, p *pool, a Ask, bound float64) (*target, Rule) {
+func (b *Balancer) choose(now time.Time, p *pool, a Request, bound float64) (*target, Rule) {
 	t, rule := b.chooseWarm(now, p, a, bound)
 	if t == nil || !t.hasRoom() {
 		if c := b.coldWithRoom(now, p, a); c != nil {
@@ -70,23 +70,23 @@
 }
 
 // chooseWarm chooses among the targets that nothing speaks against.
-func (b *Board) chooseWarm(now time.Time, p *pool, a Ask, bound float64) (*target, Rule) {
+func (b *Balancer) chooseWarm(now time.Time, p *pool, a Request, bound float64) (*target, Rule) {
 	skip := passedOver(now, p)
 	if a.Chat != 0 {
 		if t, rule := b.byChat(now, p, a, bound, skip); t != nil {
 			return t, rule
 		}
 	}
-	if a.Stale && !ablate.Off(ablate.Short) {
+	if a.LoadsOutdated && !ablate.Off(ablate.Short) {
 		return b.atRandom(now, p, a, skip), RuleRandom
 	}
-	return b.leastLoaded(now, p, a, skip), RuleLeast
+	return b.leastLoaded(now, p, a, skip), RuleLeastLoaded
 }
 
 // byChat returns the first target in the chat's rendezvous order that is below the bound and not
 // slow. Every router computes the same order, so a chat that spills finds its second target
 // whichever router it comes to.
-func (b *Board) byChat(now time.Time, p *pool, a Ask, bound float64, skip func(*target) bool) (*target, Rule) {
+func (b *Balancer) byChat(now time.Time, p *pool, a Request, bound float64, skip func(*target) bool) (*target, Rule) {
 	var c candidates
 	p.candidates(&c, a, min(bound, p.maxOpen), skip)
 	if c.n == 0 {
@@ -110,7 +110,7 @@
 
 // candidates finds the targets that hold less than a limit, in the chat's order but those with room before the
 // others.
-func (p *pool) candidates(c *candidates, a Ask, limit float64, skip func(*target) bool) {
+func (p *pool) candidates(c *candidates, a Request, limit float64, skip func(*target) bool) {
 	var top rendezvous.Top
 	order := p.order(a.Chat, skip)
 	for i, t := range p.targets {
@@ -154,11 +154,11 @@
 
 // holdersFirst puts the first target that holds the chat's prompt before the others: what spills goes
 // where it has spilled to before.
-func (b *Board) holdersFirst(now time.Time, a Ask, targets []*target) {
-	if len(a.Prompt) == 0 || ablate.Off(ablate.Holders) {
+func (b *Balancer) holdersFirst(now time.Time, a Request, targets []*target) {
+	if len(a.PromptPrefixes) == 0 || ablate.Off(ablate.Holders) {
 		return
 	}
-	whole := a.Prompt[len(a.Prompt)-1].Hash
+	whole := a.PromptPrefixes[len(a.PromptPrefixes)-1].Hash
 	for i, t := range targets {
 		if b.held.keeps(now, whole, t.UID) {
 			copy(targets[1:i+1], targets[:i])
@@ -170,7 +170,7 @@
 
 // inTime returns the first candidate, or if that is slow or would answer late the first one with room that
 // is much faster.
-func (b *Board) inTime(now time.Time, a Ask, c *candidates) (*target, Rule) {
+func (b *Balancer) inTime(now time.Time, a Request, c *candidates) (*target, Rule) {
 	first, rule := c.targets[0], RuleSpill
 	if c.home {
 		rule = RuleHome
@@ -204,7 +204,7 @@
 
 // leastLoaded returns the target with the fewest open requests, of equal ones one
 // in this data centre.
-func (b *Board) leastLoaded(now time.Time, p *pool, a Ask, skip func(*target) bool) *target {
+func (b *Balancer) leastLoaded(now time.Time, p *pool, a Request, skip func(*target) bool) *target {
 	var best *target
 	bestCost := 0.0
 	for _, t := range p.targets {
@@ -222,7 +222,7 @@
 // atRandom returns a target drawn by its places, its pace and what this router has open there, which it knows at once, those in this
 // data centre more often. All routers see the same target as the least loaded one: by the time that they have heard so, its requests
 // are answered, and all that they send there next come at once, while the others are idle.
-func (b *Board) atRandom(now time.Time, p *pool, a Ask, skip func(*target) bool) *target {
+func (b *Balancer) atRandom(now time.Time, p *pool, a Request, skip func(*target) bool) *target {
 	var best *target
 	first := 0.0
 	for _, t := range p.targets {
@@ -250,7 +250,7 @@
 // between data centres are paid for.
 const remoteCost = 1.5
 
-func (b *Board) cost(now time.Time, t *target) float64 {
+func (b *Balancer) cost(now time.Time, t *target) float64 {
 	cost := (float64(t.open()) + b.rand.Float64()) * b.pace(now, t)
 	if t.DataCentre != b.settings.DataCentre && !ablate.Off(ablate.RemoteCost) {
 		cost += remoteCost
@@ -258,7 +258,7 @@
 	return cost
 }
 
-func (a *Ask) excludes(uid uint64) bool {
+func (a *Request) excludes(uid uint64) bool {
 	for _, e := range a.Excluded {
 		if e == uid {
 			return true
--- a/internal/core/placement/cold.go
+++ b/internal/core/placement/cold.go
@@ -41,15 +41,15 @@
 }
 
 // bears reports whether this router may send a request to the target, which is cold.
-func (b *Board) bears(now time.Time, t *target) bool {
-	return b.fleet != nil && now.Sub(t.cold.last) >= warmup.Spacing && b.fleet.Sends(t.UID, t.pool.coldPerSecond)
+func (b *Balancer) bears(now time.Time, t *target) bool {
+	return b.fleet != nil && now.Sub(t.cold.last) >= warmup.SendInterval && b.fleet.MaySend(t.UID, t.pool.coldPerSecond)
 }
 
 // SetFleet tells which routers there are, this one included. Until it is called, cold targets get nothing.
-func (b *Board) SetFleet(f *warmup.Fleet) { b.fleet = f }
+func (b *Balancer) SetFleet(f *warmup.Fleet) { b.fleet = f }
 
-// SaysCold takes in that a target says for how long it is cold, and reports whether it was taken for warm.
-func (b *Board) SaysCold(now time.Time, uid uint64, d time.Duration) (news bool) {
+// MarkCold takes in that a target says for how long it is cold, and reports whether it was taken for warm.
+func (b *Balancer) MarkCold(now time.Time, uid uint64, d time.Duration) (news bool) {
 	t, ok := b.byUID[uid]
 	if !ok {
 		return false
@@ -59,8 +59,8 @@
 	return !before && t.isCold(now)
 }
 
-// Cold returns how many listed targets are cold.
-func (b *Board) Cold(now time.Time) int {
+// CountCold returns how many listed targets are cold.
+func (b *Balancer) CountCold(now time.Time) int {
 	n := 0
 	for _, p := range b.pools {
 		for _, t := range p.targets {
@@ -74,7 +74,7 @@
 
 // coldWithRoom returns the cold target for an ask: the first one in the chat's order that has a place free and that this router may
 // send to; nil if there is none.
-func (b *Board) coldWithRoom(now time.Time, p *pool, a Ask) *target {
+func (b *Balancer) coldWithRoom(now time.Time, p *pool, a Request) *target {
 	if p.coldPerSecond == 0 {
 		return nil
 	}
@@ -95,8 +95,8 @@
 // returnFromCold is the longest time that callers are told to stay away because all targets are cold: another router may send one.
 const returnFromCold = time.Second
 
-// AllCold returns for how long callers should stay away because all targets of a pool that stay are cold; 0 if one is not.
-func (b *Board) AllCold(now time.Time, pool string) time.Duration {
+// ColdRetryAfter returns for how long callers should stay away because all targets of a pool that stay are cold; 0 if one is not.
+func (b *Balancer) ColdRetryAfter(now time.Time, pool string) time.Duration {
 	p, ok := b.pools[pool]
 	if !ok {
 		return 0
--- a/internal/core/placement/cold_test.go
+++ b/internal/core/placement/cold_test.go
@@ -22,7 +22,7 @@
 
 // coldFleet are the boards of routers before the same targets.
 type coldFleet struct {
-	boards []*placement.Board
+	boards []*placement.Balancer
 	list   []placement.Target
 	// arrived are the times at which targets got requests while they were cold.
 	arrived map[uint64][]time.Time
@@ -32,7 +32,7 @@
 }
 
 type openAt struct {
-	board *placement.Board
+	board *placement.Balancer
 	c     placement.Choice
 	ends  time.Time
 }
@@ -41,7 +41,7 @@
 	f := &coldFleet{arrived: make(map[uint64][]time.Time), rnd: rand.New(rand.NewPCG(seed, 5))}
 	for i := range n {
 		t := target(fmt.Sprint(i), []string{"a", "b", "c"}[i%3])
-		t.Slots, t.Row = 16, 1
+		t.Slots, t.RowVersion = 16, 1
 		f.list = append(f.list, t)
 	}
 	for i := range routers {
@@ -54,7 +54,7 @@
 				others = append(others, fmt.Sprint("r", o))
 			}
 		}
-		b.SetLimits(map[string]placement.PoolLimits{pool: {ColdPerSecond: coldBears, ColdFor: coldFor}})
+		b.SetLimits(map[string]placement.PoolLimits{pool: {ColdPerSecond: coldBears, ColdDuration: coldFor}})
 		b.SetTargets(start, map[string][]placement.Target{pool: f.list})
 		b.SetFleet(warmup.NewFleet(fmt.Sprint("r", i), others))
 		f.boards = append(f.boards, b)
@@ -66,8 +66,8 @@
 func (f *coldFleet) chill(now time.Time, which func(i int) bool) {
 	for i := range f.list {
 		if which(i) {
-			f.list[i].Row++
-			f.list[i].Cold = coldFor
+			f.list[i].RowVersion++
+			f.list[i].ColdRemaining = coldFor
 		}
 	}
 	for _, b := range f.boards {
@@ -82,20 +82,20 @@
 			if o.ends.After(now) {
 				return false
 			}
-			o.board.FirstEvent(now, o.c, true)
-			o.board.Done(now, o.c.Target.UID, placement.Answered)
+			o.board.RecordFirstEvent(now, o.c, true)
+			o.board.FinishRequest(now, o.c.Target.UID, placement.Answered)
 			return true
 		})
 		b := f.boards[f.rnd.IntN(len(f.boards))]
-		c, ok := b.Place(now, placement.Ask{Pool: pool, Chat: chat()})
+		c, ok := b.Place(now, placement.Request{Pool: pool, Chat: chat()})
 		switch {
 		case !ok:
 			f.lost++
-		case b.Wants(now, c):
+		case b.MaySend(now, c):
 			f.arrived[c.Target.UID] = append(f.arrived[c.Target.UID], now)
 			f.open = append(f.open, openAt{b, c, now.Add(100 * time.Millisecond)})
 		default:
-			b.Done(now, c.Target.UID, placement.Neutral)
+			b.FinishRequest(now, c.Target.UID, placement.Neutral)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 		}
 		Expect(served).To(BeNumerically(">", 100))
 		Expect(f.lost).To(BeNumerically(">", 0))
-		wait := f.boards[0].AllCold(start.Add(2500*time.Millisecond), pool)
+		wait := f.boards[0].ColdRetryAfter(start.Add(2500*time.Millisecond), pool)
 		Expect(wait).To(And(BeNumerically(">", 0), BeNumerically("<=", time.Second)))
 	})
 
@@ -185,10 +185,10 @@
 			placed = append(placed, place(b, start, 7))
 		}
 		f.chill(start, func(int) bool { return true })
-		now := start.Add(warmup.Spacing)
+		now := start.Add(warmup.SendInterval)
 		sent := 0
 		for _, c := range placed {
-			if b.Wants(now, c) {
+			if b.MaySend(now, c) {
 				sent++
 			}
 		}
@@ -199,11 +199,11 @@
 	It("are those of a data centre that comes back", func() {
 		f := newColdFleet(3, 12, 7)
 		b := f.boards[0]
-		b.Evacuate(start, []string{"b"})
-		Expect(b.Cold(start)).To(BeZero())
-		b.Evacuate(start.Add(time.Second), nil)
-		Expect(b.Cold(start.Add(time.Second))).To(Equal(4))
-		Expect(b.Cold(start.Add(time.Second + coldFor))).To(BeZero())
+		b.SetEvacuated(start, []string{"b"})
+		Expect(b.CountCold(start)).To(BeZero())
+		b.SetEvacuated(start.Add(time.Second), nil)
+		Expect(b.CountCold(start.Add(time.Second))).To(Equal(4))
+		Expect(b.CountCold(start.Add(time.Second + coldFor))).To(BeZero())
 	})
 
 	// Guards against an earlier word, or a shorter one, that makes a cold target warm.
@@ -216,16 +216,16 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond)
 				d := time.Duration(rapid.IntRange(0, 4000).Draw(t, "cold")) * time.Millisecond
 				if rapid.Bool().Draw(t, "by its entry") {
-					f.list[0].Row++
-					f.list[0].Cold = d
+					f.list[0].RowVersion++
+					f.list[0].ColdRemaining = d
 					b.SetTargets(now, map[string][]placement.Target{pool: slices.Clone(f.list)})
 				} else {
-					b.SaysCold(now, uid, d)
+					b.MarkCold(now, uid, d)
 				}
 				if now.Add(d).After(until) {
 					until = now.Add(d)
 				}
-				Expect(b.Cold(now) == 1).To(Equal(until.After(now)))
+				Expect(b.CountCold(now) == 1).To(Equal(until.After(now)))
 			}
 		})
 	})
@@ -235,7 +235,7 @@
 		f := newColdFleet(1, 3, 9)
 		f.boards[0].SetFleet(nil)
 		f.chill(start, func(int) bool { return true })
-		_, ok := f.boards[0].Place(start.Add(2*time.Second), placement.Ask{Pool: pool, Chat: 7})
+		_, ok := f.boards[0].Place(start.Add(2*time.Second), placement.Request{Pool: pool, Chat: 7})
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/internal/core/placement/ended.go
+++ b/internal/core/placement/ended.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// Ended takes in that a target's process has ended, as this router saw it or another one tells, and reports whether that is
+// MarkExited takes in that a target's process has ended, as this router saw it or another one tells, and reports whether that is
 // news. Each router would learn it by a request of its own otherwise.
-func (b *Board) Ended(now time.Time, uid uint64) (news bool) {
+func (b *Balancer) MarkExited(now time.Time, uid uint64) (news bool) {
 	t, ok := b.byUID[uid]
 	if !ok || ablate.Off(ablate.Suspension) || (!t.ended.IsZero() && now.Sub(t.ended) < endedRest) {
 		return false
@@ -35,11 +35,11 @@
 	return true
 }
 
-// EndedToAsk returns the listed targets that rest because their process has ended and whose port is to be asked now.
-func (b *Board) EndedToAsk(now time.Time) []Target {
+// ExitedTargetsToProbe returns the listed targets that rest because their process has ended and whose port is to be asked now.
+func (b *Balancer) ExitedTargetsToProbe(now time.Time) []Target {
 	var out []Target
 	for _, t := range b.byUID {
-		if !t.ended.IsZero() && now.Sub(t.ended) >= askEndedAfter && now.Sub(t.askedEnded) >= askEndedAfter && !b.Leaves(t.UID) {
+		if !t.ended.IsZero() && now.Sub(t.ended) >= askEndedAfter && now.Sub(t.askedEnded) >= askEndedAfter && !b.IsLeavingOrRemoved(t.UID) {
 			t.askedEnded = now
 			out = append(out, t.Target)
 		}
@@ -47,9 +47,9 @@
 	return out
 }
 
-// EndedAnswer takes in whether the port of a target that has ended, as far as was known, accepts connections. If it does not the rest
+// RecordProbe takes in whether the port of a target that has ended, as far as was known, accepts connections. If it does not the rest
 // begins again; if it does nothing more is asked, and the rest ends as it would have.
-func (b *Board) EndedAnswer(now time.Time, uid uint64, accepts bool) {
+func (b *Balancer) RecordProbe(now time.Time, uid uint64, accepts bool) {
 	t, ok := b.byUID[uid]
 	switch {
 	case !ok || t.ended.IsZero():
--- a/internal/core/placement/evacuate.go
+++ b/internal/core/placement/evacuate.go
@@ -6,8 +6,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/evacuation"
 )
 
-// Evacuate puts the operators' orders to evacuate data centres in force, in place of those before, and returns what has changed.
-func (b *Board) Evacuate(now time.Time, dataCentres []string) []evacuation.Change {
+// SetEvacuated puts the operators' orders to evacuate data centres in force, in place of those before, and returns what has changed.
+func (b *Balancer) SetEvacuated(now time.Time, dataCentres []string) []evacuation.Change {
 	changes := b.orders.Update(dataCentres)
 	if len(changes) == 0 {
 		return nil
@@ -17,9 +17,9 @@
 		returned[ch.DataCentre] = !ch.Evacuated
 	}
 	for _, t := range b.byUID {
-		t.evacuated = b.orders.Holds(t.DataCentre)
+		t.evacuated = b.orders.IsEvacuated(t.DataCentre)
 		if returned[t.DataCentre] {
-			t.cold.learn(now, t.pool.limits.ColdFor) // it may have been switched off meanwhile, and say so too late
+			t.cold.learn(now, t.pool.limits.ColdDuration) // it may have been switched off meanwhile, and say so too late
 		}
 	}
 	for _, p := range b.pools {
@@ -28,8 +28,8 @@
 	return changes
 }
 
-// Evacuated reports whether all targets of a pool that stay are in evacuated data centres.
-func (b *Board) Evacuated(pool string) bool {
+// IsEvacuated reports whether all targets of a pool that stay are in evacuated data centres.
+func (b *Balancer) IsEvacuated(pool string) bool {
 	p, ok := b.pools[pool]
 	if !ok {
 		return false
--- a/internal/core/placement/inventory.go
+++ b/internal/core/placement/inventory.go
@@ -8,8 +8,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// Part is the beginning of a prompt up to the end of one of its parts.
-type Part struct {
+// Prefix is the beginning of a prompt up to the end of one of its parts.
+type Prefix struct {
 	// Hash names the part together with the model and all parts before it: a target that has
 	// cached it has cached the whole beginning.
 	Hash uint64
@@ -17,9 +17,9 @@
 	Tokens int
 }
 
-// Read says that a target has read a beginning of a prompt that it had not read before.
-type Read struct {
-	Part   uint64 // hash of the beginning
+// PrefixRead says that a target has read a beginning of a prompt that it had not read before.
+type PrefixRead struct {
+	Prefix uint64 // hash of the beginning
 	Target uint64
 }
 
@@ -45,7 +45,7 @@
 type inventory struct {
 	byHash map[uint64]*list.Element // of *holding
 	recent *list.List               // last used first
-	untold []Read
+	untold []PrefixRead
 }
 
 type holding struct {
@@ -63,13 +63,13 @@
 }
 
 // read notes that a target has read a prompt of this router.
-func (v *inventory) read(now time.Time, prompt []Part, target uint64) {
+func (v *inventory) read(now time.Time, prompt []Prefix, target uint64) {
 	if ablate.Off(ablate.Inventory) {
 		return
 	}
 	for _, p := range prompt {
 		if v.note(now, p.Hash, target) && p.Tokens >= tellTokens {
-			v.untold = append(v.untold, Read{Part: p.Hash, Target: target})
+			v.untold = append(v.untold, PrefixRead{Prefix: p.Hash, Target: target})
 		}
 	}
 	if over := len(v.untold) - maxUntold; over > 0 {
@@ -110,7 +110,7 @@
 }
 
 // take returns up to a number of what has not been told yet, and takes it for told.
-func (v *inventory) take(most int) []Read {
+func (v *inventory) take(most int) []PrefixRead {
 	n := min(most, len(v.untold))
 	out := slices.Clone(v.untold[:n])
 	v.untold = append(v.untold[:0], v.untold[n:]...)
@@ -131,19 +131,19 @@
 }
 
 // at returns the longest beginning that a target holds, empty if none is known.
-func (v *inventory) at(now time.Time, prompt []Part, target uint64) Part {
+func (v *inventory) at(now time.Time, prompt []Prefix, target uint64) Prefix {
 	for i := len(prompt) - 1; i >= 0; i-- {
 		if v.keeps(now, prompt[i].Hash, target) {
 			return prompt[i]
 		}
 	}
-	return Part{}
+	return Prefix{}
 }
 
 // deepest returns the longest beginning that another target than t holds, and that target: one in the
 // data centre of t if there is one, since a move between data centres takes twice as long. The
 // Part is empty if there is none. usable says whether a target may be asked.
-func (v *inventory) deepest(now time.Time, prompt []Part, t *target, usable func(target uint64) (*target, bool)) (Part, *target) {
+func (v *inventory) deepest(now time.Time, prompt []Prefix, t *target, usable func(target uint64) (*target, bool)) (Prefix, *target) {
 	for i := len(prompt) - 1; i >= 0; i-- {
 		var best *target
 		for _, h := range v.holders(prompt[i].Hash) {
@@ -159,21 +159,21 @@
 			return prompt[i], best
 		}
 	}
-	return Part{}, nil
+	return Prefix{}, nil
 }
 
 // kept reports whether the target has probably not dropped the beginning.
 func (h *holder) kept(now time.Time) bool { return now.Sub(h.last) < heldFor }
 
-// TakeRead returns up to a number of what the others have not been told of yet.
-func (b *Board) TakeRead(most int) []Read { return b.held.take(most) }
+// TakePrefixReads returns up to a number of what the others have not been told of yet.
+func (b *Balancer) TakePrefixReads(most int) []PrefixRead { return b.held.take(most) }
 
-// HeardRead takes in what another router saw read.
-func (b *Board) HeardRead(now time.Time, read []Read) {
+// ReceivePrefixReads takes in what another router saw read.
+func (b *Balancer) ReceivePrefixReads(now time.Time, read []PrefixRead) {
 	if ablate.Off(ablate.Told) {
 		return
 	}
 	for _, r := range read {
-		b.held.note(now, r.Part, r.Target)
+		b.held.note(now, r.Prefix, r.Target)
 	}
 }
--- a/internal/core/placement/inventory_test.go
+++ b/internal/core/placement/inventory_test.go
@@ -14,36 +14,36 @@
 
 // ask returns a request of a chat whose prompt begins with a root of 2,000 tokens that other
 // chats share; the chat's own beginning has 6,000 more.
-func ask(root, chat uint64) placement.Ask {
-	return placement.Ask{Pool: pool, Chat: chat, Prompt: []placement.Part{{Hash: root, Tokens: 2000}, {Hash: chat, Tokens: 8000}}}
+func ask(root, chat uint64) placement.Request {
+	return placement.Request{Pool: pool, Chat: chat, PromptPrefixes: []placement.Prefix{{Hash: root, Tokens: 2000}, {Hash: chat, Tokens: 8000}}}
 }
 
 // serve places a request, which is answered at once.
-func serve(b *placement.Board, now time.Time, a placement.Ask) placement.Choice {
+func serve(b *placement.Balancer, now time.Time, a placement.Request) placement.Choice {
 	c, ok := b.Place(now, a)
 	Expect(ok).To(BeTrue())
 	answer(b, now, c)
 	return c
 }
 
-func answer(b *placement.Board, now time.Time, c placement.Choice) {
-	b.FirstEvent(now, c, true)
-	b.Done(now, c.Target.UID, placement.Answered)
+func answer(b *placement.Balancer, now time.Time, c placement.Choice) {
+	b.RecordFirstEvent(now, c, true)
+	b.FinishRequest(now, c.Target.UID, placement.Answered)
 }
 
 // placed places a request, which waits for its answer.
-func placed(b *placement.Board, a placement.Ask) placement.Choice {
+func placed(b *placement.Balancer, a placement.Request) placement.Choice {
 	c, ok := b.Place(start, a)
 	Expect(ok).To(BeTrue())
 	return c
 }
 
 // chatAt returns a chat from first on whose home is, or is not, a target.
-func chatAt(b *placement.Board, first uint64, uid uint64, is bool) uint64 {
+func chatAt(b *placement.Balancer, first uint64, uid uint64, is bool) uint64 {
 	for chat := first; ; chat++ {
-		c, ok := b.Place(start, placement.Ask{Pool: pool, Chat: chat})
+		c, ok := b.Place(start, placement.Request{Pool: pool, Chat: chat})
 		Expect(ok).To(BeTrue())
-		b.Done(start, c.Target.UID, placement.Neutral)
+		b.FinishRequest(start, c.Target.UID, placement.Neutral)
 		if (c.Target.UID == uid) == is {
 			return chat
 		}
@@ -59,31 +59,31 @@
 	It("lets a new chat's home fetch the beginning that another target has read", func() {
 		b := board(targets(6)...)
 		first := placed(b, ask(root, 1))
-		Expect(first.Source).To(BeEmpty(), "nobody has it")
+		Expect(first.CacheSource).To(BeEmpty(), "nobody has it")
 		other := chatAt(b, 2, first.Target.UID, false)
 		reading := placed(b, ask(root, other))
-		Expect(reading.Source).To(BeEmpty(), "it is being read")
+		Expect(reading.CacheSource).To(BeEmpty(), "it is being read")
 		answer(b, start, first)
 		answer(b, start, reading)
 		other = chatAt(b, other+1, first.Target.UID, false)
 		c := serve(b, start.Add(time.Second), ask(root, other))
-		Expect(c.Source).NotTo(BeEmpty())
-		Expect(c.Source).NotTo(Equal(c.Target.Address))
-		Expect(serve(b, start.Add(2*time.Second), ask(root, other)).Source).To(BeEmpty(), "it has all of it now")
-		Expect(serve(b, start.Add(2*time.Second), ask(root, chatAt(b, 2, first.Target.UID, true))).Source).To(BeEmpty(), "it holds the root")
+		Expect(c.CacheSource).NotTo(BeEmpty())
+		Expect(c.CacheSource).NotTo(Equal(c.Target.Address))
+		Expect(serve(b, start.Add(2*time.Second), ask(root, other)).CacheSource).To(BeEmpty(), "it has all of it now")
+		Expect(serve(b, start.Add(2*time.Second), ask(root, chatAt(b, 2, first.Target.UID, true))).CacheSource).To(BeEmpty(), "it holds the root")
 	})
 
 	It("is told to the other routers, each piece of news once", func() {
 		one, other := board(targets(6)...), board(targets(6)...)
 		at := serve(one, start, ask(root, 1)).Target
 		serve(one, start, ask(root, 1))
-		news := one.TakeRead(10)
-		Expect(news).To(ConsistOf(placement.Read{Part: root, Target: at.UID}, placement.Read{Part: 1, Target: at.UID}))
-		Expect(one.TakeRead(10)).To(BeEmpty())
-		other.HeardRead(start, news)
-		Expect(other.TakeRead(10)).To(BeEmpty(), "it is told by who sent it")
+		news := one.TakePrefixReads(10)
+		Expect(news).To(ConsistOf(placement.PrefixRead{Prefix: root, Target: at.UID}, placement.PrefixRead{Prefix: 1, Target: at.UID}))
+		Expect(one.TakePrefixReads(10)).To(BeEmpty())
+		other.ReceivePrefixReads(start, news)
+		Expect(other.TakePrefixReads(10)).To(BeEmpty(), "it is told by who sent it")
 		chat := chatAt(other, 2, at.UID, false)
-		Expect(serve(other, start.Add(time.Second), ask(root, chat)).Source).To(Equal(at.Address))
+		Expect(serve(other, start.Add(time.Second), ask(root, chat)).CacheSource).To(Equal(at.Address))
 	})
 
 	It("is fetched within the data centre if it can be", func() {
@@ -99,7 +99,7 @@
 		b.SetTargets(start, map[string][]placement.Target{pool: append(list, target("new", "b"))})
 		for chat := uint64(100); ; chat++ {
 			if c := serve(b, start.Add(time.Second), ask(root, chat)); c.Target.ID == "new" {
-				Expect(centre[c.Source]).To(Equal("b"))
+				Expect(centre[c.CacheSource]).To(Equal("b"))
 				return
 			}
 		}
@@ -114,7 +114,7 @@
 			b.SetTargets(start.Add(time.Duration(n)*time.Millisecond), map[string][]placement.Target{pool: targets(n)})
 		}
 		for chat := uint64(1); chat < 50; chat++ {
-			Expect(serve(b, start.Add(time.Second), placement.Ask{Pool: pool, Chat: chat}).Source).To(BeEmpty())
+			Expect(serve(b, start.Add(time.Second), placement.Request{Pool: pool, Chat: chat}).CacheSource).To(BeEmpty())
 		}
 	})
 
@@ -128,8 +128,8 @@
 				now = now.Add(time.Duration(rnd.IntN(900)) * time.Millisecond)
 				if rnd.IntN(4) == 0 {
 					i := rnd.IntN(len(list))
-					list[i].Started++
-					list[i].UID = placement.UID(list[i].ID, list[i].Started)
+					list[i].StartedAtMs++
+					list[i].UID = placement.UID(list[i].ID, list[i].StartedAtMs)
 					list[i].Address = list[i].Address + "'"
 					b.SetTargets(now, map[string][]placement.Target{pool: list})
 				}
@@ -137,13 +137,13 @@
 				if !ok {
 					t.Fatal("no target")
 				}
-				b.Done(now, c.Target.UID, placement.Answered)
-				known := c.Source == ""
+				b.FinishRequest(now, c.Target.UID, placement.Answered)
+				known := c.CacheSource == ""
 				for _, l := range list {
-					known = known || (l.Address == c.Source && l.UID != c.Target.UID)
+					known = known || (l.Address == c.CacheSource && l.UID != c.Target.UID)
 				}
 				if !known {
-					t.Fatalf("source %s is no target, or the chosen one", c.Source)
+					t.Fatalf("source %s is no target, or the chosen one", c.CacheSource)
 				}
 			}
 		})
@@ -154,10 +154,10 @@
 		for chat := uint64(1); chat < 20000; chat++ {
 			serve(b, start, ask(root, chat))
 		}
-		Expect(len(b.TakeRead(1 << 20))).To(BeNumerically("<=", 512))
+		Expect(len(b.TakePrefixReads(1 << 20))).To(BeNumerically("<=", 512))
 		other := target("new", "a")
 		b.SetTargets(start, map[string][]placement.Target{pool: append(targets(2), other)})
-		Expect(serve(b, start.Add(time.Second), ask(1<<50, chatAt(b, 30000, other.UID, true))).Source).To(BeEmpty(), "nobody has its root")
-		Expect(serve(b, start.Add(time.Second), ask(root, chatAt(b, 40000, other.UID, true))).Source).NotTo(BeEmpty(), "the root is in use")
+		Expect(serve(b, start.Add(time.Second), ask(1<<50, chatAt(b, 30000, other.UID, true))).CacheSource).To(BeEmpty(), "nobody has its root")
+		Expect(serve(b, start.Add(time.Second), ask(root, chatAt(b, 40000, other.UID, true))).CacheSource).NotTo(BeEmpty(), "the root is in use")
 	})
 })
--- a/internal/core/placement/loads.go
+++ b/internal/core/placement/loads.go
@@ -6,10 +6,10 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// Heard takes in what another router has open and what came of its requests at failing targets, in place
+// ReceiveReport takes in what another router has open and what came of its requests at failing targets, in place
 // of what it said before, and returns the ids of targets that are ejected by it. outcomes are nil
 // if it did not tell any this time.
-func (b *Board) Heard(now time.Time, router uint32, loads []Load, outcomes []Outcomes) (ejected []string) {
+func (b *Balancer) ReceiveReport(now time.Time, router uint32, loads []Load, outcomes []TargetOutcomes) (ejected []string) {
 	p, ok := b.peers[router]
 	if !ok {
 		p = &peerView{}
@@ -34,14 +34,14 @@
 	return b.told(now, p, outcomes)
 }
 
-func (b *Board) addPeer(l Load, sign int) {
+func (b *Balancer) addPeer(l Load, sign int) {
 	if t, ok := b.byUID[l.Target]; ok {
 		t.peers += sign * l.Open
 	}
 }
 
 // sumPeers counts all digests again: targets may have come and gone since.
-func (b *Board) sumPeers() {
+func (b *Balancer) sumPeers() {
 	for _, t := range b.byUID {
 		t.peers = 0
 	}
@@ -53,18 +53,18 @@
 }
 
 // Expire forgets the loads of routers that have been silent for too long, and words of targets that no longer count.
-func (b *Board) Expire(now time.Time) {
+func (b *Balancer) Expire(now time.Time) {
 	for id, p := range b.peers {
-		if now.Sub(p.heard) > b.settings.LoadsExpire {
-			b.Forget(id)
+		if now.Sub(p.heard) > b.settings.LoadReportTTL {
+			b.ForgetRouter(id)
 		}
 	}
 	b.expireSaid(now)
 }
 
-// Forget drops what a router has open: it has ended or restarted. The outcomes that it told
+// ForgetRouter drops what a router has open: it has ended or restarted. The outcomes that it told
 // stay, they decay by themselves.
-func (b *Board) Forget(router uint32) {
+func (b *Balancer) ForgetRouter(router uint32) {
 	if p, ok := b.peers[router]; ok {
 		for _, l := range p.loads {
 			b.addPeer(l, -1)
@@ -73,15 +73,15 @@
 	}
 }
 
-// ForgetAll drops what all others have open.
-func (b *Board) ForgetAll() {
+// ForgetAllRouters drops what all others have open.
+func (b *Balancer) ForgetAllRouters() {
 	for id := range b.peers {
-		b.Forget(id)
+		b.ForgetRouter(id)
 	}
 }
 
-// Own returns what this router has open, for its digest.
-func (b *Board) Own() []Load {
+// OwnLoads returns what this router has open, for its digest.
+func (b *Balancer) OwnLoads() []Load {
 	var out []Load
 	for uid, t := range b.byUID {
 		if t.own > 0 {
@@ -91,8 +91,8 @@
 	return out
 }
 
-// OpenAt returns what the fleet has open at each listed target, by its id.
-func (b *Board) OpenAt() map[string]int {
+// OpenByTarget returns what the fleet has open at each listed target, by its id.
+func (b *Balancer) OpenByTarget() map[string]int {
 	out := make(map[string]int)
 	for _, p := range b.pools {
 		for _, t := range p.targets {
--- a/internal/core/placement/model.go
+++ b/internal/core/placement/model.go
@@ -87,14 +87,14 @@
 type pending struct {
 	sequence uint64
 	since    time.Time
-	prompt   []Part
+	prompt   []Prefix
 	unread   float64 // tokens
 }
 
 // pace returns by how much a target is slower than the model, by what the whole fleet saw; 1 is average.
 // A request that waits for longer than it should counts with the time that it has waited: the
 // answers of a target that has just turned slow come late.
-func (b *Board) pace(now time.Time, t *target) float64 {
+func (b *Balancer) pace(now time.Time, t *target) float64 {
 	m := t.pool.model
 	if !m.known() || ablate.Off(ablate.Pace) {
 		return 1
@@ -113,7 +113,7 @@
 }
 
 // seemsSlow reports whether a target is slow by the answers that this router got.
-func (b *Board) seemsSlow(t *target) bool {
+func (b *Balancer) seemsSlow(t *target) bool {
 	doubt := paceDoubt * t.pool.model.base
 	return t.counts.took+doubt >= slowFactor*(t.counts.expected+doubt) && t.counts.took > 0
 }
@@ -129,9 +129,9 @@
 	return pending{}, false
 }
 
-// FirstEvent takes note that a placed request has its first event, or, if it was not answered, that it
+// RecordFirstEvent takes note that a placed request has its first event, or, if it was not answered, that it
 // will have none.
-func (b *Board) FirstEvent(now time.Time, c Choice, answered bool) {
+func (b *Balancer) RecordFirstEvent(now time.Time, c Choice, answered bool) {
 	t, ok := b.byUID[c.Target.UID]
 	if !ok {
 		return
@@ -155,18 +155,18 @@
 
 // unread returns how many tokens of a prompt a target has to read itself. What it fetches takes a part of
 // the time of reading it.
-func (b *Board) unread(now time.Time, a Ask, t *target) float64 {
-	held := b.held.at(now, a.Prompt, t.UID)
+func (b *Balancer) unread(now time.Time, a Request, t *target) float64 {
+	held := b.held.at(now, a.PromptPrefixes, t.UID)
 	elsewhere, _ := b.deepest(now, a, t)
 	fetched := max(elsewhere.Tokens-held.Tokens, 0)
-	return float64(max(a.Tokens-held.Tokens-fetched, 0)) + fetchShare*float64(fetched)
+	return float64(max(a.PromptTokens-held.Tokens-fetched, 0)) + fetchShare*float64(fetched)
 }
 
 // fetchShare is the part of the time of reading tokens that fetching them takes.
 const fetchShare = 0.2
 
 // expected returns the time to the first event of a request at a target.
-func (b *Board) expected(now time.Time, a Ask, t *target) time.Duration {
+func (b *Balancer) expected(now time.Time, a Request, t *target) time.Duration {
 	m := t.pool.model
 	return time.Duration(m.expect(b.unread(now, a, t)) * b.pace(now, t) * float64(time.Second))
 }
--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -17,7 +17,7 @@
 type play struct {
 	now     time.Time
 	rnd     *rand.Rand
-	routers []*placement.Board
+	routers []*placement.Balancer
 	targets []placement.Target
 	slow    map[uint64]float64 // by how much a target is slower now
 	holds   map[uint64]map[uint64]bool
@@ -80,15 +80,15 @@
 
 func (p *play) tell(outcomes bool) {
 	for i, from := range p.routers {
-		loads, read := from.Own(), from.TakeRead(32)
-		var told []placement.Outcomes
+		loads, read := from.OwnLoads(), from.TakePrefixReads(32)
+		var told []placement.TargetOutcomes
 		if outcomes {
-			told = append([]placement.Outcomes{}, from.Outcomes(p.now)...)
+			told = append([]placement.TargetOutcomes{}, from.OutcomesToReport(p.now)...)
 		}
 		for j, to := range p.routers {
 			if i != j {
-				to.Heard(p.now, uint32(i+1), loads, told)
-				to.HeardRead(p.now, read)
+				to.ReceiveReport(p.now, uint32(i+1), loads, told)
+				to.ReceivePrefixReads(p.now, read)
 			}
 		}
 	}
@@ -98,20 +98,20 @@
 	b := p.routers[p.rnd.IntN(playRouters)]
 	chat := p.rnd.Uint64N(70) + 1
 	a := ask(root+chat%4, chat)
-	a.Tokens, a.Objective = 8500, playObjective
+	a.PromptTokens, a.Objective = 8500, playObjective
 	c, ok := b.Place(p.now, a)
 	Expect(ok).To(BeTrue())
 	p.sent++
 	p.at[c.Target.UID]++
 	uid, began := c.Target.UID, p.now
 	unread := 500.0
-	for i, part := range a.Prompt {
+	for i, part := range a.PromptPrefixes {
 		if !p.holds[uid][part.Hash] {
 			tokens := float64(part.Tokens)
 			if i > 0 {
-				tokens -= float64(a.Prompt[i-1].Tokens)
+				tokens -= float64(a.PromptPrefixes[i-1].Tokens)
 			}
-			if c.Source != "" {
+			if c.CacheSource != "" {
 				tokens *= 0.2
 			}
 			unread += tokens
@@ -123,12 +123,12 @@
 		if p.now.Sub(began) > playObjective {
 			p.late++
 		}
-		for _, part := range a.Prompt {
+		for _, part := range a.PromptPrefixes {
 			p.holds[uid][part.Hash] = true
 		}
-		b.FirstEvent(p.now, c, true)
+		b.RecordFirstEvent(p.now, c, true)
 	})
-	p.after(first+time.Duration(factor*float64(playStream)), func() { b.Done(p.now, uid, placement.Answered) })
+	p.after(first+time.Duration(factor*float64(playStream)), func() { b.FinishRequest(p.now, uid, placement.Answered) })
 }
 
 // share returns the part of the placements since the last call that went to targets.
@@ -181,7 +181,7 @@
 			moved := 0
 			for chat := uint64(1); chat <= 70; chat++ {
 				a := ask(root+chat%4, chat)
-				a.Tokens, a.Objective = 8500, playObjective
+				a.PromptTokens, a.Objective = 8500, playObjective
 				if c := serve(p.routers[0], p.now, a); c.Rule == placement.RuleFaster {
 					moved++
 				}
@@ -199,7 +199,7 @@
 		b := p.routers[0]
 		home := serve(b, p.now, ask(1<<50, 9000))
 		for i := range 6 {
-			long := placement.Ask{Pool: pool, Chat: 9000, Tokens: 30000, Objective: playObjective}
+			long := placement.Request{Pool: pool, Chat: 9000, PromptTokens: 30000, Objective: playObjective}
 			c, ok := b.Place(p.now, long)
 			Expect(ok).To(BeTrue())
 			p.now = p.now.Add(790 * time.Millisecond)
@@ -221,7 +221,7 @@
 		Expect(lost.Target).To(Equal(home))
 		p.run(500*time.Millisecond, 100)
 		a := ask(root, 4)
-		a.Tokens, a.Objective = 8500, playObjective
+		a.PromptTokens, a.Objective = 8500, playObjective
 		Expect(serve(b, p.now, a).Target).To(Equal(home))
 	})
 
@@ -243,8 +243,8 @@
 			if c.Target.ID == "1" {
 				quick++
 			}
-			b.FirstEvent(now, c, false)
-			b.Done(now, c.Target.UID, placement.Neutral)
+			b.RecordFirstEvent(now, c, false)
+			b.FinishRequest(now, c.Target.UID, placement.Neutral)
 		}
 		Expect(quick).To(BeNumerically(">=", 18))
 	})
--- a/internal/core/placement/order_test.go
+++ b/internal/core/placement/order_test.go
@@ -19,7 +19,7 @@
 	b := board(list...)
 	out := make(map[uint64]placement.Target)
 	for chat := uint64(1); chat <= chats; chat++ {
-		out[chat] = serve(b, start, placement.Ask{Pool: pool, Chat: chat}).Target
+		out[chat] = serve(b, start, placement.Request{Pool: pool, Chat: chat}).Target
 	}
 	return out
 }
@@ -87,7 +87,7 @@
 		}
 		Expect(seen).To(HaveKey(first.DataCentre))
 		Expect(seen).To(HaveLen(2))
-		open := b.OpenAt()
+		open := b.OpenByTarget()
 		for _, t := range spread(3, 3, 3) {
 			if t.DataCentre == first.DataCentre {
 				Expect(open[t.ID]).To(BeNumerically(">", 1), "each of them was used before")
@@ -115,13 +115,13 @@
 		list := spread(5, 5, 4, 4)
 		b := board(list...)
 		for i := range 4 {
-			b.Done(start, list[i].UID, placement.Unreachable)
+			b.FinishRequest(start, list[i].UID, placement.Unreachable)
 		}
 		count := map[string]int{}
 		for chat := uint64(1); chat <= chats; chat++ {
 			c := place(b, start, chat)
 			count[c.Target.ID]++
-			b.Done(start, c.Target.UID, placement.Neutral)
+			b.FinishRequest(start, c.Target.UID, placement.Neutral)
 		}
 		Expect(count).To(HaveLen(14))
 		Expect(count["a4"]).To(BeNumerically("<", 2*chats/14), "it had a quarter of all before")
@@ -133,7 +133,7 @@
 			other := rapid.Permutation(list).Draw(t, "list")
 			one, two := board(list...), board(other...)
 			for chat := uint64(1); chat < 50; chat++ {
-				ask := placement.Ask{Pool: pool, Chat: chat}
+				ask := placement.Request{Pool: pool, Chat: chat}
 				if serve(one, start, ask).Target.UID != serve(two, start, ask).Target.UID {
 					t.Fatalf("chat %d", chat)
 				}
@@ -148,7 +148,7 @@
 		}
 		b := board(list...)
 		for chat := uint64(1); chat < 200; chat++ {
-			_, ok := b.Place(start.Add(time.Second), placement.Ask{Pool: pool, Chat: chat})
+			_, ok := b.Place(start.Add(time.Second), placement.Request{Pool: pool, Chat: chat})
 			Expect(ok).To(BeTrue())
 		}
 	})
--- a/internal/core/placement/outlier.go
+++ b/internal/core/placement/outlier.go
@@ -6,26 +6,26 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// Outcomes is what came of the requests at a target, as one router saw it. All of it decays:
+// TargetOutcomes is what came of the requests at a target, as one router saw it. All of it decays:
 // what happened a half-life ago counts half.
-type Outcomes struct {
+type TargetOutcomes struct {
 	Target        uint64
 	Ended, Failed float64
-	// Took and Expected are the seconds that answered requests took to their first events, and what
+	// FirstEventSeconds and ExpectedSeconds are the seconds that answered requests took to their first events, and what
 	// they should have taken by the pool's model.
-	Took, Expected float64
+	FirstEventSeconds, ExpectedSeconds float64
 }
 
 // Add adds others' outcomes at the same target with a weight; sums don't become negative.
-func (o *Outcomes) Add(other Outcomes, weight float64) {
+func (o *TargetOutcomes) Add(other TargetOutcomes, weight float64) {
 	o.Ended = max(o.Ended+weight*other.Ended, 0)
 	o.Failed = max(o.Failed+weight*other.Failed, 0)
-	o.Took = max(o.Took+weight*other.Took, 0)
-	o.Expected = max(o.Expected+weight*other.Expected, 0)
+	o.FirstEventSeconds = max(o.FirstEventSeconds+weight*other.FirstEventSeconds, 0)
+	o.ExpectedSeconds = max(o.ExpectedSeconds+weight*other.ExpectedSeconds, 0)
 }
 
-// Remaining returns the part of outcomes that is left after a time.
-func Remaining(since time.Duration) float64 { return halved(since, outcomeHalfLife) }
+// DecayFactor returns the part of outcomes that is left after a time.
+func DecayFactor(since time.Duration) float64 { return halved(since, outcomeHalfLife) }
 
 const (
 	// outcomeHalfLife is long enough for a dozen requests at a target that gets ten a second
@@ -134,7 +134,7 @@
 // whether it did. A target that fails part of its requests passes its liveness checks, and one
 // router sees a sliver of its requests: alone it would take most of a minute to notice, and
 // every lost answer is one that its caller waits for in vain.
-func (b *Board) detect(now time.Time, t *target) bool {
+func (b *Balancer) detect(now time.Time, t *target) bool {
 	if t.ejected(now) || ablate.Off(ablate.Outliers) {
 		return false
 	}
@@ -150,7 +150,7 @@
 }
 
 // othersFailureRate returns the mean failure rate of the other targets of a pool.
-func (b *Board) othersFailureRate(now time.Time, t *target) float64 {
+func (b *Balancer) othersFailureRate(now time.Time, t *target) float64 {
 	sum, n := 0.0, 0
 	for _, o := range t.pool.targets {
 		if o != t {
@@ -163,7 +163,7 @@
 }
 
 // outcomesAt adds up what this router and the others saw at a target.
-func (b *Board) outcomesAt(now time.Time, t *target) counts {
+func (b *Balancer) outcomesAt(now time.Time, t *target) counts {
 	t.counts.decay(now)
 	t.peerCounts.decay(now)
 	return counts{
@@ -174,7 +174,7 @@
 
 // told takes in what another router saw, in place of what it told before. The sum over all
 // routers is kept for each target: all parts of it decay alike.
-func (b *Board) told(now time.Time, p *peerView, outcomes []Outcomes) (ejected []string) {
+func (b *Balancer) told(now time.Time, p *peerView, outcomes []TargetOutcomes) (ejected []string) {
 	b.takeBack(now, p)
 	p.told, p.outcomes = now, outcomes
 	for _, o := range outcomes {
@@ -185,8 +185,8 @@
 		t.peerCounts.decay(now)
 		t.peerCounts.ended += o.Ended
 		t.peerCounts.failed += o.Failed
-		t.peerCounts.took += o.Took
-		t.peerCounts.expected += o.Expected
+		t.peerCounts.took += o.FirstEventSeconds
+		t.peerCounts.expected += o.ExpectedSeconds
 		if o.Failed >= reportMin {
 			t.reportedAt = now
 		}
@@ -201,37 +201,37 @@
 }
 
 // takeBack takes what a router told before out of the sums.
-func (b *Board) takeBack(now time.Time, p *peerView) {
+func (b *Balancer) takeBack(now time.Time, p *peerView) {
 	left := halved(now.Sub(p.told), outcomeHalfLife)
 	for _, o := range p.outcomes {
 		if t, ok := b.byUID[o.Target]; ok {
 			t.peerCounts.decay(now)
 			t.peerCounts.ended = max(t.peerCounts.ended-left*o.Ended, 0)
 			t.peerCounts.failed = max(t.peerCounts.failed-left*o.Failed, 0)
-			t.peerCounts.took = max(t.peerCounts.took-left*o.Took, 0)
-			t.peerCounts.expected = max(t.peerCounts.expected-left*o.Expected, 0)
+			t.peerCounts.took = max(t.peerCounts.took-left*o.FirstEventSeconds, 0)
+			t.peerCounts.expected = max(t.peerCounts.expected-left*o.ExpectedSeconds, 0)
 		}
 	}
 	p.outcomes = nil
 }
 
-// Outcomes returns what this router tells of the targets that it or another router has
+// OutcomesToReport returns what this router tells of the targets that it or another router has
 // seen failing: once one tells of a target all do, so that the successes count as well. Of a slow
 // target only those tell that saw it slow: there is always one that seems slow to somebody, and
 // if all told of it, all would tell of all.
-func (b *Board) Outcomes(now time.Time) []Outcomes {
-	var out []Outcomes
+func (b *Balancer) OutcomesToReport(now time.Time) []TargetOutcomes {
+	var out []TargetOutcomes
 	for uid, t := range b.byUID {
 		t.counts.decay(now)
-		o := Outcomes{Target: uid}
-		reported := !t.reportedAt.IsZero() && now.Sub(t.reportedAt) < b.settings.LoadsExpire
+		o := TargetOutcomes{Target: uid}
+		reported := !t.reportedAt.IsZero() && now.Sub(t.reportedAt) < b.settings.LoadReportTTL
 		if t.counts.failed >= reportMin || (reported && t.counts.ended >= reportMin) {
 			o.Ended, o.Failed = t.counts.ended, t.counts.failed
 		}
 		if b.seemsSlow(t) {
-			o.Took, o.Expected = t.counts.took, t.counts.expected
+			o.FirstEventSeconds, o.ExpectedSeconds = t.counts.took, t.counts.expected
 		}
-		if o.Ended > 0 || o.Took > 0 {
+		if o.Ended > 0 || o.FirstEventSeconds > 0 {
 			out = append(out, o)
 		}
 	}
--- a/internal/core/placement/outlier_test.go
+++ b/internal/core/placement/outlier_test.go
@@ -25,7 +25,7 @@
 func (g greyDay) play() (spoiled, misplaced int) {
 	const routers, perSecond = 9, 130
 	rnd := rand.New(rand.NewPCG(5, 6))
-	boards := make([]*placement.Board, routers)
+	boards := make([]*placement.Balancer, routers)
 	for i := range boards {
 		boards[i] = board(targets(12)...)
 	}
@@ -39,7 +39,7 @@
 			for from := range boards {
 				for to := range boards {
 					if from != to {
-						boards[to].Heard(now, uint32(from), boards[from].Own(), boards[from].Outcomes(now))
+						boards[to].ReceiveReport(now, uint32(from), boards[from].OwnLoads(), boards[from].OutcomesToReport(now))
 					}
 				}
 			}
@@ -59,7 +59,7 @@
 		case rnd.Float64() < g.others:
 			outcome = placement.Errored
 		}
-		b.Done(now, c.Target.UID, outcome)
+		b.FinishRequest(now, c.Target.UID, outcome)
 	}
 	return spoiled, misplaced
 }
@@ -108,17 +108,17 @@
 		one, other := board(targets(6)...), board(targets(6)...)
 		home := place(one, start, 7).Target.UID
 		for range 11 {
-			other.Done(start, home, placement.Errored)
-			one.Done(start, home, placement.Neutral)
+			other.FinishRequest(start, home, placement.Errored)
+			one.FinishRequest(start, home, placement.Neutral)
 		}
-		one.Done(start, home, placement.Errored)
-		told := other.Outcomes(start)
+		one.FinishRequest(start, home, placement.Errored)
+		told := other.OutcomesToReport(start)
 		Expect(told).To(HaveLen(1))
-		Expect(one.Heard(start, 2, nil, told)).To(HaveLen(1), "ejected by what it heard")
+		Expect(one.ReceiveReport(start, 2, nil, told)).To(HaveLen(1), "ejected by what it heard")
 		Expect(place(one, start, 7).Target.UID).NotTo(Equal(home))
 		for i := range 100 {
 			now := start.Add(time.Duration(i) * 100 * time.Millisecond)
-			one.Heard(now, 2, nil, other.Outcomes(now))
+			one.ReceiveReport(now, 2, nil, other.OutcomesToReport(now))
 		}
 		now := start.Add(10 * time.Second)
 		Expect(place(one, now, 7).Target.UID).To(Equal(home))
@@ -129,7 +129,7 @@
 		home := place(b, start, 7).Target.UID
 		until := func(now time.Time) time.Duration {
 			for range 20 {
-				b.Done(now, home, placement.Errored)
+				b.FinishRequest(now, home, placement.Errored)
 			}
 			ejected := time.Duration(0)
 			for place(b, now.Add(ejected), 7).Target.UID != home {
@@ -145,9 +145,9 @@
 	It("tells nothing of targets that fail nothing", func() {
 		b := board(targets(6)...)
 		for range 50 {
-			b.Done(start, place(b, start, 7).Target.UID, placement.Answered)
+			b.FinishRequest(start, place(b, start, 7).Target.UID, placement.Answered)
 		}
-		Expect(b.Outcomes(start)).To(BeEmpty())
+		Expect(b.OutcomesToReport(start)).To(BeEmpty())
 	})
 
 	// Symptom: a target is ejected that fails three in a hundred. Sequence: the one router that saw
@@ -156,12 +156,12 @@
 	It("is told with its successes by all once one router tells of a failure", func() {
 		one, other := board(targets(6)...), board(targets(6)...)
 		uid := targets(6)[0].UID
-		one.Done(start, uid, placement.Errored)
+		one.FinishRequest(start, uid, placement.Errored)
 		for range 30 {
-			other.Done(start, uid, placement.Answered)
+			other.FinishRequest(start, uid, placement.Answered)
 		}
-		Expect(other.Outcomes(start)).To(BeEmpty())
-		other.Heard(start, 1, nil, one.Outcomes(start))
-		Expect(other.Outcomes(start)).To(Equal([]placement.Outcomes{{Target: uid, Ended: 30}}))
+		Expect(other.OutcomesToReport(start)).To(BeEmpty())
+		other.ReceiveReport(start, 1, nil, one.OutcomesToReport(start))
+		Expect(other.OutcomesToReport(start)).To(Equal([]placement.TargetOutcomes{{Target: uid, Ended: 30}}))
 	})
 })
--- a/internal/core/placement/pause.go
+++ b/internal/core/placement/pause.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// SaysPause takes in that a target wants nothing from this router for a time. Of two words the one that lasts longer counts.
-func (b *Board) SaysPause(now time.Time, uid uint64, d time.Duration) {
+// MarkPaused takes in that a target wants nothing from this router for a time. Of two words the one that lasts longer counts.
+func (b *Balancer) MarkPaused(now time.Time, uid uint64, d time.Duration) {
 	t, ok := b.byUID[uid]
 	if !ok || d <= 0 {
 		return
@@ -46,11 +46,11 @@
 // closed reports whether a target gets nothing at all: it leaves, its data centre is evacuated, or it wants nothing for now.
 func (t *target) closed(now time.Time) bool { return !t.stays() || t.pause.holds(now) }
 
-// Wants reports whether a request that was placed may be sent to its target now. If it may and the target is cold, it counts as
+// MaySend reports whether a request that was placed may be sent to its target now. If it may and the target is cold, it counts as
 // sent from now on.
-func (b *Board) Wants(now time.Time, c Choice) bool {
+func (b *Balancer) MaySend(now time.Time, c Choice) bool {
 	t, ok := b.byUID[c.Target.UID]
-	if !ok || b.Leaves(t.UID) || t.evacuated || t.pause.until.After(now) {
+	if !ok || b.IsLeavingOrRemoved(t.UID) || t.evacuated || t.pause.until.After(now) {
 		return false
 	}
 	if t.isCold(now) {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// Resumes returns in what time the first target of a pool wants requests again, if all of those that stay want none; 0 otherwise.
-func (b *Board) Resumes(now time.Time, name string) time.Duration {
+// PausedRetryAfter returns in what time the first target of a pool wants requests again, if all of those that stay want none; 0 otherwise.
+func (b *Balancer) PausedRetryAfter(now time.Time, name string) time.Duration {
 	p, ok := b.pools[name]
 	if !ok {
 		return 0
--- a/internal/core/placement/pause_test.go
+++ b/internal/core/placement/pause_test.go
@@ -14,17 +14,17 @@
 
 var _ = Describe("a target that wants nothing for a time", func() {
 	var (
-		b   *placement.Board
+		b   *placement.Balancer
 		now time.Time
 	)
-	place := func() (placement.Choice, bool) { return b.Place(now, placement.Ask{Pool: "p", Chat: 7}) }
+	place := func() (placement.Choice, bool) { return b.Place(now, placement.Request{Pool: "p", Chat: 7}) }
 	end := func(c placement.Choice, answered bool) {
-		b.FirstEvent(now, c, answered)
+		b.RecordFirstEvent(now, c, answered)
 		o := placement.Answered
 		if !answered {
 			o = placement.Neutral
 		}
-		b.Done(now, c.Target.UID, o)
+		b.FinishRequest(now, c.Target.UID, o)
 	}
 
 	BeforeEach(func() {
@@ -36,7 +36,7 @@
 	It("gets nothing until then, its chats neither", func() {
 		home, _ := place()
 		end(home, true)
-		b.SaysPause(now, home.Target.UID, 3*time.Second)
+		b.MarkPaused(now, home.Target.UID, 3*time.Second)
 		for range 50 {
 			c, ok := place()
 			Expect(ok).To(BeTrue())
@@ -52,13 +52,13 @@
 	It("gets one request first, and the others when that has its first event", func() {
 		home, _ := place()
 		end(home, true)
-		b.SaysPause(now, home.Target.UID, time.Second)
+		b.MarkPaused(now, home.Target.UID, time.Second)
 		now = now.Add(2 * time.Second)
 		first, _ := place()
 		Expect(first.Target.UID).To(Equal(home.Target.UID))
 		second, _ := place()
 		Expect(second.Target.UID).NotTo(Equal(home.Target.UID))
-		b.FirstEvent(now, first, true)
+		b.RecordFirstEvent(now, first, true)
 		third, _ := place()
 		Expect(third.Target.UID).To(Equal(home.Target.UID))
 	})
@@ -66,36 +66,36 @@
 	It("goes on pausing if the first request is turned away for a time again", func() {
 		home, _ := place()
 		end(home, true)
-		b.SaysPause(now, home.Target.UID, time.Second)
+		b.MarkPaused(now, home.Target.UID, time.Second)
 		now = now.Add(2 * time.Second)
 		first, _ := place()
-		b.SaysPause(now, first.Target.UID, time.Second)
+		b.MarkPaused(now, first.Target.UID, time.Second)
 		end(first, false)
 		c, _ := place()
 		Expect(c.Target.UID).NotTo(Equal(home.Target.UID))
 	})
 
 	It("pauses for the longer of two words", func() {
-		b.SaysPause(now, 1, 10*time.Second)
-		b.SaysPause(now, 1, time.Second)
+		b.MarkPaused(now, 1, 10*time.Second)
+		b.MarkPaused(now, 1, time.Second)
 		now = now.Add(5 * time.Second)
-		Expect(b.Wants(now, placement.Choice{Target: placement.Target{UID: 1}})).To(BeFalse())
+		Expect(b.MaySend(now, placement.Choice{Target: placement.Target{UID: 1}})).To(BeFalse())
 	})
 
 	It("is believed no longer by its next lifetime", func() {
-		b.SaysPause(now, 1, time.Minute)
+		b.MarkPaused(now, 1, time.Minute)
 		b.SetTargets(now, map[string][]placement.Target{"p": {{UID: 3, ID: "i-1", Slots: 8}}})
 		_, ok := place()
 		Expect(ok).To(BeTrue())
 	})
 
 	It("leaves nobody to be sent to if all want nothing, and says when the first does", func() {
-		b.SaysPause(now, 1, 4*time.Second)
-		Expect(b.Resumes(now, "p")).To(BeZero())
-		b.SaysPause(now, 2, 2*time.Second)
+		b.MarkPaused(now, 1, 4*time.Second)
+		Expect(b.PausedRetryAfter(now, "p")).To(BeZero())
+		b.MarkPaused(now, 2, 2*time.Second)
 		_, ok := place()
 		Expect(ok).To(BeFalse())
-		Expect(b.Resumes(now, "p")).To(BeNumerically("~", 2250*time.Millisecond, 250*time.Millisecond))
+		Expect(b.PausedRetryAfter(now, "p")).To(BeNumerically("~", 2250*time.Millisecond, 250*time.Millisecond))
 	})
 
 	It("gets at most what was on its way, in any order of words, ends and placements", func() {
@@ -108,7 +108,7 @@
 			for range rapid.IntRange(5, 80).Draw(t, "steps") {
 				switch rapid.IntRange(0, 3).Draw(t, "what") {
 				case 0:
-					if c, ok := b.Place(now, placement.Ask{Pool: "p", Chat: uint64(rapid.IntRange(0, 3).Draw(t, "chat"))}); ok {
+					if c, ok := b.Place(now, placement.Request{Pool: "p", Chat: uint64(rapid.IntRange(0, 3).Draw(t, "chat"))}); ok {
 						if now.Before(paused[c.Target.UID]) {
 							t.Fatalf("placed at a target that wants nothing for %s", paused[c.Target.UID].Sub(now))
 						}
@@ -118,20 +118,20 @@
 					if len(open) > 0 {
 						c := open[0]
 						open = open[1:]
-						b.FirstEvent(now, c, true)
-						b.Done(now, c.Target.UID, placement.Answered)
+						b.RecordFirstEvent(now, c, true)
+						b.FinishRequest(now, c.Target.UID, placement.Answered)
 					}
 				case 2:
 					if len(open) > 0 {
 						c := open[len(open)-1]
 						open = open[:len(open)-1]
 						d := time.Duration(rapid.IntRange(1, 5000).Draw(t, "pause")) * time.Millisecond
-						b.SaysPause(now, c.Target.UID, d)
+						b.MarkPaused(now, c.Target.UID, d)
 						if until := now.Add(d); until.After(paused[c.Target.UID]) {
 							paused[c.Target.UID] = until
 						}
-						b.FirstEvent(now, c, false)
-						b.Done(now, c.Target.UID, placement.Neutral)
+						b.RecordFirstEvent(now, c, false)
+						b.FinishRequest(now, c.Target.UID, placement.Neutral)
 					}
 				case 3:
 					now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -18,27 +18,27 @@
 type Settings struct {
 	// DataCentre is where this router runs.
 	DataCentre string
-	// Multiple and Slack bound what a target may hold: Multiple x the pool's mean +
+	// LoadMultiple and Slack bound what a target may hold: LoadMultiple x the pool's mean +
 	// Slack. They are the operators' promise to the targets.
-	Multiple float64
-	Slack    float64
-	// Margin is how many requests below the bound a placement stays: routers place
+	LoadMultiple float64
+	LoadSlack    float64
+	// LoadMargin is how many requests below the bound a placement stays: routers place
 	// for up to a digest interval without knowing of each other's last requests.
-	Margin float64
+	LoadMargin float64
 	// ColdMultiple and ColdSlack bound what a cold target gets in a second from all routers: ColdMultiple x what its pool says
 	// that it bears + ColdSlack.
 	ColdMultiple float64
 	ColdSlack    float64
-	// LoadsExpire is how long a silent router's loads still count. Its requests end
+	// LoadReportTTL is how long a silent router's loads still count. Its requests end
 	// with it, but a short silence may be lost datagrams.
-	LoadsExpire time.Duration
+	LoadReportTTL time.Duration
 }
 
 // DefaultSettings returns the settings used by the router.
 func DefaultSettings(dataCentre string) Settings {
 	return Settings{
-		DataCentre: dataCentre, Multiple: 2, Slack: 3, Margin: 1,
-		LoadsExpire: 1500 * time.Millisecond,
+		DataCentre: dataCentre, LoadMultiple: 2, LoadSlack: 3, LoadMargin: 1,
+		LoadReportTTL: 1500 * time.Millisecond,
 	}
 }
 
@@ -55,24 +55,24 @@
 
 // PoolLimits are what operators say of the targets of a pool.
 type PoolLimits struct {
-	// Connections are what one target accepts; 0 if it is not known.
-	Connections int
+	// MaxConnections are what one target accepts; 0 if it is not known.
+	MaxConnections int
 	// ColdPerSecond is how many requests a second a cold target bears, 0 if that is not bounded; ColdFor is how long one is
 	// cold that has started, or whose data centre was evacuated.
 	ColdPerSecond float64
-	ColdFor       time.Duration
+	ColdDuration  time.Duration
 }
 
 // peerView is what another router told last.
 type peerView struct {
 	heard    time.Time
 	loads    []Load
-	outcomes []Outcomes
+	outcomes []TargetOutcomes
 	told     time.Time // when it told outcomes last
 }
 
-// Board counts the open requests of the fleet. It is not safe for concurrent use.
-type Board struct {
+// Balancer counts the open requests of the fleet. It is not safe for concurrent use.
+type Balancer struct {
 	settings Settings
 	rand     *rand.Rand
 	pools    map[string]*pool
@@ -88,8 +88,8 @@
 }
 
 // New returns an empty Board.
-func New(s Settings, rnd *rand.Rand) *Board {
-	return &Board{
+func New(s Settings, rnd *rand.Rand) *Balancer {
+	return &Balancer{
 		settings: s, rand: rnd, pools: make(map[string]*pool), limits: make(map[string]PoolLimits),
 		byUID: make(map[uint64]*target), peers: make(map[uint32]*peerView), held: newInventory(),
 		models: make(map[string]*model), said: make(map[uint64]*said),
@@ -102,24 +102,24 @@
 const connectionShare = 0.9
 
 // SetLimits puts what operators say of the targets of each pool in force.
-func (b *Board) SetLimits(byPool map[string]PoolLimits) {
+func (b *Balancer) SetLimits(byPool map[string]PoolLimits) {
 	b.limits = byPool
 	for name, p := range b.pools {
 		b.limit(name, p)
 	}
 }
 
-func (b *Board) limit(name string, p *pool) {
+func (b *Balancer) limit(name string, p *pool) {
 	p.limits, p.maxOpen = b.limits[name], math.Inf(1)
-	if n := p.limits.Connections; n > 0 {
+	if n := p.limits.MaxConnections; n > 0 {
 		p.maxOpen = connectionShare * float64(n)
 	}
-	p.coldPerSecond = warmup.PerSecond(p.limits.ColdPerSecond, b.settings.ColdMultiple, b.settings.ColdSlack)
+	p.coldPerSecond = warmup.MaxPerSecond(p.limits.ColdPerSecond, b.settings.ColdMultiple, b.settings.ColdSlack)
 }
 
 // SetTargets puts the targets of all pools in force. A target that is gone keeps
 // its count until its last request ends.
-func (b *Board) SetTargets(now time.Time, pools map[string][]Target) {
+func (b *Balancer) SetTargets(now time.Time, pools map[string][]Target) {
 	joined := now
 	if len(b.byUID) == 0 {
 		joined = time.Time{} // those of the first list have been there before this router
@@ -135,14 +135,14 @@
 				known = &target{joined: joined, seed: rendezvous.Hash(t.ID)}
 				b.byUID[t.UID] = known
 			}
-			if !known.ended.IsZero() && t.Row > known.Row {
+			if !known.ended.IsZero() && t.RowVersion > known.RowVersion {
 				known.ended, known.askedEnded, known.health = time.Time{}, time.Time{}, health{} // it has written again
 			}
-			if t.Row > known.Row {
-				known.cold.learn(now, t.Cold)
+			if t.RowVersion > known.RowVersion {
+				known.cold.learn(now, t.ColdRemaining)
 			}
 			known.Target, known.pool = t, p
-			known.evacuated = b.orders.Holds(t.DataCentre)
+			known.evacuated = b.orders.IsEvacuated(t.DataCentre)
 			b.applySaid(now, known)
 			listed[t.UID] = true
 			p.targets = append(p.targets, known)
@@ -159,7 +159,7 @@
 }
 
 // model returns the model of a pool, which outlasts its lists.
-func (b *Board) model(pool string) *model {
+func (b *Balancer) model(pool string) *model {
 	m, ok := b.models[pool]
 	if !ok {
 		m = &model{}
@@ -168,15 +168,15 @@
 	return m
 }
 
-// SetBound changes what a target may hold, and what a cold one may get.
-func (b *Board) SetBound(multiple, slack, coldMultiple, coldSlack float64) {
-	b.settings.Multiple, b.settings.Slack = multiple, slack
+// SetLoadBounds changes what a target may hold, and what a cold one may get.
+func (b *Balancer) SetLoadBounds(multiple, slack, coldMultiple, coldSlack float64) {
+	b.settings.LoadMultiple, b.settings.LoadSlack = multiple, slack
 	b.settings.ColdMultiple, b.settings.ColdSlack = coldMultiple, coldSlack
 	b.SetLimits(b.limits)
 }
 
 // Place chooses a target and counts the request there; false if the pool has none.
-func (b *Board) Place(now time.Time, a Ask) (Choice, bool) {
+func (b *Balancer) Place(now time.Time, a Request) (Choice, bool) {
 	p, ok := b.pools[a.Pool]
 	if !ok {
 		return Choice{}, false
@@ -187,8 +187,8 @@
 		return Choice{}, false
 	}
 	b.sequence++
-	c := Choice{Target: t.Target, Rule: rule, Open: t.open(), Bound: bound, Source: b.source(now, p, a, t), sequence: b.sequence}
-	t.waiting = append(t.waiting, pending{sequence: c.sequence, since: now, prompt: a.Prompt, unread: b.unread(now, a, t)})
+	c := Choice{Target: t.Target, Rule: rule, Open: t.open(), Bound: bound, CacheSource: b.source(now, p, a, t), sequence: b.sequence}
+	t.waiting = append(t.waiting, pending{sequence: c.sequence, since: now, prompt: a.PromptPrefixes, unread: b.unread(now, a, t)})
 	t.own++
 	t.serves(now)
 	t.health.placed()
@@ -197,9 +197,9 @@
 	return c, true
 }
 
-// Done takes a request off its target and learns from its outcome. It reports whether
+// FinishRequest takes a request off its target and learns from its outcome. It reports whether
 // the target is suspended from now on.
-func (b *Board) Done(now time.Time, uid uint64, o Outcome) (suspended bool) {
+func (b *Balancer) FinishRequest(now time.Time, uid uint64, o Outcome) (suspended bool) {
 	t, ok := b.byUID[uid]
 	if !ok {
 		return false
@@ -212,7 +212,7 @@
 }
 
 // observe learns from an outcome and reports whether new work is kept away from now on.
-func (b *Board) observe(now time.Time, t *target, o Outcome) bool {
+func (b *Balancer) observe(now time.Time, t *target, o Outcome) bool {
 	suspended := t.health.observe(now, o)
 	weight, ok := failureWeight(o)
 	if !ok {
@@ -222,16 +222,16 @@
 	return suspended || (weight > 0 && b.detect(now, t))
 }
 
-// ID returns the name of a target's lifetime, empty if it is not known.
-func (b *Board) ID(uid uint64) string {
+// TargetID returns the name of a target's lifetime, empty if it is not known.
+func (b *Balancer) TargetID(uid uint64) string {
 	if t, ok := b.byUID[uid]; ok {
 		return t.ID
 	}
 	return ""
 }
 
-// Leaves reports whether a target leaves, or is not listed any more.
-func (b *Board) Leaves(uid uint64) bool {
+// IsLeavingOrRemoved reports whether a target leaves, or is not listed any more.
+func (b *Balancer) IsLeavingOrRemoved(uid uint64) bool {
 	t, ok := b.byUID[uid]
 	if !ok || t.Leaving {
 		return true
@@ -244,10 +244,10 @@
 	return true
 }
 
-// Silent takes note of a target that leaves a request unanswered for longer than
+// RecordSilence takes note of a target that leaves a request unanswered for longer than
 // its answers take. The request still waits, so nothing else would show the failure
 // before the request's deadline, and more would be sent there meanwhile.
-func (b *Board) Silent(now time.Time, uid uint64) (suspended bool) {
+func (b *Balancer) RecordSilence(now time.Time, uid uint64) (suspended bool) {
 	t, ok := b.byUID[uid]
 	return ok && b.observe(now, t, Failed)
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -32,21 +32,21 @@
 	return out
 }
 
-func board(list ...placement.Target) *placement.Board {
+func board(list ...placement.Target) *placement.Balancer {
 	b := placement.New(placement.DefaultSettings("a"), rand.New(rand.NewPCG(1, 2)))
 	b.SetTargets(start, map[string][]placement.Target{pool: list})
 	return b
 }
 
-func place(b *placement.Board, now time.Time, chat uint64, excluded ...uint64) placement.Choice {
-	c, ok := b.Place(now, placement.Ask{Pool: pool, Chat: chat, Excluded: excluded})
+func place(b *placement.Balancer, now time.Time, chat uint64, excluded ...uint64) placement.Choice {
+	c, ok := b.Place(now, placement.Request{Pool: pool, Chat: chat, Excluded: excluded})
 	Expect(ok).To(BeTrue())
 	return c
 }
 
-func fail(b *placement.Board, now time.Time, uid uint64, times int) {
+func fail(b *placement.Balancer, now time.Time, uid uint64, times int) {
 	for range times {
-		b.Done(now, uid, placement.Failed)
+		b.FinishRequest(now, uid, placement.Failed)
 	}
 }
 
@@ -57,8 +57,8 @@
 			a, b := place(one, start, chat), place(other, start, chat)
 			Expect(a.Target).To(Equal(b.Target))
 			Expect(a.Rule).To(Equal(placement.RuleHome))
-			one.Done(start, a.Target.UID, placement.Answered)
-			other.Done(start, b.Target.UID, placement.Answered)
+			one.FinishRequest(start, a.Target.UID, placement.Answered)
+			other.FinishRequest(start, b.Target.UID, placement.Answered)
 		}
 	})
 
@@ -68,7 +68,7 @@
 	It("keeps the bound over the whole fleet, but for what a digest interval hides", func() {
 		testkit.Check("50", func(t *rapid.T) {
 			const routers = 9
-			boards := make([]*placement.Board, routers)
+			boards := make([]*placement.Balancer, routers)
 			for i := range boards {
 				boards[i] = board(targets(12)...)
 			}
@@ -81,7 +81,7 @@
 				for i, b := range boards {
 					for j := range boards {
 						if i != j {
-							boards[j].Heard(now, uint32(i+1), b.Own(), nil)
+							boards[j].ReceiveReport(now, uint32(i+1), b.OwnLoads(), nil)
 						}
 					}
 				}
@@ -106,13 +106,13 @@
 	It("spills in the chat's order, and names the home as the source of its cache", func() {
 		b := board(targets(12)...)
 		home := place(b, start, 7)
-		Expect(home.Source).To(BeEmpty())
+		Expect(home.CacheSource).To(BeEmpty())
 		var spilled placement.Choice
 		for spilled.Rule != placement.RuleSpill {
 			spilled = place(b, start, 7)
 		}
 		Expect(spilled.Target.UID).NotTo(Equal(home.Target.UID))
-		Expect(spilled.Source).To(Equal(home.Target.Address))
+		Expect(spilled.CacheSource).To(Equal(home.Target.Address))
 	})
 
 	// Symptom: hundreds of thousands of prompt tokens are read again when a pool grows
@@ -123,7 +123,7 @@
 		homes := map[uint64]placement.Choice{}
 		for chat := uint64(1); chat < 100; chat++ {
 			homes[chat] = place(b, start, chat)
-			b.Done(start, homes[chat].Target.UID, placement.Answered)
+			b.FinishRequest(start, homes[chat].Target.UID, placement.Answered)
 		}
 		now := start.Add(time.Minute)
 		joined := target("new", "a")
@@ -131,12 +131,12 @@
 		moved := 0
 		for chat, home := range homes {
 			c := place(b, now, chat)
-			b.Done(now, c.Target.UID, placement.Answered)
+			b.FinishRequest(now, c.Target.UID, placement.Answered)
 			if c.Target.UID == joined.UID {
 				moved++
-				Expect(c.Source).To(Equal(home.Target.Address))
+				Expect(c.CacheSource).To(Equal(home.Target.Address))
 			} else {
-				Expect(c.Source).To(BeEmpty())
+				Expect(c.CacheSource).To(BeEmpty())
 			}
 		}
 		Expect(moved).To(BeNumerically(">", 0))
@@ -153,8 +153,8 @@
 		for range 30 {
 			c := place(b, start, 7)
 			Expect(c.Target.UID).NotTo(Equal(home.Target.UID))
-			Expect(c.Source).To(Equal(home.Target.Address))
-			b.Done(start, c.Target.UID, placement.Answered)
+			Expect(c.CacheSource).To(Equal(home.Target.Address))
+			b.FinishRequest(start, c.Target.UID, placement.Answered)
 		}
 	})
 
@@ -162,15 +162,15 @@
 		b := board(targets(3)...)
 		c := place(b, start, 0)
 		Expect(c.Target.DataCentre).To(Equal("a"))
-		Expect(c.Rule).To(Equal(placement.RuleLeast))
+		Expect(c.Rule).To(Equal(placement.RuleLeastLoaded))
 	})
 
 	It("counts what other routers have open, and forgets those that fall silent", func() {
 		b := board(targets(3)...)
 		for _, t := range targets(3)[:2] {
-			b.Heard(start, 9, []placement.Load{{Target: t.UID, Open: 10}}, nil)
+			b.ReceiveReport(start, 9, []placement.Load{{Target: t.UID, Open: 10}}, nil)
 		}
-		b.Heard(start, 8, []placement.Load{{Target: targets(3)[0].UID, Open: 10}}, nil)
+		b.ReceiveReport(start, 8, []placement.Load{{Target: targets(3)[0].UID, Open: 10}}, nil)
 		Expect(place(b, start, 0).Target.UID).To(Equal(targets(3)[2].UID))
 		b.Expire(start.Add(time.Minute))
 		Expect(place(b, start, 0).Target.DataCentre).To(Equal("a"))
@@ -180,11 +180,11 @@
 	// together open more connections than it accepts. Cause: nobody counted them.
 	It("stays below the connections that a target accepts", func() {
 		b := board(targets(2)...)
-		b.SetLimits(map[string]placement.PoolLimits{pool: {Connections: 10}})
+		b.SetLimits(map[string]placement.PoolLimits{pool: {MaxConnections: 10}})
 		for range 18 {
 			place(b, start, 0)
 		}
-		_, ok := b.Place(start, placement.Ask{Pool: pool})
+		_, ok := b.Place(start, placement.Request{Pool: pool})
 		Expect(ok).To(BeFalse())
 	})
 
@@ -193,9 +193,9 @@
 		for range 20 {
 			Expect(place(b, start, 7, targets(2)[0].UID).Target.UID).To(Equal(targets(2)[1].UID))
 		}
-		_, ok := b.Place(start, placement.Ask{Pool: pool, Excluded: []uint64{targets(2)[0].UID, targets(2)[1].UID}})
+		_, ok := b.Place(start, placement.Request{Pool: pool, Excluded: []uint64{targets(2)[0].UID, targets(2)[1].UID}})
 		Expect(ok).To(BeFalse())
-		_, ok = b.Place(start, placement.Ask{Pool: "none"})
+		_, ok = b.Place(start, placement.Request{Pool: "none"})
 		Expect(ok).To(BeFalse())
 	})
 })
@@ -219,8 +219,8 @@
 		b := board(targets(6)...)
 		home := place(b, start, 7).Target.UID
 		for range 20 {
-			b.Done(start, home, placement.Errored)
-			b.Done(start, home, placement.Answered)
+			b.FinishRequest(start, home, placement.Errored)
+			b.FinishRequest(start, home, placement.Answered)
 		}
 		Expect(place(b, start, 7).Target.UID).NotTo(Equal(home))
 	})
@@ -233,7 +233,7 @@
 			if i%8 == 0 {
 				o = placement.Errored
 			}
-			b.Done(start, home, o)
+			b.FinishRequest(start, home, o)
 		}
 		Expect(place(b, start, 7).Target.UID).To(Equal(home))
 	})
@@ -247,7 +247,7 @@
 		for chat := uint64(1); chat < 50; chat++ {
 			c := place(b, start, chat)
 			homes[chat] = c.Target.UID
-			b.Done(start, c.Target.UID, placement.Answered)
+			b.FinishRequest(start, c.Target.UID, placement.Answered)
 		}
 		for _, t := range targets(6)[:4] {
 			fail(b, start, t.UID, 2)
@@ -255,7 +255,7 @@
 		for chat, home := range homes {
 			c := place(b, start, chat)
 			Expect(c.Target.UID).To(Equal(home))
-			b.Done(start, c.Target.UID, placement.Neutral)
+			b.FinishRequest(start, c.Target.UID, placement.Neutral)
 		}
 	})
 
@@ -270,7 +270,7 @@
 		for chat := range uint64(50) { // 0 is a request without a chat
 			c := place(b, start, chat)
 			Expect(c.Target.UID).NotTo(Equal(silent))
-			b.Done(start, c.Target.UID, placement.Answered)
+			b.FinishRequest(start, c.Target.UID, placement.Answered)
 		}
 	})
 
@@ -281,7 +281,7 @@
 	It("never passes the suspension of a target over that accepts no connection", func() {
 		b := board(targets(6)...)
 		for _, t := range targets(6)[:2] {
-			b.Done(start, t.UID, placement.Unreachable)
+			b.FinishRequest(start, t.UID, placement.Unreachable)
 		}
 		for _, t := range targets(6)[2:4] {
 			fail(b, start, t.UID, 2)
@@ -289,7 +289,7 @@
 		for chat := uint64(1); chat < 100; chat++ {
 			c := place(b, start, chat)
 			Expect(c.Target.UID).NotTo(BeElementOf(targets(6)[0].UID, targets(6)[1].UID))
-			b.Done(start, c.Target.UID, placement.Neutral)
+			b.FinishRequest(start, c.Target.UID, placement.Neutral)
 		}
 	})
 
@@ -309,12 +309,12 @@
 			c := place(b, now, 0)
 			switch {
 			case c.Target.UID != pool[0].UID:
-				b.Done(now, c.Target.UID, placement.Answered)
+				b.FinishRequest(now, c.Target.UID, placement.Answered)
 			case i%3 == 0: // it answers some
-				b.Done(now, c.Target.UID, placement.Answered)
+				b.FinishRequest(now, c.Target.UID, placement.Answered)
 			default:
 				refused++
-				b.Done(now, c.Target.UID, placement.Refused)
+				b.FinishRequest(now, c.Target.UID, placement.Refused)
 			}
 		}
 		Expect(refused).To(BeNumerically("<", 30), "of 300; 200 when refusals are only a sign of load")
@@ -330,27 +330,27 @@
 			place(b, start, 0)
 		}
 		for range 20 {
-			Expect(b.Done(start, pool[0].UID, placement.Refused)).To(BeFalse())
-			b.Heard(start, 9, []placement.Load{{Target: pool[0].UID, Open: 30}}, nil)
+			Expect(b.FinishRequest(start, pool[0].UID, placement.Refused)).To(BeFalse())
+			b.ReceiveReport(start, 9, []placement.Load{{Target: pool[0].UID, Open: 30}}, nil)
 		}
 	})
 
 	It("sends one request after a suspension, and more once that was answered", func() {
 		b := board(targets(6)...)
 		home := place(b, start, 7).Target.UID
-		b.Done(start, home, placement.Unreachable)
+		b.FinishRequest(start, home, placement.Unreachable)
 		now := start.Add(600 * time.Millisecond)
 		Expect(place(b, now, 7).Target.UID).To(Equal(home))
 		Expect(place(b, now, 7).Target.UID).NotTo(Equal(home))
-		b.Done(now, home, placement.Answered)
+		b.FinishRequest(now, home, placement.Answered)
 		Expect(place(b, now, 7).Target.UID).To(Equal(home))
 	})
 
 	It("counts a target that stays silent as failing while the request still waits", func() {
 		b := board(targets(6)...)
 		home := place(b, start, 7).Target.UID
-		b.Silent(start, home)
-		b.Silent(start, home)
+		b.RecordSilence(start, home)
+		b.RecordSilence(start, home)
 		Expect(place(b, start, 7).Target.UID).NotTo(Equal(home))
 	})
 })
--- a/internal/core/placement/roster.go
+++ b/internal/core/placement/roster.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Roster keeps targets for a while after they left the platform's list. Entries
+// TargetSet keeps targets for a while after they left the platform's list. Entries
 // expire while the platform's store is away although their targets work, and are
 // back soon after its return; sending everything elsewhere meanwhile would lose the
 // caches of the whole pool. A target that is gone for good names another lifetime
 // or refuses connections, so a request sent there in between is not run.
-type Roster struct {
+type TargetSet struct {
 	version  uint64              // of the list in force
 	entries  map[string]*entry   // by id
 	departed map[uint64]departed // by lifetime
@@ -24,9 +24,9 @@
 	target Target
 }
 
-// NewRoster returns an empty Roster.
-func NewRoster() *Roster {
-	return &Roster{entries: make(map[string]*entry), departed: make(map[uint64]departed)}
+// NewTargetSet returns an empty Roster.
+func NewTargetSet() *TargetSet {
+	return &TargetSet{entries: make(map[string]*entry), departed: make(map[uint64]departed)}
 }
 
 // Update takes in the list as of a version, and the ids of entries in it that can't be trusted: those name no
@@ -35,7 +35,7 @@
 //
 // The newest list decides which lifetime a target is in, not the later start: the time of day
 // of a VM may have been set back between two starts.
-func (r *Roster) Update(now time.Time, version uint64, pools map[string][]Target, rejected []string) (ended []Target) {
+func (r *TargetSet) Update(now time.Time, version uint64, pools map[string][]Target, rejected []string) (ended []Target) {
 	r.version = max(r.version, version)
 	listed := make(map[string]bool)
 	for pool, targets := range pools {
@@ -46,7 +46,7 @@
 				known = &entry{target: t}
 				r.entries[t.ID] = known
 			}
-			if known.target.UID != t.UID && known.target.Started < t.Started {
+			if known.target.UID != t.UID && known.target.StartedAtMs < t.StartedAtMs {
 				ended = append(ended, known.target)
 			}
 			known.pool, known.target = pool, t
@@ -57,8 +57,8 @@
 		case listed[id]:
 		case slices.Contains(rejected, id):
 			delete(r.entries, id)
-		case e.target.Gone.IsZero():
-			e.target.Gone = now
+		case e.target.RemovedAt.IsZero():
+			e.target.RemovedAt = now
 		}
 	}
 	r.departAgain()
@@ -69,13 +69,13 @@
 // Departure is the news that a target leaves, or is gone from the list.
 type Departure struct {
 	Target uint64 // its lifetime
-	// List is the version of the list that says so. A later list knows better.
-	List uint64
-	Gone bool
-	// Said: the target has said so itself, in an answer. No list says it yet, and none counts against it.
-	Said bool
-	// Ended: the target's process has ended, as a router saw by its connections and its port.
-	Ended bool
+	// ListVersion is the version of the list that says so. A later list knows better.
+	ListVersion uint64
+	Removed     bool
+	// Announced: the target has said so itself, in an answer. No list says it yet, and none counts against it.
+	Announced bool
+	// Exited: the target's process has ended, as a router saw by its connections and its port.
+	Exited bool
 }
 
 // departed is a departure by a later list than the one in force.
@@ -84,27 +84,27 @@
 	since time.Time
 }
 
-// Staying returns the listed targets that don't leave, by id.
-func (r *Roster) Staying() map[string]Target {
+// ActiveTargets returns the listed targets that don't leave, by id.
+func (r *TargetSet) ActiveTargets() map[string]Target {
 	out := make(map[string]Target, len(r.entries))
 	for id, e := range r.entries {
-		if e.target.Gone.IsZero() && !e.target.Leaving {
+		if e.target.RemovedAt.IsZero() && !e.target.Leaving {
 			out[id] = e.target
 		}
 	}
 	return out
 }
 
-// Departures returns which of the targets that were staying leave by the list in force, or are not in it, with their
+// DeparturesSince returns which of the targets that were staying leave by the list in force, or are not in it, with their
 // ids. Those with an entry that can't be trusted, as listed tells, are left out: they may stay.
-func (r *Roster) Departures(staying map[string]Target, listed func(id string) bool) (out []Departure, ids []string) {
+func (r *TargetSet) DeparturesSince(staying map[string]Target, listed func(id string) bool) (out []Departure, ids []string) {
 	for id, t := range staying {
 		e, ok := r.entries[id]
 		switch {
 		case ok && e.target.Leaving && e.target.UID == t.UID:
-			out = append(out, Departure{Target: t.UID, List: r.version})
+			out = append(out, Departure{Target: t.UID, ListVersion: r.version})
 		case !listed(id):
-			out = append(out, Departure{Target: t.UID, List: r.version, Gone: true})
+			out = append(out, Departure{Target: t.UID, ListVersion: r.version, Removed: true})
 		default:
 			continue
 		}
@@ -114,11 +114,11 @@
 	return out, ids
 }
 
-// Depart takes in departures that another router tells of, and returns those that are news, with the ids of the
+// ApplyDepartures takes in departures that another router tells of, and returns those that are news, with the ids of the
 // targets that get no new work by them. They count until a list comes that knows of them: it may come much later.
-func (r *Roster) Depart(now time.Time, told []Departure) (news []Departure, ids []string) {
+func (r *TargetSet) ApplyDepartures(now time.Time, told []Departure) (news []Departure, ids []string) {
 	for _, d := range told {
-		if d.List <= r.version || r.departed[d.Target].List >= d.List {
+		if d.ListVersion <= r.version || r.departed[d.Target].ListVersion >= d.ListVersion {
 			continue
 		}
 		one := departed{Departure: d, since: now}
@@ -135,10 +135,10 @@
 }
 
 // count notes how many entries are gone, so that nobody looks through all of them ten times a second.
-func (r *Roster) count() {
+func (r *TargetSet) count() {
 	r.gone, r.lifetimes = 0, nil
 	for _, e := range r.entries {
-		if !e.target.Gone.IsZero() {
+		if !e.target.RemovedAt.IsZero() {
 			r.gone++
 		}
 	}
@@ -146,11 +146,11 @@
 
 // depart applies a departure and reports whether the target was staying.
 func (e *entry) depart(d departed) bool {
-	if e.target.Leaving || !e.target.Gone.IsZero() {
+	if e.target.Leaving || !e.target.RemovedAt.IsZero() {
 		return false
 	}
-	if d.Gone {
-		e.target.Gone = d.since
+	if d.Removed {
+		e.target.RemovedAt = d.since
 	} else {
 		e.target.Leaving = true
 	}
@@ -158,9 +158,9 @@
 }
 
 // departAgain forgets the departures that the list just taken in knows of, and applies the others.
-func (r *Roster) departAgain() {
+func (r *TargetSet) departAgain() {
 	for uid, d := range r.departed {
-		if d.List <= r.version {
+		if d.ListVersion <= r.version {
 			delete(r.departed, uid)
 		}
 	}
@@ -171,32 +171,32 @@
 	}
 }
 
-// Keep says for how long targets are used after they left the list.
-type Keep struct {
-	Gone time.Duration
-	// Lapsed is the same, if it is longer, for those that left it from Since on, and none is used until after Until for that: their entries
+// Retention says for how long targets are used after they left the list.
+type Retention struct {
+	AfterRemoval time.Duration
+	// AfterOutageRemoval is the same, if it is longer, for those that left it from Since on, and none is used until after Until for that: their entries
 	// may have lapsed while the platform's store was away. Those that work are back in the list by Until.
-	Lapsed       time.Duration
-	Since, Until time.Time
+	AfterOutageRemoval     time.Duration
+	OutageStart, OutageEnd time.Time
 }
 
 // drops reports whether a target that left the list at a time is used no longer.
-func (k Keep) drops(now, gone time.Time) bool {
-	if now.Sub(gone) < k.Gone {
+func (k Retention) drops(now, gone time.Time) bool {
+	if now.Sub(gone) < k.AfterRemoval {
 		return false
 	}
-	lapsed := k.Lapsed > 0 && !gone.Before(k.Since) && now.Before(k.Until)
-	return !lapsed || now.Sub(gone) >= k.Lapsed
+	lapsed := k.AfterOutageRemoval > 0 && !gone.Before(k.OutageStart) && now.Before(k.OutageEnd)
+	return !lapsed || now.Sub(gone) >= k.AfterOutageRemoval
 }
 
 // Expire drops targets that have been gone for long enough and reports whether any was.
-func (r *Roster) Expire(now time.Time, keep Keep) bool {
+func (r *TargetSet) Expire(now time.Time, keep Retention) bool {
 	if r.gone == 0 {
 		return false
 	}
 	dropped := false
 	for id, e := range r.entries {
-		if !e.target.Gone.IsZero() && keep.drops(now, e.target.Gone) {
+		if !e.target.RemovedAt.IsZero() && keep.drops(now, e.target.RemovedAt) {
 			delete(r.entries, id)
 			dropped = true
 		}
@@ -205,8 +205,8 @@
 	return dropped
 }
 
-// Pools returns the targets by pool.
-func (r *Roster) Pools() map[string][]Target {
+// ByPool returns the targets by pool.
+func (r *TargetSet) ByPool() map[string][]Target {
 	out := make(map[string][]Target)
 	for _, e := range r.entries {
 		out[e.pool] = append(out[e.pool], e.target)
@@ -214,8 +214,8 @@
 	return out
 }
 
-// Has reports whether a lifetime is still kept.
-func (r *Roster) Has(uid uint64) bool {
+// HasLifetime reports whether a lifetime is still kept.
+func (r *TargetSet) HasLifetime(uid uint64) bool {
 	if r.lifetimes == nil {
 		r.lifetimes = make(map[uint64]bool, len(r.entries))
 		for _, e := range r.entries {
--- a/internal/core/placement/roster_test.go
+++ b/internal/core/placement/roster_test.go
@@ -19,59 +19,59 @@
 	// entries expire while the store is away, and are back two seconds later. Cause: a
 	// removal was believed at once.
 	It("keeps a target for a grace after it left the list", func() {
-		r := placement.NewRoster()
+		r := placement.NewTargetSet()
 		r.Update(start, 0, list, nil)
 		r.Update(start, 0, nil, nil)
-		Expect(r.Expire(start.Add(time.Second), placement.Keep{Gone: 2 * time.Second})).To(BeFalse())
-		Expect(r.Pools()[pool]).To(HaveLen(2))
+		Expect(r.Expire(start.Add(time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
+		Expect(r.ByPool()[pool]).To(HaveLen(2))
 		r.Update(start.Add(time.Second), 0, list, nil)
-		Expect(r.Expire(start.Add(time.Minute), placement.Keep{Gone: 2 * time.Second})).To(BeFalse())
+		Expect(r.Expire(start.Add(time.Minute), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
 		r.Update(start.Add(time.Minute), 0, nil, nil)
-		Expect(r.Expire(start.Add(time.Minute+2*time.Second), placement.Keep{Gone: 2 * time.Second})).To(BeTrue())
-		Expect(r.Pools()).To(BeEmpty())
-		Expect(r.Has(targets(1)[0].UID)).To(BeFalse())
+		Expect(r.Expire(start.Add(time.Minute+2*time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeTrue())
+		Expect(r.ByPool()).To(BeEmpty())
+		Expect(r.HasLifetime(targets(1)[0].UID)).To(BeFalse())
 	})
 
 	lifetime := func(started int64) map[string][]placement.Target {
 		t := target("0", "a")
-		t.Started, t.UID = started, placement.UID(t.ID, started)
+		t.StartedAtMs, t.UID = started, placement.UID(t.ID, started)
 		return map[string][]placement.Target{pool: {t}}
 	}
 
 	It("keeps one lifetime of a target, and tells which has ended", func() {
-		r := placement.NewRoster()
+		r := placement.NewTargetSet()
 		Expect(r.Update(start, 0, lifetime(1), nil)).To(BeEmpty())
 		Expect(r.Update(start, 0, lifetime(1), nil)).To(BeEmpty())
 		ended := r.Update(start, 0, lifetime(2), nil)
 		Expect(ended).To(HaveLen(1))
-		Expect(ended[0].Started).To(BeEquivalentTo(1))
-		Expect(r.Pools()[pool]).To(Equal(lifetime(2)[pool]))
-		Expect(r.Has(ended[0].UID)).To(BeFalse(), "its connections are closed")
+		Expect(ended[0].StartedAtMs).To(BeEquivalentTo(1))
+		Expect(r.ByPool()[pool]).To(Equal(lifetime(2)[pool]))
+		Expect(r.HasLifetime(ended[0].UID)).To(BeFalse(), "its connections are closed")
 	})
 
 	// Symptom: answers that were on their way are cut off. Sequence: the store carries out a write of
 	// a target's earlier lifetime late; the list tells of that one for a moment. Cause: each
 	// change of lifetime was taken for an end of the one before.
 	It("goes by the newest list, and takes no lifetime for ended that began later", func() {
-		r := placement.NewRoster()
+		r := placement.NewTargetSet()
 		r.Update(start, 0, lifetime(2), nil)
 		Expect(r.Update(start, 0, lifetime(1), nil)).To(BeEmpty())
-		Expect(r.Pools()[pool]).To(Equal(lifetime(1)[pool]))
+		Expect(r.ByPool()[pool]).To(Equal(lifetime(1)[pool]))
 		Expect(r.Update(start, 0, lifetime(2), nil)).To(HaveLen(1))
 	})
 
 	It("drops a target at once whose entry can't be trusted", func() {
-		r := placement.NewRoster()
+		r := placement.NewTargetSet()
 		r.Update(start, 0, list, nil)
 		r.Update(start, 0, map[string][]placement.Target{pool: list[pool][:1]}, []string{"1"})
-		Expect(r.Pools()[pool]).To(HaveLen(1))
+		Expect(r.ByPool()[pool]).To(HaveLen(1))
 	})
 })
 
 var _ = Describe("the lifetimes of a target", func() {
 	lifetime := func(started int64) placement.Target {
 		t := target("0", "a")
-		t.Started, t.UID = started, placement.UID(t.ID, started)
+		t.StartedAtMs, t.UID = started, placement.UID(t.ID, started)
 		return t
 	}
 	others := targets(6)[1:]
@@ -85,7 +85,7 @@
 		var chat uint64
 		for chat = 1; place(b, start, chat).Target.UID != one.UID; chat++ {
 		}
-		b.Heard(start, 7, []placement.Load{{Target: one.UID, Open: 9}}, []placement.Outcomes{{Target: one.UID, Ended: 20, Failed: 20}})
+		b.ReceiveReport(start, 7, []placement.Load{{Target: one.UID, Open: 9}}, []placement.TargetOutcomes{{Target: one.UID, Ended: 20, Failed: 20}})
 		fail(b, start, one.UID, 2)
 		Expect(place(b, start, chat).Target.UID).NotTo(Equal(one.UID), "it is suspended")
 		later := start.Add(time.Minute)
@@ -94,7 +94,7 @@
 		Expect(got.Target.UID).To(Equal(lifetime(2).UID))
 		Expect(got.Rule).To(Equal(placement.RuleHome))
 		Expect(got.Open).To(BeZero(), "what was open at the earlier lifetime ended with it")
-		Expect(got.Source).NotTo(BeEmpty(), "it has nothing cached")
+		Expect(got.CacheSource).NotTo(BeEmpty(), "it has nothing cached")
 	})
 
 	// Symptom: a target that has just started takes too much, or is ejected for nothing. Sequence:
@@ -107,10 +107,10 @@
 			early := rapid.IntRange(0, 20).Draw(t, "told of the new one before the list")
 			late := rapid.IntRange(0, 20).Draw(t, "told of the earlier one after it")
 			failed := float64(rapid.IntRange(0, 40).Draw(t, "failures at the earlier one"))
-			b.Heard(start, 1, []placement.Load{{Target: lifetime(2).UID, Open: early}}, []placement.Outcomes{{Target: lifetime(2).UID, Ended: 5}})
+			b.ReceiveReport(start, 1, []placement.Load{{Target: lifetime(2).UID, Open: early}}, []placement.TargetOutcomes{{Target: lifetime(2).UID, Ended: 5}})
 			b.SetTargets(start, lists(2))
-			b.Heard(start, 2, []placement.Load{{Target: lifetime(1).UID, Open: late}}, []placement.Outcomes{{Target: lifetime(1).UID, Ended: failed, Failed: failed}})
-			if got := b.OpenAt()["0"]; got != early {
+			b.ReceiveReport(start, 2, []placement.Load{{Target: lifetime(1).UID, Open: late}}, []placement.TargetOutcomes{{Target: lifetime(1).UID, Ended: failed, Failed: failed}})
+			if got := b.OpenByTarget()["0"]; got != early {
 				t.Fatalf("%d open, %d were told", got, early)
 			}
 		})
@@ -145,17 +145,17 @@
 				}
 				return out
 			}
-			take := func(r *placement.Roster, version int) []placement.Departure {
-				staying, list := r.Staying(), rows(version)
+			take := func(r *placement.TargetSet, version int) []placement.Departure {
+				staying, list := r.ActiveTargets(), rows(version)
 				pools := map[string][]placement.Target{}
 				for _, target := range list {
 					pools["p"] = append(pools["p"], target)
 				}
 				r.Update(at, uint64(version), pools, nil)
-				news, _ := r.Departures(staying, func(id string) bool { _, ok := list[id]; return ok })
+				news, _ := r.DeparturesSince(staying, func(id string) bool { _, ok := list[id]; return ok })
 				return news
 			}
-			ahead, late := placement.NewRoster(), placement.NewRoster()
+			ahead, late := placement.NewTargetSet(), placement.NewTargetSet()
 			take(late, 0)
 			has := 0
 			heard := make(map[uint64]uint64) // the latest list by which each lifetime departed
@@ -168,47 +168,47 @@
 				}
 				if len(told) > 0 && rapid.Bool().Draw(t, "news arrive") {
 					i := rapid.IntRange(0, len(told)-1).Draw(t, "which")
-					late.Depart(at, told[i:])
+					late.ApplyDepartures(at, told[i:])
 					for _, d := range told[i:] {
-						heard[d.Target] = max(heard[d.Target], d.List)
+						heard[d.Target] = max(heard[d.Target], d.ListVersion)
 					}
 				}
-				for id, target := range late.Staying() {
+				for id, target := range late.ActiveTargets() {
 					entry, listed := rows(has)[id]
 					if !listed || entry.Leaving || heard[target.UID] > uint64(has) {
 						t.Fatalf("%s is staying: listed %v at %d, departure %d", id, listed, has, heard[target.UID])
 					}
 				}
 				for id, entry := range rows(has) {
-					if _, ok := late.Staying()[id]; !ok && !entry.Leaving && heard[entry.UID] <= uint64(has) {
+					if _, ok := late.ActiveTargets()[id]; !ok && !entry.Leaving && heard[entry.UID] <= uint64(has) {
 						t.Fatalf("%s does not stay, and nobody told so", id)
 					}
 				}
 			}
 			take(late, len(history))
-			Expect(late.Staying()).To(Equal(ahead.Staying()))
+			Expect(late.ActiveTargets()).To(Equal(ahead.ActiveTargets()))
 		})
 	})
 
 	It("end the use of a gone target after the same grace", func() {
-		r := placement.NewRoster()
+		r := placement.NewTargetSet()
 		r.Update(at, 5, map[string][]placement.Target{"p": {{UID: 1, ID: "a"}}}, nil)
-		news, ids := r.Depart(at, []placement.Departure{{Target: 1, List: 9, Gone: true}, {Target: 2, List: 9}, {Target: 1, List: 4}})
+		news, ids := r.ApplyDepartures(at, []placement.Departure{{Target: 1, ListVersion: 9, Removed: true}, {Target: 2, ListVersion: 9}, {Target: 1, ListVersion: 4}})
 		Expect(news).To(HaveLen(2), "the list in force knows of the last one")
 		Expect(ids).To(Equal([]string{"a"}), "the other one is not listed yet")
-		Expect(r.Depart(at, news)).To(BeEmpty(), "told again")
+		Expect(r.ApplyDepartures(at, news)).To(BeEmpty(), "told again")
 		r.Update(at.Add(time.Second), 8, map[string][]placement.Target{"p": {{UID: 1, ID: "a"}}}, nil)
-		Expect(r.Expire(at.Add(1900*time.Millisecond), placement.Keep{Gone: 2 * time.Second})).To(BeFalse())
-		Expect(r.Expire(at.Add(2*time.Second), placement.Keep{Gone: 2 * time.Second})).To(BeTrue(), "from when it was told")
-		Expect(r.Pools()).To(BeEmpty())
+		Expect(r.Expire(at.Add(1900*time.Millisecond), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
+		Expect(r.Expire(at.Add(2*time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeTrue(), "from when it was told")
+		Expect(r.ByPool()).To(BeEmpty())
 	})
 
 	// Guards against targets that are used for longer than allowed after a store's return, and against pools that lose all targets in an outage.
 	DescribeTable("are used for as long as their entries may only have lapsed", func(gone, until time.Duration) {
 		out := start.Add(time.Minute) // the store is away from then on
 		back := out.Add(10 * time.Second)
-		keep := placement.Keep{Gone: 700 * time.Millisecond, Lapsed: 2500 * time.Millisecond, Since: out, Until: back.Add(2500 * time.Millisecond)}
-		r := placement.NewRoster()
+		keep := placement.Retention{AfterRemoval: 700 * time.Millisecond, AfterOutageRemoval: 2500 * time.Millisecond, OutageStart: out, OutageEnd: back.Add(2500 * time.Millisecond)}
+		r := placement.NewTargetSet()
 		r.Update(start, 1, map[string][]placement.Target{"p": {{UID: 7, ID: "a"}}}, nil)
 		r.Update(out.Add(gone), 2, nil, nil)
 		Expect(r.Expire(out.Add(until-time.Millisecond), keep)).To(BeFalse())
--- a/internal/core/placement/said.go
+++ b/internal/core/placement/said.go
@@ -21,9 +21,9 @@
 	saidMost = 8192
 )
 
-// SaysLeaving takes in that a target says that it leaves, to this router or another one. It gets nothing more from now on. news
+// MarkLeaving takes in that a target says that it leaves, to this router or another one. It gets nothing more from now on. news
 // reports whether that was not known.
-func (b *Board) SaysLeaving(now time.Time, uid uint64) (news bool) {
+func (b *Balancer) MarkLeaving(now time.Time, uid uint64) (news bool) {
 	if s, ok := b.said[uid]; ok {
 		s.at, s.staysSince = now, time.Time{}
 		return false
@@ -34,7 +34,7 @@
 	s := &said{at: now}
 	b.said[uid] = s
 	if t, ok := b.byUID[uid]; ok {
-		s.row = t.Row
+		s.row = t.RowVersion
 		if t.Leaving {
 			return false
 		}
@@ -45,13 +45,13 @@
 }
 
 // applySaid has a target leave that said so, whatever its new entry says.
-func (b *Board) applySaid(now time.Time, t *target) {
+func (b *Balancer) applySaid(now time.Time, t *target) {
 	s, ok := b.said[t.UID]
 	if !ok {
 		return
 	}
 	switch {
-	case t.Leaving, t.Row <= s.row:
+	case t.Leaving, t.RowVersion <= s.row:
 		s.staysSince = time.Time{}
 	case s.staysSince.IsZero():
 		s.staysSince = now
@@ -60,7 +60,7 @@
 }
 
 // expireSaid forgets the words of targets that a later entry has told to stay for long, and of those that are gone.
-func (b *Board) expireSaid(now time.Time) {
+func (b *Balancer) expireSaid(now time.Time) {
 	for uid, s := range b.said {
 		t, listed := b.byUID[uid]
 		switch {
--- a/internal/core/placement/source.go
+++ b/internal/core/placement/source.go
@@ -16,11 +16,11 @@
 //
 // A target that is known to have read all of the prompt comes first. If there is none, rendezvous order
 // tells who had the chat, if anybody; a chat that is new fetches what others share with it.
-func (b *Board) source(now time.Time, p *pool, a Ask, t *target) string {
+func (b *Balancer) source(now time.Time, p *pool, a Request, t *target) string {
 	if a.Chat == 0 || ablate.Off(ablate.Fetch) {
 		return ""
 	}
-	held := b.held.at(now, a.Prompt, t.UID)
+	held := b.held.at(now, a.PromptPrefixes, t.UID)
 	if a.whole(held) {
 		return ""
 	}
@@ -42,23 +42,23 @@
 
 // deepest returns the longest beginning of the prompt that another target holds, and that target; the Part
 // is empty if there is none.
-func (b *Board) deepest(now time.Time, a Ask, t *target) (Part, *target) {
-	return b.held.deepest(now, a.Prompt, t, func(uid uint64) (*target, bool) {
+func (b *Balancer) deepest(now time.Time, a Request, t *target) (Prefix, *target) {
+	return b.held.deepest(now, a.PromptPrefixes, t, func(uid uint64) (*target, bool) {
 		o, ok := b.byUID[uid]
 		return o, ok && o.pool == t.pool && o.gives(now)
 	})
 }
 
 // whole reports whether a beginning is all of the prompt that can be held.
-func (a *Ask) whole(p Part) bool {
-	return len(a.Prompt) > 0 && p.Hash == a.Prompt[len(a.Prompt)-1].Hash
+func (a *Request) whole(p Prefix) bool {
+	return len(a.PromptPrefixes) > 0 && p.Hash == a.PromptPrefixes[len(a.PromptPrefixes)-1].Hash
 }
 
 // formerHome returns the target that the chat's requests went to before they go to t: the
 // first in the chat's order of those that served before t joined, if t is young, and the first of all,
 // a leaving one as well, if t is not that. Targets that join together, as at the start of a fleet, have
 // nothing for each other. It is nil if t is the chat's home of old.
-func formerHome(now time.Time, p *pool, a Ask, t *target) *target {
+func formerHome(now time.Time, p *pool, a Request, t *target) *target {
 	young := now.Sub(t.joined) < youngFor
 	var best *target
 	order := p.order(a.Chat, func(*target) bool { return false })
--- a/internal/core/placement/target.go
+++ b/internal/core/placement/target.go
@@ -15,15 +15,15 @@
 	Address    string
 	DataCentre string
 	Leaving    bool
-	// Gone is when the target left the list; zero while it is listed. It may be used for a while after.
-	Gone  time.Time
-	Row   uint64 // version of its entry
-	Slots int    // 0 if unknown
-	// Cold is how long the target stays cold, as its entry says.
-	Cold time.Duration
-	// Started is the Unix millisecond at which the lifetime began, 0 if it is not known. A target that
+	// RemovedAt is when the target left the list; zero while it is listed. It may be used for a while after.
+	RemovedAt  time.Time
+	RowVersion uint64 // version of its entry
+	Slots      int    // 0 if unknown
+	// ColdRemaining is how long the target stays cold, as its entry says.
+	ColdRemaining time.Duration
+	// StartedAtMs is the Unix millisecond at which the lifetime began, 0 if it is not known. A target that
 	// starts again keeps its ID, its chats find it by that, and nothing else of it is the same.
-	Started int64
+	StartedAtMs int64
 }
 
 // UID returns the UID of a target's lifetime. All routers compute the same.
@@ -31,21 +31,21 @@
 	return rendezvous.Mix(rendezvous.Hash(id), uint64(started))
 }
 
-// Ask is one request that needs a target.
-type Ask struct {
+// Request is one request that needs a target.
+type Request struct {
 	Pool string
 	// Chat is the hash of what the request shares with earlier ones; 0 if nothing.
 	Chat uint64
-	// Prompt are the beginnings of the prompt that other requests share, the shortest first;
+	// PromptPrefixes are the beginnings of the prompt that other requests share, the shortest first;
 	// empty if it is not known.
-	Prompt []Part
-	// Tokens are those of the whole prompt, what belongs to the request alone included; 0 if it has none.
-	Tokens int
+	PromptPrefixes []Prefix
+	// PromptTokens are those of the whole prompt, what belongs to the request alone included; 0 if it has none.
+	PromptTokens int
 	// Objective is the time to the first event that the route aims at; 0 if none.
 	Objective time.Duration
 	Excluded  []uint64
-	// Stale: a request of the pool takes less time than the news of what others have open there.
-	Stale bool
+	// LoadsOutdated: a request of the pool takes less time than the news of what others have open there.
+	LoadsOutdated bool
 }
 
 // Load is how many requests one router has open at a target.
@@ -59,13 +59,13 @@
 
 // The rules.
 const (
-	RuleHome    Rule = "home"         // first in the chat's order
-	RuleSpill   Rule = "spill"        // a later one: those before it are at the bound or suspended
-	RuleFaster  Rule = "faster"       // a later one: those before it would answer late
-	RuleLeast   Rule = "least_loaded" // no chat, or every target at the bound
-	RuleRandom  Rule = "random"       // no chat, and what is known of the others' requests is out of date
-	RuleCold    Rule = "cold"         // a cold one: the others have no place free
-	RuleSuspect Rule = "suspect"      // all others are suspended or have failed the request
+	RuleHome        Rule = "home"         // first in the chat's order
+	RuleSpill       Rule = "spill"        // a later one: those before it are at the bound or suspended
+	RuleFaster      Rule = "faster"       // a later one: those before it would answer late
+	RuleLeastLoaded Rule = "least_loaded" // no chat, or every target at the bound
+	RuleRandom      Rule = "random"       // no chat, and what is known of the others' requests is out of date
+	RuleCold        Rule = "cold"         // a cold one: the others have no place free
+	RuleSuspect     Rule = "suspect"      // all others are suspended or have failed the request
 	// RuleTicket is that of routers that place by tickets of a pool's owner.
 	RuleTicket Rule = "ticket"
 )
@@ -76,9 +76,9 @@
 	Rule   Rule
 	Open   int     // what the fleet had open at the target, this request not counted
 	Bound  float64 // what it may hold
-	// Source is the address of a target that probably holds the chat's cache while
+	// CacheSource is the address of a target that probably holds the chat's cache while
 	// the chosen one does not; empty if there is none.
-	Source string
+	CacheSource string
 
 	sequence uint64
 }
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// Spacing is the time between two requests of one router to a cold target. It is longer than the second that the bound speaks
+	// SendInterval is the time between two requests of one router to a cold target. It is longer than the second that the bound speaks
 	// of by what a clock may be off and a request may take to be written.
-	Spacing = 1100 * time.Millisecond
-	// Hold is how long a router that has started sends nothing to cold targets. It knows too little of the fleet until then, and
+	SendInterval = 1100 * time.Millisecond
+	// StartupDelay is how long a router that has started sends nothing to cold targets. It knows too little of the fleet until then, and
 	// what the process before it has sent.
-	Hold = 2 * time.Second
+	StartupDelay = 2 * time.Second
 	// disagreement is by how much the routers that think they may send can outnumber those that should.
 	disagreement = 2
 )
@@ -39,8 +39,8 @@
 	return f
 }
 
-// Sends reports whether this router is one of the few that may send to a cold target that bears a number of requests a second.
-func (f *Fleet) Sends(target uint64, perSecond int) bool {
+// MaySend reports whether this router is one of the few that may send to a cold target that bears a number of requests a second.
+func (f *Fleet) MaySend(target uint64, perSecond int) bool {
 	few := max(perSecond/disagreement, 1)
 	own := rendezvous.Mix(f.self, target)
 	for _, o := range f.others {
@@ -53,9 +53,9 @@
 	return true
 }
 
-// PerSecond returns how many requests a cold target may get in any second: what it bears, as its pool says, times what operators
+// MaxPerSecond returns how many requests a cold target may get in any second: what it bears, as its pool says, times what operators
 // let it be passed by, and their slack.
-func PerSecond(bears, multiple, slack float64) int {
+func MaxPerSecond(bears, multiple, slack float64) int {
 	if bears <= 0 {
 		return 0
 	}
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -51,11 +51,11 @@
 	sends := make([]bool, routers)
 	last := make([]time.Duration, routers)
 	for i, f := range fleet {
-		sends[i] = f.Sends(target, bears)
+		sends[i] = f.MaySend(target, bears)
 		last[i] = -time.Hour
 	}
 	return func(r int, now time.Duration) bool {
-		if !sends[r] || now-last[r] < warmup.Spacing {
+		if !sends[r] || now-last[r] < warmup.SendInterval {
 			return false
 		}
 		last[r] = now
@@ -130,7 +130,7 @@
 			for target := range uint64(targets) {
 				n := 0
 				for i, f := range fleet {
-					if f.Sends(rendezvous.Mix(target, 3), bears) {
+					if f.MaySend(rendezvous.Mix(target, 3), bears) {
 						senders[i]++
 						n++
 					}
