--- a/internal/core/evacuation/evacuation.go
+++ b/internal/core/evacuation/evacuation.go
@@ -1,6 +1,7 @@
-// Package evacuation keeps which data centres operators have ordered to be evacuated. Targets there get no request from any router until
-// the order is taken back: no new one, no retry, no resumed stream, none that waits for a connection. What was sent before may end
-// there, and other targets may fetch what is cached there.
+// Package evacuation keeps the operators' orders to evacuate data centres. While an order is
+// applied, no router sends any request to targets in that data centre: no new requests, no retries,
+// no resumed streams and no requests that wait for a connection. Requests sent before the order may
+// finish there, and other targets may still fetch cached data from there.
 package evacuation
 
 import (
@@ -8,18 +9,20 @@
 	"strings"
 )
 
-// Change is an order that has come, or was taken back.
+// Change is an evacuation order that was issued or withdrawn.
 type Change struct {
 	DataCentre string
 	Evacuated  bool
 }
 
-// Orders are those in force. The zero value has none. It is not safe for concurrent use.
+// Orders are the evacuation orders that are applied. The zero value holds none. It is not safe for
+// concurrent use.
 type Orders struct {
 	evacuated map[string]bool
 }
 
-// Update takes in the data centres of the orders in force, in place of those before, and returns what has changed, in order.
+// Update replaces the applied orders by those for dataCentres and returns the changes, sorted by
+// data centre.
 func (o *Orders) Update(dataCentres []string) []Change {
 	next := make(map[string]bool, len(dataCentres))
 	var changes []Change
@@ -39,5 +42,5 @@
 	return changes
 }
 
-// IsEvacuated reports whether a data centre is to get nothing.
+// IsEvacuated reports whether a data centre must get no requests.
 func (o *Orders) IsEvacuated(dataCentre string) bool { return o.evacuated[dataCentre] }
--- a/internal/core/evacuation/evacuation_test.go
+++ b/internal/core/evacuation/evacuation_test.go
@@ -16,9 +16,10 @@
 	RunSpecs(t, "evacuation")
 }
 
-var _ = Describe("orders", func() {
-	// Guards against a data centre that is used although the last list of orders names it, or left alone after it no longer does.
-	It("are those of the last update, whatever came before", func() {
+var _ = Describe("evacuation orders", func() {
+	// Guards against a data centre that is used although the last update names it, or avoided
+	// although the last update does not name it.
+	It("are those of the last update, whatever was ordered before", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var o evacuation.Orders
 			var before []string
--- a/internal/core/warmup/warmup.go
+++ b/internal/core/warmup/warmup.go
@@ -1,10 +1,14 @@
-// Package warmup bounds what a cold target gets from all routers together, although none asks another before it sends. Of the routers a
-// few may send to a target while it is cold, each one request a second. Which ones follows from the routers' addresses by
-// rendezvous hashing, so that all agree without a word. The bound is the number of those few: it holds whatever is lost, late or paused.
+// Package warmup limits the request rate of a cold target over all routers, without coordination
+// between them. A few of the routers may send to a cold target, each of them one request a second.
+// Rendezvous hashing of the routers' addresses selects them, so all routers compute the same
+// selection without messages. The number of selected routers is the limit: it holds even if
+// messages are lost or delayed or a router stalls.
 //
-// Two routers that know different fleets may disagree. So the few are half of what the target bears: where a fleet has come apart into
-// two that have forgotten each other, both halves together keep the bound. Members are forgotten long after they fell silent, for
-// the same reason.
+// Two routers that know different sets of members may disagree on the selection. For this reason
+// only half as many routers are selected as the target can take requests a second: if a network
+// partition splits the fleet in two halves that have forgotten each other, both halves together
+// stay within the limit. For the same reason, members are forgotten only long after they became
+// silent.
 package warmup
 
 import (
@@ -14,23 +18,26 @@
 )
 
 const (
-	// SendInterval is the time between two requests of one router to a cold target. It is longer than the second that the bound speaks
-	// of by what a clock may be off and a request may take to be written.
+	// SendInterval is the least time between two requests of one router to the same cold target. It
+	// exceeds one second, the period of the limit, by the possible clock error and by the time that
+	// writing a request may take.
 	SendInterval = 1100 * time.Millisecond
-	// StartupDelay is how long a router that has started sends nothing to cold targets. It knows too little of the fleet until then, and
-	// what the process before it has sent.
+	// StartupDelay is how long a router sends no requests to cold targets after its own start.
+	// Until then it knows too few members of the fleet, and not what its previous process sent.
 	StartupDelay = 2 * time.Second
-	// disagreement is by how much the routers that think they may send can outnumber those that should.
-	disagreement = 2
+	// disagreementFactor is the greatest ratio of the routers that consider themselves selected to
+	// those that should be, if routers know different members.
+	disagreementFactor = 2
 )
 
-// Fleet is what a router knows of the others. It is immutable.
+// Fleet is the set of routers that this router knows. It is immutable.
 type Fleet struct {
 	self   uint64
 	others []uint64
 }
 
-// NewFleet returns the fleet of a router and others, by their addresses.
+// NewFleet returns the fleet of the router with the address self and the routers with the addresses
+// others.
 func NewFleet(self string, others []string) *Fleet {
 	f := &Fleet{self: rendezvous.Hash(self), others: make([]uint64, len(others))}
 	for i, o := range others {
@@ -39,13 +46,14 @@
 	return f
 }
 
-// MaySend reports whether this router is one of the few that may send to a cold target that bears a number of requests a second.
+// MaySend reports whether this router is selected to send to a cold target that may get perSecond
+// requests a second.
 func (f *Fleet) MaySend(target uint64, perSecond int) bool {
-	few := max(perSecond/disagreement, 1)
+	selected := max(perSecond/disagreementFactor, 1)
 	own := rendezvous.Mix(f.self, target)
 	for _, o := range f.others {
 		if rendezvous.Mix(o, target) > own {
-			if few--; few == 0 {
+			if selected--; selected == 0 {
 				return false
 			}
 		}
@@ -53,11 +61,12 @@
 	return true
 }
 
-// MaxPerSecond returns how many requests a cold target may get in any second: what it bears, as its pool says, times what operators
-// let it be passed by, and their slack.
-func MaxPerSecond(bears, multiple, slack float64) int {
-	if bears <= 0 {
+// MaxPerSecond returns how many requests a cold target may get in any second: the rate that its
+// pool declares, times the operators' multiple, plus their slack. It returns 0 if the pool declares
+// no rate.
+func MaxPerSecond(declared, multiple, slack float64) int {
+	if declared <= 0 {
 		return 0
 	}
-	return max(int(bears*multiple+slack), 1)
+	return max(int(declared*multiple+slack), 1)
 }
--- a/internal/core/warmup/warmup_test.go
+++ b/internal/core/warmup/warmup_test.go
@@ -20,14 +20,15 @@
 	RunSpecs(t, "warmup")
 }
 
-// bears is what the target of these loads gets in a second at the most.
-const bears = 26
+// maxRate is how many requests a second the target may get at most.
+const maxRate = 26
 
-// way decides whether a router sends a request to the cold target.
-type way func(router int, now time.Duration) bool
+// sendPolicy decides whether a router sends a request to the cold target.
+type sendPolicy func(router int, now time.Duration) bool
 
-// fleets returns what each router knows of the others. known says whom it knows.
-func fleets(routers int, known func(router, other int) bool) []*warmup.Fleet {
+// newFleets returns each router's view of the fleet. knows reports which other routers a router
+// knows.
+func newFleets(routers int, knows func(router, other int) bool) []*warmup.Fleet {
 	names := make([]string, routers)
 	for i := range names {
 		names[i] = fmt.Sprint("r", i)
@@ -36,7 +37,7 @@
 	for i := range out {
 		var others []string
 		for o := range routers {
-			if o != i && known(i, o) {
+			if o != i && knows(i, o) {
 				others = append(others, names[o])
 			}
 		}
@@ -45,13 +46,13 @@
 	return out
 }
 
-// few is the way that stands: some routers, one request a second each.
-func few(fleet []*warmup.Fleet, target uint64) way {
-	routers := len(fleet)
+// selectedRouters is the policy in use: a few routers send, each one request a second.
+func selectedRouters(fleets []*warmup.Fleet, target uint64) sendPolicy {
+	routers := len(fleets)
 	sends := make([]bool, routers)
 	last := make([]time.Duration, routers)
-	for i, f := range fleet {
-		sends[i] = f.MaySend(target, bears)
+	for i, f := range fleets {
+		sends[i] = f.MaySend(target, maxRate)
 		last[i] = -time.Hour
 	}
 	return func(r int, now time.Duration) bool {
@@ -63,35 +64,37 @@
 	}
 }
 
-// share gives each router its part of the rate: one request whenever its part has come together.
-func share(routers int, rnd *rand.Rand) way {
-	every := time.Duration(float64(time.Second) * float64(routers) / bears)
+// equalShares gives each router an equal share of the rate and spaces its requests evenly.
+func equalShares(routers int, rnd *rand.Rand) sendPolicy {
+	interval := time.Duration(float64(time.Second) * float64(routers) / maxRate)
 	next := make([]time.Duration, routers)
 	for i := range next {
-		next[i] = time.Duration(rnd.Float64() * float64(every))
+		next[i] = time.Duration(rnd.Float64() * float64(interval))
 	}
 	return func(r int, now time.Duration) bool {
 		if now < next[r] {
 			return false
 		}
-		next[r] = now + every
+		next[r] = now + interval
 		return true
 	}
 }
 
-// home sends from the routers that the chat's own order names, one for each chat: its requests come to any router.
-func home(routers int, chat uint64) way {
+// oneRouterPerChat lets only one router send, chosen by the chat. The chat's requests still arrive
+// at any router.
+func oneRouterPerChat(routers int, chat uint64) sendPolicy {
 	only := int(chat % uint64(routers))
 	return func(r int, _ time.Duration) bool { return r == only }
 }
 
-func everybody(int, time.Duration) bool { return true }
+func noLimit(int, time.Duration) bool { return true }
 
-// play sends a load for three seconds and returns the most that arrived in any second, and how many arrived in all.
-func play(routers int, perSecond float64, w way, rnd *rand.Rand) (most, all int) {
+// simulate sends a load for three seconds. It returns the most requests that arrived within one
+// second, and the number of all that arrived.
+func simulate(routers int, perSecond float64, policy sendPolicy, rnd *rand.Rand) (most, all int) {
 	var at []time.Duration
 	for now := time.Duration(0); now < 3*time.Second; now += time.Duration(rnd.ExpFloat64() / perSecond * float64(time.Second)) {
-		if w(rnd.IntN(routers), now) {
+		if policy(rnd.IntN(routers), now) {
 			at = append(at, now)
 		}
 	}
@@ -103,70 +106,73 @@
 }
 
 var _ = Describe("a cold target", func() {
-	everyone := func(int, int) bool { return true }
-	// parted routers know only those of their own half.
-	parted := func(a, b int) bool { return a%2 == b%2 }
-
-	// Guards against more requests than a cold target bears, summed over routers that don't ask each other.
-	DescribeTable("gets no more than it bears", func(routers int, known func(int, int) bool, perSecond float64) {
-		fleet := fleets(routers, known)
+	knowsAll := func(int, int) bool { return true }
+	// partitioned routers know only the routers of their own half.
+	partitioned := func(a, b int) bool { return a%2 == b%2 }
+
+	// Guards against more requests than the target can take, summed over routers that do not
+	// coordinate.
+	DescribeTable("gets at most its maximum rate", func(routers int, knows func(int, int) bool, perSecond float64) {
+		fleets := newFleets(routers, knows)
 		for seed := range uint64(40) {
 			rnd := rand.New(rand.NewPCG(seed, uint64(routers)))
-			most, _ := play(routers, perSecond, few(fleet, rendezvous.Mix(seed, 7)), rnd)
-			Expect(most).To(BeNumerically("<=", bears))
+			most, _ := simulate(routers, perSecond, selectedRouters(fleets, rendezvous.Mix(seed, 7)), rnd)
+			Expect(most).To(BeNumerically("<=", maxRate))
 		}
 	},
-		Entry("9 routers, its usual load", 9, everyone, 8.0), Entry("9, a hot chat", 9, everyone, 300.0),
-		Entry("70, its usual load", 70, everyone, 8.0), Entry("70, a hot chat", 70, everyone, 300.0), Entry("70 parted, a hot chat", 70, parted, 2000.0),
-		Entry("195, a hot chat", 195, everyone, 2000.0), Entry("195 parted, a hot chat", 195, parted, 2000.0),
-		Entry("340, a hot chat", 340, everyone, 4000.0), Entry("340 parted, a hot chat", 340, parted, 4000.0),
+		Entry("9 routers, usual load", 9, knowsAll, 8.0), Entry("9 routers, a hot chat", 9, knowsAll, 300.0),
+		Entry("70 routers, usual load", 70, knowsAll, 8.0), Entry("70 routers, a hot chat", 70, knowsAll, 300.0), Entry("70 routers, partitioned, a hot chat", 70, partitioned, 2000.0),
+		Entry("195 routers, a hot chat", 195, knowsAll, 2000.0), Entry("195 routers, partitioned, a hot chat", 195, partitioned, 2000.0),
+		Entry("340 routers, a hot chat", 340, knowsAll, 4000.0), Entry("340 routers, partitioned, a hot chat", 340, partitioned, 4000.0),
 	)
 
-	// Guards against a target that nobody may send to, and work that the same few routers get for all targets.
-	It("has senders, others for each target", func() {
+	// Guards against a target that no router may send to, and against the same few routers being
+	// selected for all targets.
+	It("has the expected number of senders, which differ between targets", func() {
 		for _, routers := range []int{1, 2, 9, 70, 340} {
-			senders, fleet := make([]int, routers), fleets(routers, everyone)
+			senders, fleets := make([]int, routers), newFleets(routers, knowsAll)
 			const targets = 200
 			for target := range uint64(targets) {
 				n := 0
-				for i, f := range fleet {
-					if f.MaySend(rendezvous.Mix(target, 3), bears) {
+				for i, f := range fleets {
+					if f.MaySend(rendezvous.Mix(target, 3), maxRate) {
 						senders[i]++
 						n++
 					}
 				}
-				Expect(n).To(Equal(min(routers, bears/2)))
+				Expect(n).To(Equal(min(routers, maxRate/2)))
 			}
-			if routers > bears/2 {
-				mean := float64(targets) * bears / 2 / float64(routers)
+			if routers > maxRate/2 {
+				mean := float64(targets) * maxRate / 2 / float64(routers)
 				Expect(slices.Max(senders)).To(BeNumerically("<", mean+6*math.Sqrt(mean)))
 			}
 		}
 	})
 
-	// The ways that were weighed, for the design note: the most in a second, and what arrives of the load, medians of 21 seeds.
-	It("is compared in four ways", func() {
+	// Reports for each policy the most requests in one second and the median share of the load that
+	// arrives, over 21 seeds.
+	It("gets a load by each of four policies (report only)", func() {
 		for _, routers := range []int{9, 70, 195, 340} {
-			fleet := fleets(routers, everyone)
+			fleets := newFleets(routers, knowsAll)
 			for _, load := range []float64{8, 26, 300} {
 				line := fmt.Sprintf("%3d routers, %3.0f/s:", routers, load)
-				for _, one := range []struct {
-					name string
-					way  func(seed uint64, rnd *rand.Rand) way
+				for _, policy := range []struct {
+					name      string
+					newPolicy func(seed uint64, rnd *rand.Rand) sendPolicy
 				}{
-					{"everybody", func(uint64, *rand.Rand) way { return everybody }},
-					{"share", func(_ uint64, rnd *rand.Rand) way { return share(routers, rnd) }},
-					{"chat's router", func(seed uint64, _ *rand.Rand) way { return home(routers, seed) }},
-					{"few", func(seed uint64, _ *rand.Rand) way { return few(fleet, rendezvous.Mix(seed, 7)) }},
+					{"no limit", func(uint64, *rand.Rand) sendPolicy { return noLimit }},
+					{"equal shares", func(_ uint64, rnd *rand.Rand) sendPolicy { return equalShares(routers, rnd) }},
+					{"one router per chat", func(seed uint64, _ *rand.Rand) sendPolicy { return oneRouterPerChat(routers, seed) }},
+					{"selected routers", func(seed uint64, _ *rand.Rand) sendPolicy { return selectedRouters(fleets, rendezvous.Mix(seed, 7)) }},
 				} {
 					var most, served []int
 					for seed := range uint64(21) {
 						rnd := rand.New(rand.NewPCG(seed, uint64(routers)))
-						m, s := play(routers, load, one.way(seed, rnd), rnd)
+						m, s := simulate(routers, load, policy.newPolicy(seed, rnd), rnd)
 						most, served = append(most, m), append(served, s)
 					}
 					slices.Sort(served)
-					line += fmt.Sprintf("  %s %d (%.0f%%)", one.name, slices.Max(most), 100*float64(served[10])/(3*load))
+					line += fmt.Sprintf("  %s %d (%.0f%%)", policy.name, slices.Max(most), 100*float64(served[10])/(3*load))
 				}
 				AddReportEntry(line)
 			}
