--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -7,160 +7,165 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/rendezvous"
 )
 
-// bound is the highest count that a placement may bring a target to. The mean is
-// over all targets, leaving ones as well: those still hold requests and receive none.
-func (b *Balancer) bound(p *pool) float64 {
+// loadBound returns the highest number of open requests that a placement may bring a target of the
+// pool to, see Settings. The mean covers all targets, also leaving ones: those still hold requests
+// although they get no new ones.
+func (b *Balancer) loadBound(p *pool) float64 {
 	if len(p.targets) == 0 {
 		return 0
 	}
-	return max(b.settings.LoadMultiple*p.mean()+b.settings.LoadSlack-b.settings.LoadMargin, 1)
+	return max(b.settings.LoadMultiple*p.meanOpen()+b.settings.LoadSlack-b.settings.LoadMargin, 1)
 }
 
-// panicShare is the share of suspended targets above which suspensions are passed
-// over, but for targets that accept no connection. If most of a pool fails, the few
-// left would be overrun and the caches of the others lost, and often the cause is none
-// of theirs. One of two is not most: the other one is known to answer.
-const panicShare = 0.5
+// suspensionPanicThreshold is the share of suspended targets above which suspensions are ignored,
+// except for targets that accept no connections. If most of a pool fails, the targets themselves
+// are often not the cause, and avoiding them would overload the few others and lose the caches of
+// the suspended ones. Exactly half of a pool does not exceed the threshold: if one of two targets
+// is suspended, the other one is known to answer.
+const suspensionPanicThreshold = 0.5
 
-// ejectShare is the same for ejected targets. They are known to be worse than the others, so
-// more of them may go without work while the others take the load.
-const ejectShare = 0.75
+// ejectionPanicThreshold is the share of suspended and ejected targets above which ejections are
+// ignored. It is higher than suspensionPanicThreshold because ejected targets are known to fail
+// more often than the others, so more of them may go without work.
+const ejectionPanicThreshold = 0.75
 
-// passedOver returns which targets get no new work for now.
-func passedOver(now time.Time, p *pool) func(*target) bool {
-	staying, suspended, ejected := 0, 0, 0
+// skipFilter returns a function that reports whether a target gets no new requests for now.
+func skipFilter(now time.Time, p *pool) func(*target) bool {
+	active, suspended, ejected := 0, 0, 0
 	for _, t := range p.targets {
-		if t.closed(now) || (t.health.unreachable && t.health.suspended(now)) {
+		if t.isClosed(now) || (t.health.unreachable && t.health.isSuspended(now)) {
 			continue
 		}
-		staying++
+		active++
 		switch {
-		case t.health.suspended(now):
+		case t.health.isSuspended(now):
 			suspended++
-		case t.ejected(now):
+		case t.isEjected(now):
 			ejected++
 		}
 	}
-	always := ablate.Off(ablate.PanicShares)
-	suspend := always || float64(suspended) <= panicShare*float64(staying)
-	eject := always || float64(suspended+ejected) <= ejectShare*float64(staying)
+	ignoreThresholds := ablate.Off(ablate.PanicShares)
+	applySuspensions := ignoreThresholds || float64(suspended) <= suspensionPanicThreshold*float64(active)
+	applyEjections := ignoreThresholds || float64(suspended+ejected) <= ejectionPanicThreshold*float64(active)
 	return func(t *target) bool {
-		if t.pause.holds(now) || t.isCold(now) {
+		if t.pause.isOn(now) || t.isCold(now) {
 			return true
 		}
-		if t.health.suspended(now) {
-			return t.health.unreachable || suspend
+		if t.health.isSuspended(now) {
+			return t.health.unreachable || applySuspensions
 		}
-		return eject && t.ejected(now)
+		return applyEjections && t.isEjected(now)
 	}
 }
 
-// choose returns the target for an ask and the rule that chose it, nil if there is none.
-func (b *Balancer) choose(now time.Time, p *pool, a Request, bound float64) (*target, Rule) {
-	t, rule := b.chooseWarm(now, p, a, bound)
-	if t == nil || !t.hasRoom() {
-		if c := b.coldWithRoom(now, p, a); c != nil {
+// choose returns the target for a request and the rule that chose it; nil if there is none.
+func (b *Balancer) choose(now time.Time, p *pool, r Request, bound float64) (*target, Rule) {
+	t, rule := b.chooseWarm(now, p, r, bound)
+	if t == nil || !t.hasFreeSlot() {
+		if c := b.chooseCold(now, p, r); c != nil {
 			return c, RuleCold
 		}
 	}
 	if t != nil {
 		return t, rule
 	}
-	return b.leastLoaded(now, p, a, func(*target) bool { return false }), RuleSuspect
+	return b.chooseLeastLoaded(now, p, r, func(*target) bool { return false }), RuleSuspect
 }
 
-// chooseWarm chooses among the targets that nothing speaks against.
-func (b *Balancer) chooseWarm(now time.Time, p *pool, a Request, bound float64) (*target, Rule) {
-	skip := passedOver(now, p)
-	if a.Chat != 0 {
-		if t, rule := b.byChat(now, p, a, bound, skip); t != nil {
+// chooseWarm chooses among the targets that are available and not cold, suspended or ejected.
+func (b *Balancer) chooseWarm(now time.Time, p *pool, r Request, bound float64) (*target, Rule) {
+	skip := skipFilter(now, p)
+	if r.Chat != 0 {
+		if t, rule := b.chooseByChat(now, p, r, bound, skip); t != nil {
 			return t, rule
 		}
 	}
-	if a.LoadsOutdated && !ablate.Off(ablate.Short) {
-		return b.atRandom(now, p, a, skip), RuleRandom
+	if r.LoadsOutdated && !ablate.Off(ablate.Short) {
+		return b.chooseRandom(now, p, r, skip), RuleRandom
 	}
-	return b.leastLoaded(now, p, a, skip), RuleLeastLoaded
+	return b.chooseLeastLoaded(now, p, r, skip), RuleLeastLoaded
 }
 
-// byChat returns the first target in the chat's rendezvous order that is below the bound and not
-// slow. Every router computes the same order, so a chat that spills finds its second target
-// whichever router it comes to.
-func (b *Balancer) byChat(now time.Time, p *pool, a Request, bound float64, skip func(*target) bool) (*target, Rule) {
+// chooseByChat returns the first target in the chat's rendezvous order that is below the load bound
+// and not slow. All routers compute the same order, so a chat that moves to its second target gets
+// the same one at every router.
+func (b *Balancer) chooseByChat(now time.Time, p *pool, r Request, bound float64, skip func(*target) bool) (*target, Rule) {
 	var c candidates
-	p.candidates(&c, a, min(bound, p.maxOpen), skip)
+	p.candidates(&c, r, min(bound, p.maxOpen), skip)
 	if c.n == 0 {
 		return nil, ""
 	}
-	if !c.home {
-		b.holdersFirst(now, a, c.targets[:c.n])
+	if !c.startsWithHome {
+		b.moveHolderFirst(now, r, c.targets[:c.n])
 	}
-	return b.inTime(now, a, &c)
+	return b.firstOrFaster(now, r, &c)
 }
 
-// candidates are targets that a chat may go to, the first one first.
+// candidates are the targets that a chat may go to, in order of preference.
 type candidates struct {
-	targets [rendezvous.MaxTop]*target // not a slice: every placement would allocate one
+	// targets is an array, since a slice would be allocated for each placement.
+	targets [rendezvous.MaxTop]*target
 	n       int
-	// home says that the first is the first in the chat's order.
-	home bool
-	// roomy is how many, from the first on, are the home or hold no more than spillLevel.
-	roomy int
+	// startsWithHome is true if the first candidate is also the first target in the chat's order.
+	startsWithHome bool
+	// preferred is how many candidates, counted from the first, are the chat's home or hold at most
+	// the load given by spillLoadFactor. It is at least 1.
+	preferred int
 }
 
-// candidates finds the targets that hold less than a limit, in the chat's order but those with room before the
-// others.
-func (p *pool) candidates(c *candidates, a Request, limit float64, skip func(*target) bool) {
+// candidates collects the targets that hold less than limit: in the chat's order, but those above
+// the load given by spillLoadFactor come last.
+func (p *pool) candidates(c *candidates, r Request, limit float64, skip func(*target) bool) {
 	var top rendezvous.Top
-	order := p.order(a.Chat, skip)
+	order := p.chatOrder(r.Chat, skip)
 	for i, t := range p.targets {
-		if t.stays() && !a.excludes(t.UID) {
+		if t.isActive() && !r.excludes(t.UID) {
 			top.Offer(int32(i), order.weight(t), rendezvous.MaxTop)
 		}
 	}
 	var crowded [rendezvous.MaxTop]*target
 	m := 0
-	level := spillLevel*p.mean() + 1
+	preferredLoad := spillLoadFactor*p.meanOpen() + 1
 	for i := range top.Len {
 		t := p.targets[top.Index[i]]
 		switch {
-		case skip(t) || float64(t.open()+1) > limit:
-		case i > 0 && float64(t.open()) > level:
+		case skip(t) || float64(t.totalOpen()+1) > limit:
+		case i > 0 && float64(t.totalOpen()) > preferredLoad:
 			crowded[m] = t
 			m++
 		default:
-			c.home = c.home || i == 0
+			c.startsWithHome = c.startsWithHome || i == 0
 			c.targets[c.n] = t
 			c.n++
 		}
 	}
-	c.roomy = max(c.n, 1)
+	c.preferred = max(c.n, 1)
 	c.n += copy(c.targets[c.n:], crowded[:m])
 }
 
-// spillLevel is how many times the pool's mean a target may hold that a chat spills or moves to. Where a data
-// centre loses most of its targets, the few left would get all of its chats, up to the bound.
-const spillLevel = 1.25
+// spillLoadFactor is the load, as a multiple of the pool's mean, up to which a target is preferred
+// for chats that spill or move. Without it, the few remaining targets of a data centre that lost
+// most of its targets would get all of its chats, up to the load bound.
+const spillLoadFactor = 1.25
 
-// mean returns what the pool's targets hold in the mean, leaving ones as well: those still hold requests
-// and receive none.
-func (p *pool) mean() float64 {
+// meanOpen returns the mean number of open requests of the pool's targets, leaving ones included.
+func (p *pool) meanOpen() float64 {
 	open := 0
 	for _, t := range p.targets {
-		open += t.open()
+		open += t.totalOpen()
 	}
 	return float64(open) / float64(max(len(p.targets), 1))
 }
 
-// holdersFirst puts the first target that holds the chat's prompt before the others: what spills goes
-// where it has spilled to before.
-func (b *Balancer) holdersFirst(now time.Time, a Request, targets []*target) {
-	if len(a.PromptPrefixes) == 0 || ablate.Off(ablate.Holders) {
+// moveHolderFirst moves the first target that holds the chat's whole prompt to the front, so a chat
+// that spills goes to the target that it spilled to before.
+func (b *Balancer) moveHolderFirst(now time.Time, r Request, targets []*target) {
+	if len(r.PromptPrefixes) == 0 || ablate.Off(ablate.Holders) {
 		return
 	}
-	whole := a.PromptPrefixes[len(a.PromptPrefixes)-1].Hash
+	hash := r.PromptPrefixes[len(r.PromptPrefixes)-1].Hash
 	for i, t := range targets {
-		if b.held.keeps(now, whole, t.UID) {
+		if b.inventory.isHeldBy(now, hash, t.UID) {
 			copy(targets[1:i+1], targets[:i])
 			targets[0] = t
 			return
@@ -168,22 +173,22 @@
 	}
 }
 
-// inTime returns the first candidate, or if that is slow or would answer late the first one with room that
-// is much faster.
-func (b *Balancer) inTime(now time.Time, a Request, c *candidates) (*target, Rule) {
+// firstOrFaster returns the first candidate. If that one is slow or would answer late, it returns
+// the first preferred candidate that is much faster, if there is one.
+func (b *Balancer) firstOrFaster(now time.Time, r Request, c *candidates) (*target, Rule) {
 	first, rule := c.targets[0], RuleSpill
-	if c.home {
+	if c.startsWithHome {
 		rule = RuleHome
 	}
 	if ablate.Off(ablate.Pace) {
 		return first, rule
 	}
-	late := b.expected(now, a, first)
-	if (a.Objective == 0 || float64(late) <= lateShare*float64(a.Objective)) && b.pace(now, first) < slowFactor {
+	expected := b.expectedFirstEvent(now, r, first)
+	if (r.Objective == 0 || float64(expected) <= objectiveShare*float64(r.Objective)) && b.slowdown(now, first) < slowFactor {
 		return first, rule
 	}
-	for _, t := range c.targets[1:c.roomy] {
-		if float64(b.expected(now, a, t)) < muchFaster*float64(late) {
+	for _, t := range c.targets[1:c.preferred] {
+		if float64(b.expectedFirstEvent(now, r, t)) < fasterFactor*float64(expected) {
 			return t, RuleFaster
 		}
 	}
@@ -191,24 +196,26 @@
 }
 
 const (
-	// lateShare is the part of a route's objective that the first event may be expected to take before a chat
-	// goes to a later target. Moving a chat costs its cache; below that nobody gains by it.
-	lateShare = 0.5
-	// slowFactor is the pace from which a target is avoided also if the first event would come in time: the
-	// events after it come as slowly, and more so while it reads others' prompts.
+	// objectiveShare is the share of a route's objective that the first event may be expected to
+	// take before a chat goes to a later target. Moving a chat loses its cache, which does not pay
+	// while the first event comes sooner than that.
+	objectiveShare = 0.5
+	// slowFactor is the slowdown from which a target is avoided even if the first event would come
+	// in time. The later events are delayed as much, and more while the target reads other prompts.
 	slowFactor = 3
-	// muchFaster is what the later target has to promise against it. All routers then find the
-	// same one, mostly: the first in the chat's order that is not slow.
-	muchFaster = 0.5
+	// fasterFactor is the share of the first target's expected time that a later target may take to
+	// be chosen instead. With a clear difference required, nearly all routers choose the same one:
+	// the first in the chat's order that is not slow.
+	fasterFactor = 0.5
 )
 
-// leastLoaded returns the target with the fewest open requests, of equal ones one
-// in this data centre.
-func (b *Balancer) leastLoaded(now time.Time, p *pool, a Request, skip func(*target) bool) *target {
+// chooseLeastLoaded returns the target with the lowest cost, see Balancer.cost; nil if there is
+// none.
+func (b *Balancer) chooseLeastLoaded(now time.Time, p *pool, r Request, skip func(*target) bool) *target {
 	var best *target
 	bestCost := 0.0
 	for _, t := range p.targets {
-		if t.closed(now) || t.isCold(now) || a.excludes(t.UID) || skip(t) || float64(t.open()+1) > p.maxOpen {
+		if t.isClosed(now) || t.isCold(now) || r.excludes(t.UID) || skip(t) || float64(t.totalOpen()+1) > p.maxOpen {
 			continue
 		}
 		cost := b.cost(now, t)
@@ -219,47 +226,50 @@
 	return best
 }
 
-// atRandom returns a target drawn by its places, its pace and what this router has open there, which it knows at once, those in this
-// data centre more often. All routers see the same target as the least loaded one: by the time that they have heard so, its requests
-// are answered, and all that they send there next come at once, while the others are idle.
-func (b *Balancer) atRandom(now time.Time, p *pool, a Request, skip func(*target) bool) *target {
+// chooseRandom draws a target, weighted by its slots, its slowdown and this router's own open
+// requests, and with a preference for this data centre. It is used when load reports arrive too
+// late: all routers would then see the same least loaded target and send to it together, after its
+// reported requests have finished, while the other targets are idle.
+func (b *Balancer) chooseRandom(now time.Time, p *pool, r Request, skip func(*target) bool) *target {
 	var best *target
-	first := 0.0
+	earliest := 0.0
 	for _, t := range p.targets {
-		if t.closed(now) || t.isCold(now) || a.excludes(t.UID) || skip(t) || float64(t.own+1) > p.maxOpen {
+		if t.isClosed(now) || t.isCold(now) || r.excludes(t.UID) || skip(t) || float64(t.ownOpen+1) > p.maxOpen {
 			continue
 		}
-		// Of times drawn by exponential distributions one is the first as often as its rate is of all rates.
-		rate := float64(max(t.Slots, 1)) / b.pace(now, t) / float64(1+t.own)
+		// The probability that an exponentially distributed time is the shortest is proportional to
+		// its rate.
+		rate := float64(max(t.Slots, 1)) / b.slowdown(now, t) / float64(1+t.ownOpen)
 		if t.DataCentre == b.settings.DataCentre {
-			rate *= localPreference
+			rate *= localWeight
 		}
-		if at := b.rand.ExpFloat64() / rate; best == nil || at < first {
-			best, first = t, at
+		if at := b.rand.ExpFloat64() / rate; best == nil || at < earliest {
+			best, earliest = t, at
 		}
 	}
 	return best
 }
 
-// localPreference is how many times as often a target in the own data centre is drawn: it answers sooner, and bytes between data centres
-// are paid for. More would overrun the targets of the data centre with the most callers.
-const localPreference = 2
+// localWeight is how many times as likely a target in this router's data centre is drawn. It
+// answers sooner, and traffic between data centres is paid for. A higher weight would overload the
+// targets of the data centre with the most callers.
+const localWeight = 2
 
-// remoteCost is what another data centre adds to a target's count: two requests
-// more in the own one are answered as soon as none across the link, and bytes
-// between data centres are paid for.
+// remoteCost is the cost of a target in another data centre, in open requests. A local target with
+// two more requests answers as soon as an idle one across the link, and traffic between data
+// centres is paid for.
 const remoteCost = 1.5
 
 func (b *Balancer) cost(now time.Time, t *target) float64 {
-	cost := (float64(t.open()) + b.rand.Float64()) * b.pace(now, t)
+	cost := (float64(t.totalOpen()) + b.rand.Float64()) * b.slowdown(now, t)
 	if t.DataCentre != b.settings.DataCentre && !ablate.Off(ablate.RemoteCost) {
 		cost += remoteCost
 	}
 	return cost
 }
 
-func (a *Request) excludes(uid uint64) bool {
-	for _, e := range a.Excluded {
+func (r *Request) excludes(uid uint64) bool {
+	for _, e := range r.Excluded {
 		if e == uid {
 			return true
 		}
--- a/internal/core/placement/cold.go
+++ b/internal/core/placement/cold.go
@@ -6,60 +6,64 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/warmup"
 )
 
-// cold is what is known of a target's start: while it is cold it gets next to nothing, see package warmup. Its chats stay where they
-// are, which all routers know alike, and it takes requests only that would wait elsewhere.
-type cold struct {
+// coldState is what this router knows about a target's warm-up. A cold target gets few requests,
+// see package warmup. Its chats keep their place in the order, which all routers must compute
+// alike, and it gets only requests that would wait elsewhere.
+type coldState struct {
 	until time.Time
-	// last is when this router placed or sent a request there last while it was cold, or learned that it is: what was sent before
-	// that counts in the same second.
-	last   time.Time
-	holder uint64 // sequence of the placement that last is of
+	// lastSentAt is when this router last placed or sent a request at the cold target, or, if
+	// later, when it learned that the target is cold. Requests sent before it learned so count
+	// towards the same second.
+	lastSentAt   time.Time
+	lastSequence uint64 // sequence number of the placement that set lastSentAt; 0 if none did
 }
 
-// learn takes in that the target is cold for a time from now on. Of two words the one that lasts longer counts: which one is the later
-// can't be told, and the other may speak of the time before the target became cold again.
-func (c *cold) learn(now time.Time, d time.Duration) {
+// extend records that the target is cold for d from now. Of several reports, the one that lasts
+// longest counts: their order is unknown, and a shorter one may describe an earlier cold period.
+func (c *coldState) extend(now time.Time, d time.Duration) {
 	until := now.Add(d)
 	if d <= 0 || !until.After(c.until) {
 		return
 	}
 	if !c.until.After(now) {
-		c.last, c.holder = now, 0
+		c.lastSentAt, c.lastSequence = now, 0
 	}
 	c.until = until
 }
 
-func (c *cold) placed(now time.Time, sequence uint64) {
+func (c *coldState) recordPlacement(now time.Time, sequence uint64) {
 	if c.until.After(now) {
-		c.last, c.holder = now, sequence
+		c.lastSentAt, c.lastSequence = now, sequence
 	}
 }
 
-// isCold reports whether the target gets next to nothing because it is cold.
+// isCold reports whether the target is cold and its pool limits what cold targets get.
 func (t *target) isCold(now time.Time) bool {
 	return t.cold.until.After(now) && t.pool.coldPerSecond > 0
 }
 
-// bears reports whether this router may send a request to the target, which is cold.
-func (b *Balancer) bears(now time.Time, t *target) bool {
-	return b.fleet != nil && now.Sub(t.cold.last) >= warmup.SendInterval && b.fleet.MaySend(t.UID, t.pool.coldPerSecond)
+// maySendCold reports whether this router may send a request to a cold target now.
+func (b *Balancer) maySendCold(now time.Time, t *target) bool {
+	return b.fleet != nil && now.Sub(t.cold.lastSentAt) >= warmup.SendInterval && b.fleet.MaySend(t.UID, t.pool.coldPerSecond)
 }
 
-// SetFleet tells which routers there are, this one included. Until it is called, cold targets get nothing.
+// SetFleet sets the fleet, from which the routers that may send to a cold target are selected.
+// Until it is called, cold targets get no requests.
 func (b *Balancer) SetFleet(f *warmup.Fleet) { b.fleet = f }
 
-// MarkCold takes in that a target says for how long it is cold, and reports whether it was taken for warm.
+// MarkCold records a target's own report that it is cold for d. news reports whether it was
+// considered warm before.
 func (b *Balancer) MarkCold(now time.Time, uid uint64, d time.Duration) (news bool) {
 	t, ok := b.byUID[uid]
 	if !ok {
 		return false
 	}
-	before := t.cold.until.After(now)
-	t.cold.learn(now, d)
-	return !before && t.isCold(now)
+	wasCold := t.cold.until.After(now)
+	t.cold.extend(now, d)
+	return !wasCold && t.isCold(now)
 }
 
-// CountCold returns how many listed targets are cold.
+// CountCold returns the number of cold targets in the target list.
 func (b *Balancer) CountCold(now time.Time) int {
 	n := 0
 	for _, p := range b.pools {
@@ -72,46 +76,48 @@
 	return n
 }
 
-// coldWithRoom returns the cold target for an ask: the first one in the chat's order that has a place free and that this router may
-// send to; nil if there is none.
-func (b *Balancer) coldWithRoom(now time.Time, p *pool, a Request) *target {
+// chooseCold returns the cold target for a request: the first one in the chat's order that has a
+// free slot and that this router may send to; nil if there is none.
+func (b *Balancer) chooseCold(now time.Time, p *pool, r Request) *target {
 	if p.coldPerSecond == 0 {
 		return nil
 	}
 	var best *target
 	var bestWeight uint64
-	order := p.order(a.Chat, func(*target) bool { return false })
+	order := p.chatOrder(r.Chat, func(*target) bool { return false })
 	for _, t := range p.targets {
-		if !t.isCold(now) || t.closed(now) || a.excludes(t.UID) || t.health.suspended(now) || t.ejected(now) || !t.hasRoom() {
+		if !t.isCold(now) || t.isClosed(now) || r.excludes(t.UID) || t.health.isSuspended(now) || t.isEjected(now) || !t.hasFreeSlot() {
 			continue
 		}
-		if w := order.weight(t); (best == nil || w > bestWeight) && b.bears(now, t) {
+		if w := order.weight(t); (best == nil || w > bestWeight) && b.maySendCold(now, t) {
 			best, bestWeight = t, w
 		}
 	}
 	return best
 }
 
-// returnFromCold is the longest time that callers are told to stay away because all targets are cold: another router may send one.
-const returnFromCold = time.Second
+// maxColdRetryAfter limits how long callers are told to stay away because all targets are cold.
+// Another router may be able to send a request sooner.
+const maxColdRetryAfter = time.Second
 
-// ColdRetryAfter returns for how long callers should stay away because all targets of a pool that stay are cold; 0 if one is not.
+// ColdRetryAfter returns how long callers should stay away because all active targets of a pool are
+// cold; 0 if one is not.
 func (b *Balancer) ColdRetryAfter(now time.Time, pool string) time.Duration {
 	p, ok := b.pools[pool]
 	if !ok {
 		return 0
 	}
-	left := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, t := range p.targets {
 		switch {
-		case !t.stays():
+		case !t.isActive():
 		case !t.isCold(now):
 			return 0
 		default:
-			if l := t.cold.until.Sub(now); left == 0 || l < left {
-				left = l
+			if remaining := t.cold.until.Sub(now); shortest == 0 || remaining < shortest {
+				shortest = remaining
 			}
 		}
 	}
-	return min(left, returnFromCold)
+	return min(shortest, maxColdRetryAfter)
 }
--- a/internal/core/placement/cold_test.go
+++ b/internal/core/placement/cold_test.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	coldBears = 14.0
-	coldMost  = 26 // in any second: coldBears x 1.5 + 5
-	coldFor   = 3 * time.Second
+	coldRate    = 14.0
+	maxColdRate = 26 // in any second: coldRate * 1.5 + 5
+	coldFor     = 3 * time.Second
 )
 
-// coldFleet are the boards of routers before the same targets.
+// coldFleet simulates routers that place requests at the same targets.
 type coldFleet struct {
-	boards []*placement.Balancer
-	list   []placement.Target
-	// arrived are the times at which targets got requests while they were cold.
-	arrived map[uint64][]time.Time
-	rnd     *rand.Rand
-	open    []openAt
-	lost    int // requests that found no target
+	balancers []*placement.Balancer
+	list      []placement.Target
+	// arrived are the times at which each target got requests.
+	arrived  map[uint64][]time.Time
+	rnd      *rand.Rand
+	open     []openRequest
+	unplaced int // number of requests that found no target
 }
 
-type openAt struct {
+type openRequest struct {
 	board *placement.Balancer
 	c     placement.Choice
 	ends  time.Time
@@ -54,31 +54,31 @@
 				others = append(others, fmt.Sprint("r", o))
 			}
 		}
-		b.SetLimits(map[string]placement.PoolLimits{pool: {ColdPerSecond: coldBears, ColdDuration: coldFor}})
+		b.SetLimits(map[string]placement.PoolLimits{pool: {ColdPerSecond: coldRate, ColdDuration: coldFor}})
 		b.SetTargets(start, map[string][]placement.Target{pool: f.list})
 		b.SetFleet(warmup.NewFleet(fmt.Sprint("r", i), others))
-		f.boards = append(f.boards, b)
+		f.balancers = append(f.balancers, b)
 	}
 	return f
 }
 
-// chill says at a time that some targets are cold, by their entries.
-func (f *coldFleet) chill(now time.Time, which func(i int) bool) {
+// makeCold marks some targets as cold through their entries in the target list.
+func (f *coldFleet) makeCold(now time.Time, isCold func(i int) bool) {
 	for i := range f.list {
-		if which(i) {
+		if isCold(i) {
 			f.list[i].RowVersion++
 			f.list[i].ColdRemaining = coldFor
 		}
 	}
-	for _, b := range f.boards {
+	for _, b := range f.balancers {
 		b.SetTargets(now, map[string][]placement.Target{pool: slices.Clone(f.list)})
 	}
 }
 
-// send plays a load from one time to another; chat names a request's chat.
+// send simulates a load from one time to another. chat returns the chat of each request.
 func (f *coldFleet) send(from, to time.Time, perSecond float64, chat func() uint64) {
 	for now := from; now.Before(to); now = now.Add(time.Duration(f.rnd.ExpFloat64() / perSecond * float64(time.Second))) {
-		f.open = slices.DeleteFunc(f.open, func(o openAt) bool {
+		f.open = slices.DeleteFunc(f.open, func(o openRequest) bool {
 			if o.ends.After(now) {
 				return false
 			}
@@ -86,22 +86,22 @@
 			o.board.FinishRequest(now, o.c.Target.UID, placement.Answered)
 			return true
 		})
-		b := f.boards[f.rnd.IntN(len(f.boards))]
+		b := f.balancers[f.rnd.IntN(len(f.balancers))]
 		c, ok := b.Place(now, placement.Request{Pool: pool, Chat: chat()})
 		switch {
 		case !ok:
-			f.lost++
+			f.unplaced++
 		case b.MaySend(now, c):
 			f.arrived[c.Target.UID] = append(f.arrived[c.Target.UID], now)
-			f.open = append(f.open, openAt{b, c, now.Add(100 * time.Millisecond)})
+			f.open = append(f.open, openRequest{b, c, now.Add(100 * time.Millisecond)})
 		default:
 			b.FinishRequest(now, c.Target.UID, placement.Neutral)
 		}
 	}
 }
 
-// most returns the most requests that a target got in one second of a span.
-func (f *coldFleet) most(uid uint64, from, to time.Time) int {
+// maxInOneSecond returns the most requests that a target got within one second of a period.
+func (f *coldFleet) maxInOneSecond(uid uint64, from, to time.Time) int {
 	most := 0
 	at := slices.DeleteFunc(slices.Clone(f.arrived[uid]), func(t time.Time) bool { return t.Before(from) || !t.Before(to) })
 	for i := range at {
@@ -117,74 +117,75 @@
 }
 
 var _ = Describe("cold targets", func() {
-	some := func(chats int, rnd *rand.Rand) func() uint64 {
+	randomChats := func(chats int, rnd *rand.Rand) func() uint64 {
 		return func() uint64 { return uint64(rnd.IntN(chats)) + 1 }
 	}
-	hot := func() uint64 { return 7 }
+	hotChat := func() uint64 { return 7 }
 
-	// Guards against a cold target that gets more than it bears: a hot chat whose home is cold, a third cold at once, all cold.
-	DescribeTable("get no more in a second than they bear", func(routers int, which func(i int) bool, perSecond float64, isHot bool) {
+	// Guards against a cold target that gets more requests than it can take: if the home of a hot
+	// chat is cold, if a third of the targets turns cold at once, and if all do.
+	DescribeTable("get at most their maximum rate in any second", func(routers int, isCold func(i int) bool, perSecond float64, isHot bool) {
 		f := newColdFleet(routers, 12, 3)
-		chat := some(300, f.rnd)
+		chat := randomChats(300, f.rnd)
 		if isHot {
-			chat = hot
+			chat = hotChat
 		}
 		f.send(start, start.Add(time.Second), perSecond, chat)
 		at := start.Add(time.Second)
-		f.chill(at, which)
+		f.makeCold(at, isCold)
 		f.send(at, at.Add(coldFor), perSecond, chat)
 		for i, t := range f.list {
-			if which(i) {
-				Expect(f.most(t.UID, at, at.Add(coldFor))).To(BeNumerically("<=", coldMost), t.ID)
+			if isCold(i) {
+				Expect(f.maxInOneSecond(t.UID, at, at.Add(coldFor))).To(BeNumerically("<=", maxColdRate), t.ID)
 			}
 		}
 	},
-		Entry("nine routers, a third", 9, func(i int) bool { return i%3 == 0 }, 400.0, false),
-		Entry("70, a third", 70, func(i int) bool { return i%3 == 0 }, 400.0, false),
-		Entry("70, all but one", 70, func(i int) bool { return i > 0 }, 400.0, false),
-		Entry("70, all", 70, func(int) bool { return true }, 1200.0, false),
-		Entry("70, all, a hot chat", 70, func(int) bool { return true }, 1200.0, true),
-		Entry("340, all, a hot chat", 340, func(int) bool { return true }, 1200.0, true),
+		Entry("9 routers, a third of the targets cold", 9, func(i int) bool { return i%3 == 0 }, 400.0, false),
+		Entry("70 routers, a third of the targets cold", 70, func(i int) bool { return i%3 == 0 }, 400.0, false),
+		Entry("70 routers, all targets but one cold", 70, func(i int) bool { return i > 0 }, 400.0, false),
+		Entry("70 routers, all targets cold", 70, func(int) bool { return true }, 1200.0, false),
+		Entry("70 routers, all targets cold, a hot chat", 70, func(int) bool { return true }, 1200.0, true),
+		Entry("340 routers, all targets cold, a hot chat", 340, func(int) bool { return true }, 1200.0, true),
 	)
 
-	// Guards against a pool that serves nobody because all of it is cold.
-	It("serve what they bear if no other is there, and callers are told when to come back", func() {
+	// Guards against a pool that serves no requests because all of its targets are cold.
+	It("serve up to their maximum rate if all targets are cold, and other callers get a time to retry after", func() {
 		f := newColdFleet(70, 12, 4)
-		f.chill(start, func(int) bool { return true })
-		f.send(start.Add(1200*time.Millisecond), start.Add(2500*time.Millisecond), 400, some(300, f.rnd))
+		f.makeCold(start, func(int) bool { return true })
+		f.send(start.Add(1200*time.Millisecond), start.Add(2500*time.Millisecond), 400, randomChats(300, f.rnd))
 		served := 0
 		for _, at := range f.arrived {
 			served += len(at)
 		}
 		Expect(served).To(BeNumerically(">", 100))
-		Expect(f.lost).To(BeNumerically(">", 0))
-		wait := f.boards[0].ColdRetryAfter(start.Add(2500*time.Millisecond), pool)
+		Expect(f.unplaced).To(BeNumerically(">", 0))
+		wait := f.balancers[0].ColdRetryAfter(start.Add(2500*time.Millisecond), pool)
 		Expect(wait).To(And(BeNumerically(">", 0), BeNumerically("<=", time.Second)))
 	})
 
-	// Guards against chats that are scattered over cold targets while others have room.
-	It("get nothing while others have places free", func() {
+	// Guards against chats that are scattered over cold targets while warm ones have room.
+	It("get no requests while other targets have free slots", func() {
 		f := newColdFleet(9, 12, 5)
-		f.chill(start, func(i int) bool { return i%3 == 0 })
-		f.send(start, start.Add(coldFor-time.Millisecond), 100, some(300, f.rnd))
+		f.makeCold(start, func(i int) bool { return i%3 == 0 })
+		f.send(start, start.Add(coldFor-time.Millisecond), 100, randomChats(300, f.rnd))
 		for i, t := range f.list {
 			if i%3 == 0 {
 				Expect(f.arrived[t.UID]).To(BeEmpty())
 			}
 		}
-		f.send(start.Add(coldFor), start.Add(coldFor+time.Second), 100, some(300, f.rnd))
-		Expect(f.arrived[f.list[0].UID]).NotTo(BeEmpty(), "warm again")
+		f.send(start.Add(coldFor), start.Add(coldFor+time.Second), 100, randomChats(300, f.rnd))
+		Expect(f.arrived[f.list[0].UID]).NotTo(BeEmpty(), "it is warm again")
 	})
 
-	// Guards against requests that were placed before the target was known to be cold, and are sent after it.
-	It("are asked again at the moment of sending", func() {
+	// Guards against sending all requests that were placed before the target was known to be cold.
+	It("are checked again when a placed request is sent", func() {
 		f := newColdFleet(1, 1, 6)
-		b := f.boards[0]
+		b := f.balancers[0]
 		var placed []placement.Choice
 		for range 5 {
 			placed = append(placed, place(b, start, 7))
 		}
-		f.chill(start, func(int) bool { return true })
+		f.makeCold(start, func(int) bool { return true })
 		now := start.Add(warmup.SendInterval)
 		sent := 0
 		for _, c := range placed {
@@ -195,10 +196,11 @@
 		Expect(sent).To(Equal(1))
 	})
 
-	// Guards against targets that come back cold from an evacuation before their entries say so.
-	It("are those of a data centre that comes back", func() {
+	// Guards against a full load on targets that are cold after an evacuation before their entries
+	// say so.
+	It("include the targets of a data centre after its evacuation", func() {
 		f := newColdFleet(3, 12, 7)
-		b := f.boards[0]
+		b := f.balancers[0]
 		b.SetEvacuated(start, []string{"b"})
 		Expect(b.CountCold(start)).To(BeZero())
 		b.SetEvacuated(start.Add(time.Second), nil)
@@ -206,15 +208,15 @@
 		Expect(b.CountCold(start.Add(time.Second + coldFor))).To(BeZero())
 	})
 
-	// Guards against an earlier word, or a shorter one, that makes a cold target warm.
-	It("stay cold by the word that lasts longest, in any order", func() {
+	// Guards against a cold target that is treated as warm because of an earlier or shorter report.
+	It("stay cold by the report that lasts longest, in any order of reports", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := newColdFleet(1, 1, 8)
-			b, uid := f.boards[0], f.list[0].UID
+			b, uid := f.balancers[0], f.list[0].UID
 			now, until := start, start
 			for range 10 {
-				now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "pause")) * time.Millisecond)
-				d := time.Duration(rapid.IntRange(0, 4000).Draw(t, "cold")) * time.Millisecond
+				now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "interval")) * time.Millisecond)
+				d := time.Duration(rapid.IntRange(0, 4000).Draw(t, "cold for")) * time.Millisecond
 				if rapid.Bool().Draw(t, "by its entry") {
 					f.list[0].RowVersion++
 					f.list[0].ColdRemaining = d
@@ -230,12 +232,13 @@
 		})
 	})
 
-	// Guards against a router that has just started, and takes itself for one of the few that may send.
-	It("get nothing from a router that knows nothing of the others", func() {
+	// Guards against a router that has just started and, without knowing the fleet, sends to cold
+	// targets as if it were one of the selected routers.
+	It("get no requests from a router that does not know the fleet", func() {
 		f := newColdFleet(1, 3, 9)
-		f.boards[0].SetFleet(nil)
-		f.chill(start, func(int) bool { return true })
-		_, ok := f.boards[0].Place(start.Add(2*time.Second), placement.Request{Pool: pool, Chat: 7})
+		f.balancers[0].SetFleet(nil)
+		f.makeCold(start, func(int) bool { return true })
+		_, ok := f.balancers[0].Place(start.Add(2*time.Second), placement.Request{Pool: pool, Chat: 7})
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/internal/core/placement/ended.go
+++ b/internal/core/placement/ended.go
@@ -6,57 +6,62 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// endedRest is for how long a target gets nothing whose process has ended. A lifetime does not come back, but a list that lags
-// may name it for long; the rest begins again while its port refuses. Where another process is the same lifetime by name, its
-// new entry ends the rest.
-const endedRest = 6 * time.Second
+// exitedSuspension is how long a target gets no requests after its process exited. A lifetime does
+// not come back, but an outdated target list may still contain it for a long time, so the
+// suspension is renewed while the target's port refuses connections. If another process runs under
+// the same UID, its new entry ends the suspension.
+const exitedSuspension = 6 * time.Second
 
-// askEndedAfter is how long into the rest its port is asked: early enough for the answer to come before the rest ends.
-const askEndedAfter = endedRest - time.Second
+// probeExitedAfter is how long after the start of the suspension the target's port is probed: early
+// enough for the result to arrive before the suspension ends.
+const probeExitedAfter = exitedSuspension - time.Second
 
-// ended takes in that the target's process has ended.
-func (h *health) ended(now time.Time) {
+// markExited suspends the target because its process has exited.
+func (h *health) markExited(now time.Time) {
 	h.unreachable = true
-	h.suspensions = max(h.suspensions, 1)
-	if until := now.Add(endedRest); until.After(h.until) {
+	h.consecutiveSuspensions = max(h.consecutiveSuspensions, 1)
+	if until := now.Add(exitedSuspension); until.After(h.until) {
 		h.until = until
 	}
 }
 
-// MarkExited takes in that a target's process has ended, as this router saw it or another one tells, and reports whether that is
-// news. Each router would learn it by a request of its own otherwise.
+// MarkExited records that a target's process has exited, as seen by this router or reported by
+// another one, and returns whether that is news. Without these reports, each router would lose a
+// request of its own to find out.
 func (b *Balancer) MarkExited(now time.Time, uid uint64) (news bool) {
 	t, ok := b.byUID[uid]
-	if !ok || ablate.Off(ablate.Suspension) || (!t.ended.IsZero() && now.Sub(t.ended) < endedRest) {
+	if !ok || ablate.Off(ablate.Suspension) || (!t.exitedAt.IsZero() && now.Sub(t.exitedAt) < exitedSuspension) {
 		return false
 	}
-	t.ended = now
-	t.health.ended(now)
+	t.exitedAt = now
+	t.health.markExited(now)
 	return true
 }
 
-// ExitedTargetsToProbe returns the listed targets that rest because their process has ended and whose port is to be asked now.
+// ExitedTargetsToProbe returns the listed targets that are suspended because their processes exited
+// and whose ports are due for a probe. It counts them as probed.
 func (b *Balancer) ExitedTargetsToProbe(now time.Time) []Target {
 	var out []Target
 	for _, t := range b.byUID {
-		if !t.ended.IsZero() && now.Sub(t.ended) >= askEndedAfter && now.Sub(t.askedEnded) >= askEndedAfter && !b.IsLeavingOrRemoved(t.UID) {
-			t.askedEnded = now
+		if !t.exitedAt.IsZero() && now.Sub(t.exitedAt) >= probeExitedAfter && now.Sub(t.probedAt) >= probeExitedAfter && !b.IsLeavingOrRemoved(t.UID) {
+			t.probedAt = now
 			out = append(out, t.Target)
 		}
 	}
 	return out
 }
 
-// RecordProbe takes in whether the port of a target that has ended, as far as was known, accepts connections. If it does not the rest
-// begins again; if it does nothing more is asked, and the rest ends as it would have.
+// RecordProbe records whether the port of a target that was marked as exited accepts connections.
+// If it refuses, the suspension starts again. If it accepts, probing stops and the suspension ends
+// at its time.
 func (b *Balancer) RecordProbe(now time.Time, uid uint64, accepts bool) {
 	t, ok := b.byUID[uid]
 	switch {
-	case !ok || t.ended.IsZero():
+	case !ok || t.exitedAt.IsZero():
 	case accepts:
-		t.ended = time.Time{}
+		t.exitedAt = time.Time{}
 	default:
-		t.ended = now
-		t.health.ended(now)
+		t.exitedAt = now
+		t.health.markExited(now)
 	}
 }
--- a/internal/core/placement/ended_test.go
+++ b/internal/core/placement/ended_test.go
@@ -9,10 +9,11 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/placement"
 )
 
-var _ = Describe("a target whose process was told to have ended", func() {
-	const asks = 5 * time.Second
-	// asked counts how often its port is asked in a span, and answers.
-	asked := func(b *placement.Balancer, from time.Time, span time.Duration, accepts bool) (n int) {
+var _ = Describe("a target that is marked as exited", func() {
+	const probeInterval = 5 * time.Second
+	// countProbes simulates a period in which every probe of the port has the same result. It
+	// returns the number of probes.
+	countProbes := func(b *placement.Balancer, from time.Time, span time.Duration, accepts bool) (n int) {
 		for now := from; now.Sub(from) < span; now = now.Add(100 * time.Millisecond) {
 			for _, t := range b.ExitedTargetsToProbe(now) {
 				b.RecordProbe(now, t.UID, accepts)
@@ -22,23 +23,24 @@
 		return n
 	}
 
-	// Guards against requests at a port that refuses, each time a rest ends.
-	It("rests for as long as its port refuses", func() {
-		b := board(targets(2)...)
-		gone := targets(2)[0]
-		b.MarkExited(start, gone.UID)
-		Expect(asked(b, start, 30*time.Second, false)).To(BeNumerically("~", 30*time.Second/asks, 1))
+	// Guards against requests to a port that refuses connections, each time the suspension would
+	// end.
+	It("stays suspended while its port refuses connections", func() {
+		b := newBalancer(targets(2)...)
+		exited := targets(2)[0]
+		b.MarkExited(start, exited.UID)
+		Expect(countProbes(b, start, 30*time.Second, false)).To(BeNumerically("~", 30*time.Second/probeInterval, 1))
 		for range 50 {
-			Expect(place(b, start.Add(30*time.Second), 0).Target.UID).NotTo(Equal(gone.UID))
+			Expect(place(b, start.Add(30*time.Second), 0).Target.UID).NotTo(Equal(exited.UID))
 		}
 	})
 
-	// Guards against connections to a target that runs, opened for ever to ask whether it does.
-	It("is asked once if its port accepts, and gets work again after the rest", func() {
-		b := board(targets(1)...)
+	// Guards against endless probes of a target that runs.
+	It("is probed once if its port accepts connections, and gets requests again after the suspension", func() {
+		b := newBalancer(targets(1)...)
 		one := targets(1)[0]
 		b.MarkExited(start, one.UID)
-		Expect(asked(b, start, time.Minute, true)).To(Equal(1))
+		Expect(countProbes(b, start, time.Minute, true)).To(Equal(1))
 		Expect(place(b, start.Add(7*time.Second), 0).Target.UID).To(Equal(one.UID))
 	})
 })
--- a/internal/core/placement/evacuate.go
+++ b/internal/core/placement/evacuate.go
@@ -6,7 +6,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/evacuation"
 )
 
-// SetEvacuated puts the operators' orders to evacuate data centres in force, in place of those before, and returns what has changed.
+// SetEvacuated replaces the applied evacuation orders by those for dataCentres and returns the
+// changes.
 func (b *Balancer) SetEvacuated(now time.Time, dataCentres []string) []evacuation.Change {
 	changes := b.orders.Update(dataCentres)
 	if len(changes) == 0 {
@@ -19,16 +20,19 @@
 	for _, t := range b.byUID {
 		t.evacuated = b.orders.IsEvacuated(t.DataCentre)
 		if returned[t.DataCentre] {
-			t.cold.learn(now, t.pool.limits.ColdDuration) // it may have been switched off meanwhile, and say so too late
+			// The target may have been switched off during the evacuation, and may report too late
+			// that it is cold.
+			t.cold.extend(now, t.pool.limits.ColdDuration)
 		}
 	}
 	for _, p := range b.pools {
-		p.centres = centres(p.targets)
+		p.dataCentres = groupByDataCentre(p.targets)
 	}
 	return changes
 }
 
-// IsEvacuated reports whether all targets of a pool that stay are in evacuated data centres.
+// IsEvacuated reports whether a pool has targets that are not leaving, and all of them are in
+// evacuated data centres.
 func (b *Balancer) IsEvacuated(pool string) bool {
 	p, ok := b.pools[pool]
 	if !ok {
@@ -36,7 +40,7 @@
 	}
 	evacuated := false
 	for _, t := range p.targets {
-		if t.stays() {
+		if t.isActive() {
 			return false
 		}
 		evacuated = evacuated || (t.evacuated && !t.Leaving)
@@ -44,5 +48,6 @@
 	return evacuated
 }
 
-// stays reports whether the target may get requests at all: it does not leave, and its data centre is not evacuated.
-func (t *target) stays() bool { return !t.Leaving && !t.evacuated }
+// isActive reports whether the target may get requests at all: it is not leaving and its data
+// centre is not evacuated.
+func (t *target) isActive() bool { return !t.Leaving && !t.evacuated }
--- a/internal/core/placement/health.go
+++ b/internal/core/placement/health.go
@@ -6,64 +6,63 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// Outcome is what an attempt says about its target.
+// Outcome is how an attempt ended, as far as its target is concerned.
 type Outcome int
 
-// The outcomes.
 const (
-	// Answered: the target answered, whatever the status.
+	// Answered: the target answered, with any status.
 	Answered Outcome = iota
 	// Unreachable: the target accepted no connection.
 	Unreachable
-	// Failed: the connection failed, or the answer was spoiled.
+	// Failed: the connection failed, or the response was corrupt or incomplete.
 	Failed
-	// Errored: the target answered with a failure of its own.
+	// Errored: the target reported a failure of its own.
 	Errored
-	// Refused: the target was full.
+	// Refused: the target refused the request because it was full.
 	Refused
-	// Neutral: the attempt ended for a reason that is not the target's.
+	// Neutral: the attempt ended for a reason that says nothing about the target.
 	Neutral
 )
 
-// suspendAfter failures in a row a target gets no new work for a while. One may
-// be a lost connection; a crashed target fails every request. One that accepts no
-// connection is suspended at once.
-const suspendAfter = 2
+// suspendAfterFailures is the number of consecutive failures after which a target is suspended. A
+// single failure may be a lost connection; a crashed target fails every request. A target that
+// accepts no connection is suspended at once.
+const suspendAfterFailures = 2
 
-// A suspension grows with each one that follows without an answer in between: a
-// crashed target is back after seconds, a lost one never. After it one request is
-// sent, and no other before that one has ended.
+// minSuspension and maxSuspension bound how long a suspension lasts. Each one that follows without
+// an answer in between is twice as long: a crashed target is back after seconds, a lost one never.
+// After a suspension one trial request is sent, and no other before that one has ended.
 const (
-	suspendBase = 500 * time.Millisecond
-	suspendMax  = 4 * time.Second
+	minSuspension = 500 * time.Millisecond
+	maxSuspension = 4 * time.Second
 )
 
-// health is what the last answers of a target to this router say about it. Liveness checks
-// don't enter: a target may pass them and fail part of its requests.
+// health is what a target's recent answers to this router say about it. Liveness checks are not
+// considered: a target may pass them and fail part of its requests.
 type health struct {
-	failures    int // in a row
-	suspensions int // since the last answer
-	until       time.Time
-	trial       bool // the one request after a suspension is under way
-	unreachable bool // since the last answer
+	consecutiveFailures    int
+	consecutiveSuspensions int // since the last answer
+	until                  time.Time
+	trialPending           bool // the trial request after a suspension is in flight
+	unreachable            bool // since the last answer
 }
 
-func (h *health) suspended(now time.Time) bool {
-	return h.until.After(now) || (h.suspensions > 0 && h.trial)
+func (h *health) isSuspended(now time.Time) bool {
+	return h.until.After(now) || (h.consecutiveSuspensions > 0 && h.trialPending)
 }
 
-// placed notes that a request is sent.
-func (h *health) placed() { h.trial = h.suspensions > 0 }
+// recordPlacement records that a request is sent.
+func (h *health) recordPlacement() { h.trialPending = h.consecutiveSuspensions > 0 }
 
-// observe learns from an outcome and reports whether a suspension begins with it.
-func (h *health) observe(now time.Time, o Outcome) bool {
-	before := h.until
+// recordOutcome updates the health by an outcome and reports whether a suspension begins with it.
+func (h *health) recordOutcome(now time.Time, o Outcome) bool {
+	previousUntil := h.until
 	switch o {
 	case Answered, Errored:
-		h.failures, h.suspensions = 0, 0
+		h.consecutiveFailures, h.consecutiveSuspensions = 0, 0
 		h.unreachable = false
 	case Failed:
-		if h.failures++; h.failures >= suspendAfter {
+		if h.consecutiveFailures++; h.consecutiveFailures >= suspendAfterFailures {
 			h.suspend(now)
 		}
 	case Unreachable:
@@ -71,16 +70,16 @@
 		h.suspend(now)
 	case Refused, Neutral:
 	}
-	h.trial = false
-	return h.until.After(before)
+	h.trialPending = false
+	return h.until.After(previousUntil)
 }
 
-// suspend takes the target out for a while. Requests that were sent before it began
-// and fail in it say nothing new.
+// suspend suspends the target unless it is suspended already: failures of requests sent before a
+// suspension do not prolong it.
 func (h *health) suspend(now time.Time) {
 	if h.until.After(now) || ablate.Off(ablate.Suspension) {
 		return
 	}
-	h.until = now.Add(min(suspendBase<<min(h.suspensions, 8), suspendMax))
-	h.suspensions++
+	h.until = now.Add(min(minSuspension<<min(h.consecutiveSuspensions, 8), maxSuspension))
+	h.consecutiveSuspensions++
 }
--- a/internal/core/placement/inventory.go
+++ b/internal/core/placement/inventory.go
@@ -8,146 +8,149 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// Prefix is the beginning of a prompt up to the end of one of its parts.
+// Prefix is the beginning of a prompt, up to the end of one of its parts.
 type Prefix struct {
-	// Hash names the part together with the model and all parts before it: a target that has
-	// cached it has cached the whole beginning.
+	// Hash identifies the whole prefix, together with the model. A target that has cached a part
+	// under this hash has cached all parts before it.
 	Hash uint64
-	// Tokens are those of the whole beginning.
+	// Tokens is the number of tokens in the whole prefix.
 	Tokens int
 }
 
-// PrefixRead says that a target has read a beginning of a prompt that it had not read before.
+// PrefixRead reports that a target has read a prompt prefix that it did not hold before.
 type PrefixRead struct {
-	Prefix uint64 // hash of the beginning
+	Prefix uint64 // hash of the prefix
 	Target uint64
 }
 
 const (
-	// maxParts is how many beginnings an inventory remembers, about 150 bytes each. The fleets of today
-	// have some hundred in use; of more, those last used stay.
-	maxParts = 8192
-	// maxHolders is how many targets are remembered for each: the chat's home, those that it spills to,
-	// and for a beginning that many chats share, some in each data centre.
+	// maxPrefixes is how many prefixes an inventory remembers, at about 150 bytes each. Fleets use
+	// some hundred prefixes. The least recently used ones are dropped.
+	maxPrefixes = 8192
+	// maxHolders is how many holders are remembered for a prefix: the chat's home, the targets that
+	// it spills to, and, for a prefix that many chats share, some targets in each data centre.
 	maxHolders = 8
-	// heldFor is how long a target is taken to keep what nobody asked it for. Targets cache until their memory is
-	// full. Asking one that has dropped a part costs its request a round trip.
-	heldFor = time.Minute
-	// tellTokens is the shortest beginning that others are told of: reading it takes about a step of a batch.
-	tellTokens = 256
-	// maxUntold bounds what waits to be told; the oldest is left out.
-	maxUntold = 512
+	// holderTTL is how long after its last use a target is assumed to hold a prefix. Targets cache
+	// until their memory is full. Fetching from a target that has dropped the prefix costs the
+	// request a round trip.
+	holderTTL = time.Minute
+	// minReportedTokens is the length of the shortest prefix that is reported to other routers.
+	// Reading that many tokens takes about one step of a batch.
+	minReportedTokens = 256
+	// maxUnreported limits the queue of unreported reads; the oldest are dropped.
+	maxUnreported = 512
 )
 
-// inventory remembers which targets have read which beginnings of prompts: those that answered this
-// router's requests, and those that the others told of. A target that is still reading has
-// nothing to give. It is a router's belief; a target may have dropped a part since.
+// inventory remembers which targets hold which prompt prefixes. It learns that from the answers to
+// this router's requests and from the reports of other routers. A target that is still reading a
+// prompt has nothing to share yet. An entry may be wrong: a target may have dropped a prefix since.
 type inventory struct {
-	byHash map[uint64]*list.Element // of *holding
-	recent *list.List               // last used first
-	untold []PrefixRead
+	byHash     map[uint64]*list.Element // of *prefixHolders
+	recent     *list.List               // most recently used first
+	unreported []PrefixRead
 }
 
-type holding struct {
+type prefixHolders struct {
 	hash    uint64
-	holders []holder // the one that read it last first
+	holders []holder // most recent reader first
 }
 
 type holder struct {
-	target uint64
-	last   time.Time // when it was asked for it last
+	target     uint64
+	lastUsedAt time.Time // when the target was last asked for the prefix
 }
 
 func newInventory() *inventory {
 	return &inventory{byHash: make(map[uint64]*list.Element), recent: list.New()}
 }
 
-// read notes that a target has read a prompt of this router.
-func (v *inventory) read(now time.Time, prompt []Prefix, target uint64) {
+// recordRead records that a target has read the prompt of a request of this router.
+func (v *inventory) recordRead(now time.Time, prefixes []Prefix, target uint64) {
 	if ablate.Off(ablate.Inventory) {
 		return
 	}
-	for _, p := range prompt {
-		if v.note(now, p.Hash, target) && p.Tokens >= tellTokens {
-			v.untold = append(v.untold, PrefixRead{Prefix: p.Hash, Target: target})
+	for _, p := range prefixes {
+		if v.addHolder(now, p.Hash, target) && p.Tokens >= minReportedTokens {
+			v.unreported = append(v.unreported, PrefixRead{Prefix: p.Hash, Target: target})
 		}
 	}
-	if over := len(v.untold) - maxUntold; over > 0 {
-		v.untold = append(v.untold[:0], v.untold[over:]...)
+	if excess := len(v.unreported) - maxUnreported; excess > 0 {
+		v.unreported = append(v.unreported[:0], v.unreported[excess:]...)
 	}
 }
 
-// note reports whether the target is not known to hold the beginning yet.
-func (v *inventory) note(now time.Time, part, target uint64) bool {
-	e, ok := v.byHash[part]
+// addHolder records that a target holds a prefix, and reports whether that is news.
+func (v *inventory) addHolder(now time.Time, hash, target uint64) bool {
+	e, ok := v.byHash[hash]
 	if !ok {
-		e = v.recent.PushFront(&holding{hash: part})
-		v.byHash[part] = e
-		if v.recent.Len() > maxParts {
-			delete(v.byHash, v.recent.Remove(v.recent.Back()).(*holding).hash)
+		e = v.recent.PushFront(&prefixHolders{hash: hash})
+		v.byHash[hash] = e
+		if v.recent.Len() > maxPrefixes {
+			delete(v.byHash, v.recent.Remove(v.recent.Back()).(*prefixHolders).hash)
 		}
 	}
 	v.recent.MoveToFront(e)
-	return e.Value.(*holding).note(now, target)
+	return e.Value.(*prefixHolders).addHolder(now, target)
 }
 
-func (h *holding) note(now time.Time, target uint64) (news bool) {
-	at := slices.IndexFunc(h.holders, func(o holder) bool { return o.target == target })
-	if at < 0 || !h.holders[at].kept(now) {
+func (h *prefixHolders) addHolder(now time.Time, target uint64) (news bool) {
+	i := slices.IndexFunc(h.holders, func(o holder) bool { return o.target == target })
+	if i < 0 || !h.holders[i].isFresh(now) {
 		news = true
 	}
-	if at < 0 {
+	if i < 0 {
 		if len(h.holders) < maxHolders {
 			h.holders = append(h.holders, holder{})
 		}
-		at = len(h.holders) - 1
+		i = len(h.holders) - 1
 	}
-	h.holders[at] = holder{target: target, last: now}
-	for ; at > 0; at-- {
-		h.holders[at], h.holders[at-1] = h.holders[at-1], h.holders[at]
+	h.holders[i] = holder{target: target, lastUsedAt: now}
+	for ; i > 0; i-- {
+		h.holders[i], h.holders[i-1] = h.holders[i-1], h.holders[i]
 	}
 	return news
 }
 
-// take returns up to a number of what has not been told yet, and takes it for told.
-func (v *inventory) take(most int) []PrefixRead {
-	n := min(most, len(v.untold))
-	out := slices.Clone(v.untold[:n])
-	v.untold = append(v.untold[:0], v.untold[n:]...)
+// takeUnreported removes up to most reads from the queue of unreported ones and returns them.
+func (v *inventory) takeUnreported(most int) []PrefixRead {
+	n := min(most, len(v.unreported))
+	out := slices.Clone(v.unreported[:n])
+	v.unreported = append(v.unreported[:0], v.unreported[n:]...)
 	return out
 }
 
-// holders returns the targets that hold a beginning, the one that read it last first.
-func (v *inventory) holders(part uint64) []holder {
-	if e, ok := v.byHash[part]; ok {
-		return e.Value.(*holding).holders
+// holders returns the recorded holders of a prefix, the most recent reader first.
+func (v *inventory) holders(hash uint64) []holder {
+	if e, ok := v.byHash[hash]; ok {
+		return e.Value.(*prefixHolders).holders
 	}
 	return nil
 }
 
-// keeps reports whether a target holds a beginning.
-func (v *inventory) keeps(now time.Time, part, target uint64) bool {
-	return slices.ContainsFunc(v.holders(part), func(h holder) bool { return h.target == target && h.kept(now) })
+// isHeldBy reports whether a target is assumed to hold a prefix.
+func (v *inventory) isHeldBy(now time.Time, hash, target uint64) bool {
+	return slices.ContainsFunc(v.holders(hash), func(h holder) bool { return h.target == target && h.isFresh(now) })
 }
 
-// at returns the longest beginning that a target holds, empty if none is known.
-func (v *inventory) at(now time.Time, prompt []Prefix, target uint64) Prefix {
-	for i := len(prompt) - 1; i >= 0; i-- {
-		if v.keeps(now, prompt[i].Hash, target) {
-			return prompt[i]
+// longestHeldBy returns the longest prefix that a target holds, the zero Prefix if none is known.
+func (v *inventory) longestHeldBy(now time.Time, prefixes []Prefix, target uint64) Prefix {
+	for i := len(prefixes) - 1; i >= 0; i-- {
+		if v.isHeldBy(now, prefixes[i].Hash, target) {
+			return prefixes[i]
 		}
 	}
 	return Prefix{}
 }
 
-// deepest returns the longest beginning that another target than t holds, and that target: one in the
-// data centre of t if there is one, since a move between data centres takes twice as long. The
-// Part is empty if there is none. usable says whether a target may be asked.
-func (v *inventory) deepest(now time.Time, prompt []Prefix, t *target, usable func(target uint64) (*target, bool)) (Prefix, *target) {
-	for i := len(prompt) - 1; i >= 0; i-- {
+// longestHeldElsewhere returns the longest prefix that another target than t holds, and that
+// target. It prefers a target in the data centre of t, since a transfer between data centres takes
+// twice as long. The Prefix is zero if there is none. usable returns the target of a UID and
+// whether it may be fetched from.
+func (v *inventory) longestHeldElsewhere(now time.Time, prefixes []Prefix, t *target, usable func(target uint64) (*target, bool)) (Prefix, *target) {
+	for i := len(prefixes) - 1; i >= 0; i-- {
 		var best *target
-		for _, h := range v.holders(prompt[i].Hash) {
-			if h.target == t.UID || !h.kept(now) {
+		for _, h := range v.holders(prefixes[i].Hash) {
+			if h.target == t.UID || !h.isFresh(now) {
 				continue
 			}
 			o, ok := usable(h.target)
@@ -156,24 +159,25 @@
 			}
 		}
 		if best != nil {
-			return prompt[i], best
+			return prefixes[i], best
 		}
 	}
 	return Prefix{}, nil
 }
 
-// kept reports whether the target has probably not dropped the beginning.
-func (h *holder) kept(now time.Time) bool { return now.Sub(h.last) < heldFor }
+// isFresh reports whether the target has probably not dropped the prefix.
+func (h *holder) isFresh(now time.Time) bool { return now.Sub(h.lastUsedAt) < holderTTL }
 
-// TakePrefixReads returns up to a number of what the others have not been told of yet.
-func (b *Balancer) TakePrefixReads(most int) []PrefixRead { return b.held.take(most) }
+// TakePrefixReads removes up to most reads from the queue of those not reported to other routers
+// yet, and returns them.
+func (b *Balancer) TakePrefixReads(most int) []PrefixRead { return b.inventory.takeUnreported(most) }
 
-// ReceivePrefixReads takes in what another router saw read.
-func (b *Balancer) ReceivePrefixReads(now time.Time, read []PrefixRead) {
+// ReceivePrefixReads records the prefix reads that another router reported.
+func (b *Balancer) ReceivePrefixReads(now time.Time, reads []PrefixRead) {
 	if ablate.Off(ablate.Told) {
 		return
 	}
-	for _, r := range read {
-		b.held.note(now, r.Prefix, r.Target)
+	for _, r := range reads {
+		b.inventory.addHolder(now, r.Prefix, r.Target)
 	}
 }
--- a/internal/core/placement/model.go
+++ b/internal/core/placement/model.go
@@ -7,57 +7,61 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// A pool's model says how long a target takes to the first event of a request: a part that every request
-// has and a part for each prompt token that it has to read. Both are learned from the answers
-// of all its targets by least squares over decayed sums. What one target takes beyond that is
-// its pace.
+// The latency model of a pool predicts the time to the first event of a request: a base time for
+// each request plus a time for each prompt token that the target has to read. Both are fitted to
+// the answers of all targets of the pool, by least squares over decaying sums. A target's slowdown
+// is the ratio of its actual times to those of the model.
 
 const (
-	// modelHalfLife is how long the model remembers, and with the outcomes the paces. Targets turn slow for
-	// some seconds; a pace has to follow within two or three answers, and to be forgotten as soon.
+	// modelHalfLife is the half-life of the answers in the model and in the slowdowns. Targets
+	// become slow for some seconds; a slowdown must show within two or three answers, and be
+	// forgotten as fast.
 	modelHalfLife = outcomeHalfLife
-	// paceDoubt is how many answers of an average target a pace begins with: one late answer alone
-	// shows nothing.
-	paceDoubt = 2.0
-	// waitedMost is how many times its expected time a request that waits counts at most: its answer
-	// may be lost, and one lost answer of a target that is well is no reason to move its chats.
-	waitedMost = 8
-	// modelLeast is how many answers the model needs before it says anything.
-	modelLeast = 8
+	// priorAnswers is how many answers at average speed a target's slowdown starts with, since a
+	// single late answer is not significant.
+	priorAnswers = 2.0
+	// maxWaitFactor limits the waiting time of a pending request, as a multiple of its expected
+	// time. Its answer may be lost, and one lost answer from a healthy target is no reason to move
+	// its chats.
+	maxWaitFactor = 8
+	// minModelAnswers is how many answers, as a decayed count, the model needs before it predicts
+	// anything.
+	minModelAnswers = 8
 )
 
-// model is the pool's: t = base + perToken x tokens, times in seconds.
-type model struct {
-	at                  time.Time
-	n, x, xx, y, xy     float64
-	base, perToken      float64
-	answersSinceRefresh int
+// latencyModel is a pool's model: seconds = base + perToken * tokens. n, x, xx, y and xy are the
+// decaying sums of the weights and of the products of tokens (x) and seconds (y).
+type latencyModel struct {
+	decayedAt       time.Time
+	n, x, xx, y, xy float64
+	base, perToken  float64
+	answersSinceFit int
 }
 
-// refreshEvery is how many answers are learned between two fits.
-const refreshEvery = 4
+// answersPerFit is how many answers are added between two fits.
+const answersPerFit = 4
 
-func (m *model) learn(now time.Time, tokens, took, weight float64) {
-	if since := now.Sub(m.at); since > 0 {
-		left := halved(since, modelHalfLife)
-		m.n, m.x, m.xx, m.y, m.xy = m.n*left, m.x*left, m.xx*left, m.y*left, m.xy*left
-		m.at = now
+func (m *latencyModel) addAnswer(now time.Time, tokens, took, weight float64) {
+	if elapsed := now.Sub(m.decayedAt); elapsed > 0 {
+		decay := halfLifeDecay(elapsed, modelHalfLife)
+		m.n, m.x, m.xx, m.y, m.xy = m.n*decay, m.x*decay, m.xx*decay, m.y*decay, m.xy*decay
+		m.decayedAt = now
 	}
 	m.n += weight
 	m.x += weight * tokens
 	m.xx += weight * tokens * tokens
 	m.y += weight * took
 	m.xy += weight * tokens * took
-	if m.answersSinceRefresh++; m.answersSinceRefresh >= refreshEvery {
-		m.answersSinceRefresh = 0
+	if m.answersSinceFit++; m.answersSinceFit >= answersPerFit {
+		m.answersSinceFit = 0
 		m.fit()
 	}
 }
 
-// fit solves the least squares. Neither part can be negative, and a base of nothing would make any
-// answer infinitely slow.
-func (m *model) fit() {
-	if m.n < modelLeast {
+// fit solves the least squares problem. Neither coefficient can be negative, and base must not be
+// zero: with an expected time of zero, any answer would count as infinitely slow.
+func (m *latencyModel) fit() {
+	if m.n < minModelAnswers {
 		return
 	}
 	mean := m.y / m.n
@@ -65,108 +69,108 @@
 	if spread := m.xx - m.x*m.x/m.n; spread > 1 {
 		m.perToken = max((m.xy-m.x*m.y/m.n)/spread, 0)
 	}
-	m.base = max(mean-m.perToken*m.x/m.n, leastBaseShare*mean)
+	m.base = max(mean-m.perToken*m.x/m.n, minBaseShare*mean)
 }
 
-// leastBaseShare is the least part of the mean time that every request is taken to need.
-const leastBaseShare = 0.1
+// minBaseShare is the least share of the mean time that base may be.
+const minBaseShare = 0.1
 
-func (m *model) known() bool { return m.base > 0 }
+func (m *latencyModel) isFitted() bool { return m.base > 0 }
 
-// expect returns the seconds to the first event at an average target.
-func (m *model) expect(tokens float64) float64 { return m.base + m.perToken*tokens }
+// firstEventSeconds returns the expected time to the first event at an average target, in seconds.
+func (m *latencyModel) firstEventSeconds(tokens float64) float64 { return m.base + m.perToken*tokens }
 
-// halved returns what is left of a decaying sum after a time.
-func halved(since, halfLife time.Duration) float64 {
-	return math.Exp2(-since.Seconds() / halfLife.Seconds())
+// halfLifeDecay returns the factor by which a decaying sum shrinks in a time.
+func halfLifeDecay(elapsed, halfLife time.Duration) float64 {
+	return math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 }
 
-// waiting are the requests at a target without their first event, the oldest first.
-type waiting []pending
+// pendingRequests are the requests at a target that have no first event yet, oldest first.
+type pendingRequests []pendingRequest
 
-type pending struct {
-	sequence uint64
-	since    time.Time
-	prompt   []Prefix
-	unread   float64 // tokens
+type pendingRequest struct {
+	sequence     uint64
+	placedAt     time.Time
+	prefixes     []Prefix
+	unreadTokens float64
 }
 
-// pace returns by how much a target is slower than the model, by what the whole fleet saw; 1 is average.
-// A request that waits for longer than it should counts with the time that it has waited: the
-// answers of a target that has just turned slow come late.
-func (b *Balancer) pace(now time.Time, t *target) float64 {
+// slowdown returns how many times as long as the model predicts a target takes, by the answers that
+// the whole fleet saw; 1 is average. A request that has waited longer than expected counts with its
+// waiting time, because the answers of a target that has just become slow come late.
+func (b *Balancer) slowdown(now time.Time, t *target) float64 {
 	m := t.pool.model
-	if !m.known() || ablate.Off(ablate.Pace) {
+	if !m.isFitted() || ablate.Off(ablate.Pace) {
 		return 1
 	}
-	seen := b.outcomesAt(now, t)
-	doubt := paceDoubt * m.base
-	took, expected := seen.took+doubt, seen.expected+doubt
-	for _, w := range t.waiting {
-		should := m.expect(w.unread)
-		if waited := min(now.Sub(w.since).Seconds(), waitedMost*should); waited > should {
+	seen := b.fleetCounts(now, t)
+	prior := priorAnswers * m.base
+	took, expected := seen.took+prior, seen.expected+prior
+	for _, w := range t.pending {
+		predicted := m.firstEventSeconds(w.unreadTokens)
+		if waited := min(now.Sub(w.placedAt).Seconds(), maxWaitFactor*predicted); waited > predicted {
 			took += waited
-			expected += should
+			expected += predicted
 		}
 	}
 	return took / expected
 }
 
-// seemsSlow reports whether a target is slow by the answers that this router got.
-func (b *Balancer) seemsSlow(t *target) bool {
-	doubt := paceDoubt * t.pool.model.base
-	return t.counts.took+doubt >= slowFactor*(t.counts.expected+doubt) && t.counts.took > 0
+// isSlowLocally reports whether a target is slow by the answers that this router got.
+func (b *Balancer) isSlowLocally(t *target) bool {
+	prior := priorAnswers * t.pool.model.base
+	return t.counts.took+prior >= slowFactor*(t.counts.expected+prior) && t.counts.took > 0
 }
 
-// end takes a request off and returns it; false if it is not there.
-func (q *waiting) end(sequence uint64) (pending, bool) {
+// remove removes a request and returns it; false if it is not there.
+func (q *pendingRequests) remove(sequence uint64) (pendingRequest, bool) {
 	for i, w := range *q {
 		if w.sequence == sequence {
 			*q = append((*q)[:i], (*q)[i+1:]...)
 			return w, true
 		}
 	}
-	return pending{}, false
+	return pendingRequest{}, false
 }
 
-// RecordFirstEvent takes note that a placed request has its first event, or, if it was not answered, that it
-// will have none.
+// RecordFirstEvent records that a placed request has got its first event, or, if answered is false,
+// that it will get none.
 func (b *Balancer) RecordFirstEvent(now time.Time, c Choice, answered bool) {
 	t, ok := b.byUID[c.Target.UID]
 	if !ok {
 		return
 	}
-	t.pause.answered(now, answered)
-	w, ok := t.waiting.end(c.sequence)
+	t.pause.recordFirstEvent(now, answered)
+	w, ok := t.pending.remove(c.sequence)
 	if !ok || !answered {
 		return
 	}
-	b.held.read(now, w.prompt, t.UID)
-	took := now.Sub(w.since).Seconds()
+	b.inventory.recordRead(now, w.prefixes, t.UID)
+	took := now.Sub(w.placedAt).Seconds()
 	m := t.pool.model
-	// What slow targets do says little of the others.
-	m.learn(now, w.unread, took, 1/max(b.pace(now, t), 1))
-	if m.known() {
+	// Answers of slow targets get a low weight: they say little about the others.
+	m.addAnswer(now, w.unreadTokens, took, 1/max(b.slowdown(now, t), 1))
+	if m.isFitted() {
 		t.counts.decay(now)
 		t.counts.took += took
-		t.counts.expected += m.expect(w.unread)
+		t.counts.expected += m.firstEventSeconds(w.unreadTokens)
 	}
 }
 
-// unread returns how many tokens of a prompt a target has to read itself. What it fetches takes a part of
-// the time of reading it.
-func (b *Balancer) unread(now time.Time, a Request, t *target) float64 {
-	held := b.held.at(now, a.PromptPrefixes, t.UID)
-	elsewhere, _ := b.deepest(now, a, t)
+// unreadTokens returns how many tokens of a prompt a target has to read itself. Fetched tokens
+// count with fetchCostFactor.
+func (b *Balancer) unreadTokens(now time.Time, r Request, t *target) float64 {
+	held := b.inventory.longestHeldBy(now, r.PromptPrefixes, t.UID)
+	elsewhere, _ := b.longestHeldElsewhere(now, r, t)
 	fetched := max(elsewhere.Tokens-held.Tokens, 0)
-	return float64(max(a.PromptTokens-held.Tokens-fetched, 0)) + fetchShare*float64(fetched)
+	return float64(max(r.PromptTokens-held.Tokens-fetched, 0)) + fetchCostFactor*float64(fetched)
 }
 
-// fetchShare is the part of the time of reading tokens that fetching them takes.
-const fetchShare = 0.2
+// fetchCostFactor is the time to fetch a cached token, relative to the time to read it.
+const fetchCostFactor = 0.2
 
-// expected returns the time to the first event of a request at a target.
-func (b *Balancer) expected(now time.Time, a Request, t *target) time.Duration {
+// expectedFirstEvent returns the expected time to the first event of a request at a target.
+func (b *Balancer) expectedFirstEvent(now time.Time, r Request, t *target) time.Duration {
 	m := t.pool.model
-	return time.Duration(m.expect(b.unread(now, a, t)) * b.pace(now, t) * float64(time.Second))
+	return time.Duration(m.firstEventSeconds(b.unreadTokens(now, r, t)) * b.slowdown(now, t) * float64(time.Second))
 }
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -7,40 +7,42 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/rendezvous"
 )
 
-// centre is a data centre with targets of a pool.
-type centre struct {
-	name    string
-	seed    uint64
-	weight  float64
-	staying float64 // targets that don't leave
+// dataCentre is a data centre with targets of a pool.
+type dataCentre struct {
+	name   string
+	seed   uint64
+	weight float64
+	active float64 // number of active targets
 }
 
-// maxCentres is how many data centres of a pool are told apart; the targets of any others rank
+// maxDataCentres is how many data centres of a pool are ranked; the targets in any others rank
 // last.
-const maxCentres = 32
+const maxDataCentres = 32
 
-// centres returns the data centres of a pool's targets, and notes at each target which is its own.
+// groupByDataCentre returns the data centres of a pool's targets, and sets the index of each
+// target's data centre.
 //
-// A data centre's weight is the number of its staying targets against the mean of all, rounded
-// to a power of two. A weight that followed each target that comes or goes would move chats
-// between data centres, where a move takes twice as long and is paid for twice; rounded, a
-// target's share differs from the mean by at most the square root of two before spills even it out. A data centre of which none
-// stays counts for nothing: the others' weights are the same with it and without.
-func centres(targets []*target) []centre {
-	var out []centre
+// The weight of a data centre is the number of its active targets relative to the mean of all data
+// centres, rounded to a power of two. A weight that followed every target that joins or leaves
+// would move chats between data centres, where a move takes twice as long and is paid for twice.
+// Rounding changes a target's share by at most a factor of the square root of two; spilling evens
+// out the rest. A data centre without active targets has the weight zero and does not change the
+// weights of the others.
+func groupByDataCentre(targets []*target) []dataCentre {
+	var out []dataCentre
 	index := make(map[string]int)
-	staying := 0
+	active := 0
 	for _, t := range targets {
 		i, ok := index[t.DataCentre]
 		if !ok {
 			i = len(out)
 			index[t.DataCentre] = i
-			out = append(out, centre{name: t.DataCentre, seed: rendezvous.Hash(t.DataCentre)})
+			out = append(out, dataCentre{name: t.DataCentre, seed: rendezvous.Hash(t.DataCentre)})
 		}
-		t.centre = i
-		if t.stays() {
+		t.dataCentreIndex = i
+		if t.isActive() {
 			out[i].weight++
-			staying++
+			active++
 		}
 	}
 	used := 0
@@ -49,9 +51,9 @@
 			used++
 		}
 	}
-	mean := float64(staying) / float64(max(used, 1))
+	mean := float64(active) / float64(max(used, 1))
 	for i := range out {
-		out[i].staying = out[i].weight
+		out[i].active = out[i].weight
 		if out[i].weight > 0 {
 			out[i].weight = math.Exp2(math.Round(math.Log2(out[i].weight / mean)))
 		}
@@ -59,42 +61,46 @@
 	return out
 }
 
-// left returns the data centre's weight without some of its staying targets, in steps of two as well.
-func (c *centre) left(without float64) float64 {
+// weightWithout returns the data centre's weight if some of its active targets are skipped, also
+// rounded to a power of two.
+func (c *dataCentre) weightWithout(skipped float64) float64 {
 	switch {
-	case without == 0:
+	case skipped == 0:
 		return c.weight
-	case without >= c.staying:
+	case skipped >= c.active:
 		return 0
 	}
-	return c.weight * math.Exp2(math.Round(math.Log2(1-without/c.staying)))
+	return c.weight * math.Exp2(math.Round(math.Log2(1-skipped/c.active)))
 }
 
-// order is a chat's order of the targets of a pool: by data centre, and in each by target. Every
-// router computes the same. What spills or moves stays in its data centre while that has room.
-type order struct {
+// chatOrder is a chat's order of the targets of a pool: by data centre first, then by target. All
+// routers compute the same order. Chats that spill or move stay in their data centre while it has
+// room.
+type chatOrder struct {
 	chat uint64
-	rank [maxCentres]uint8 // 0 is the last
+	rank [maxDataCentres]uint8 // a higher rank comes earlier; 0 is the last
 }
 
-// order returns a chat's order. A data centre of which more than three in ten targets are passed over for now
-// has a lower weight: the few left would get all of its chats, up to the bound.
-func (p *pool) order(chat uint64, skip func(*target) bool) order {
-	o := order{chat: chat}
-	var passedOver [maxCentres]float64
+// chatOrder returns the order of a chat. A data centre of which about three in ten targets or more
+// are skipped for now has a lower weight: its few remaining targets would otherwise get all of its
+// chats, up to the load bound.
+func (p *pool) chatOrder(chat uint64, skip func(*target) bool) chatOrder {
+	o := chatOrder{chat: chat}
+	var skipped [maxDataCentres]float64
 	for _, t := range p.targets {
-		if t.centre < maxCentres && t.stays() && skip(t) {
-			passedOver[t.centre]++
+		if t.dataCentreIndex < maxDataCentres && t.isActive() && skip(t) {
+			skipped[t.dataCentreIndex]++
 		}
 	}
 	if ablate.Off(ablate.Centres) {
 		return o
 	}
-	var score [maxCentres]float64
-	n := min(len(p.centres), maxCentres)
-	for i, c := range p.centres[:n] {
+	var score [maxDataCentres]float64
+	n := min(len(p.dataCentres), maxDataCentres)
+	for i, c := range p.dataCentres[:n] {
 		u := (float64(rendezvous.Mix(chat, c.seed)>>11) + 0.5) / (1 << 53)
-		score[i] = -c.left(passedOver[i]) / math.Log(u) // weighted rendezvous: the share is as the weight
+		// Weighted rendezvous hashing: the share of chats is proportional to the weight.
+		score[i] = -c.weightWithout(skipped[i]) / math.Log(u)
 	}
 	for i := range n {
 		for j := range n {
@@ -106,14 +112,14 @@
 	return o
 }
 
-// rankBits is how much of a target's weight its data centre takes.
+// rankBits is how many bits of a target's weight hold the rank of its data centre.
 const rankBits = 8
 
-// weight returns a target's place in the order; the highest is the first.
-func (o *order) weight(t *target) uint64 {
+// weight returns the position of a target in the order; the highest weight is the first.
+func (o *chatOrder) weight(t *target) uint64 {
 	rank := uint8(0)
-	if t.centre < maxCentres {
-		rank = o.rank[t.centre]
+	if t.dataCentreIndex < maxDataCentres {
+		rank = o.rank[t.dataCentreIndex]
 	}
 	return uint64(rank)<<(64-rankBits) | rendezvous.Mix(o.chat, t.seed)>>rankBits
 }
--- a/internal/core/placement/order_test.go
+++ b/internal/core/placement/order_test.go
@@ -14,9 +14,9 @@
 
 const chats = 2000
 
-// homes returns where each chat goes first.
+// homes returns the first target of each chat.
 func homes(list []placement.Target) map[uint64]placement.Target {
-	b := board(list...)
+	b := newBalancer(list...)
 	out := make(map[uint64]placement.Target)
 	for chat := uint64(1); chat <= chats; chat++ {
 		out[chat] = serve(b, start, placement.Request{Pool: pool, Chat: chat}).Target
@@ -24,7 +24,7 @@
 	return out
 }
 
-// spread returns n targets in each of some data centres.
+// spread returns targets in several data centres; counts are the numbers in each.
 func spread(counts ...int) []placement.Target {
 	var out []placement.Target
 	for dc, n := range counts {
@@ -36,9 +36,9 @@
 }
 
 var _ = Describe("the order of a chat's targets", func() {
-	// Symptom: the memory that targets move is paid for twice, and takes twice as long. Sequence: a target is
-	// replaced; its chats, and those that the new one takes over, come from all data centres.
-	// Cause: the order knew of targets only.
+	// A target is replaced. With an order by target alone, its chats and those that the new target
+	// takes over came from all data centres. Moving their caches between data centres takes twice
+	// as long and is paid for twice.
 	It("keeps chats within their data centre when targets are replaced", func() {
 		testkit.Check("30", func(t *rapid.T) {
 			list := spread(5, 5, 4, 4)
@@ -62,7 +62,7 @@
 		})
 	})
 
-	It("gives each target about as many chats, although data centres differ in size", func() {
+	It("gives each target a similar number of chats, although data centres differ in size", func() {
 		for _, list := range [][]placement.Target{spread(5, 5, 4, 4), spread(3, 3, 3), spread(12), spread(8, 2, 2), spread(30, 15, 1)} {
 			count := make(map[string]int)
 			for _, home := range homes(list) {
@@ -76,7 +76,7 @@
 	})
 
 	It("spills within the data centre while one of its targets has room, then elsewhere", func() {
-		b := board(spread(3, 3, 3)...)
+		b := newBalancer(spread(3, 3, 3)...)
 		seen := map[string]bool{}
 		first := place(b, start, 7).Target
 		for range 40 {
@@ -90,12 +90,12 @@
 		open := b.OpenByTarget()
 		for _, t := range spread(3, 3, 3) {
 			if t.DataCentre == first.DataCentre {
-				Expect(open[t.ID]).To(BeNumerically(">", 1), "each of them was used before")
+				Expect(open[t.ID]).To(BeNumerically(">", 1), "each target of the data centre was used first")
 			}
 		}
 	})
 
-	It("leaves a data centre out whose targets all leave, and spreads its chats over the others", func() {
+	It("leaves out a data centre whose targets are all leaving, and spreads its chats over the others", func() {
 		list := spread(3, 3, 3)
 		for i := range 3 {
 			list[i].Leaving = true
@@ -108,12 +108,12 @@
 		Expect(count["b"]).To(BeNumerically("~", chats/2, chats/10))
 	})
 
-	// Symptom: on the heaviest days a fifth more is refused. Sequence: most targets of a data centre crash; its chats
-	// go to the few left there, far beyond their places, while the others have some. Cause: chats
-	// kept to their data centre.
-	It("spreads the chats of a data centre over all if most of its targets are passed over", func() {
+	// Most targets of a data centre crash. While chats kept to their data centre, they overloaded
+	// its few remaining targets although other data centres had room, and on the days with the
+	// highest load a fifth more requests were refused.
+	It("spreads the chats of a data centre over all data centres if most of its targets are skipped", func() {
 		list := spread(5, 5, 4, 4)
-		b := board(list...)
+		b := newBalancer(list...)
 		for i := range 4 {
 			b.FinishRequest(start, list[i].UID, placement.Unreachable)
 		}
@@ -124,29 +124,29 @@
 			b.FinishRequest(start, c.Target.UID, placement.Neutral)
 		}
 		Expect(count).To(HaveLen(14))
-		Expect(count["a4"]).To(BeNumerically("<", 2*chats/14), "it had a quarter of all before")
+		Expect(count["a4"]).To(BeNumerically("<", 2*chats/14), "with its data centre's full weight it would get a quarter of all chats")
 	})
 
-	It("is the same at every router, whatever order the list has", func() {
+	It("is the same at all routers, whatever the order of the target list", func() {
 		testkit.Check("50", func(t *rapid.T) {
 			list := spread(3, 4, 2)
 			other := rapid.Permutation(list).Draw(t, "list")
-			one, two := board(list...), board(other...)
+			one, two := newBalancer(list...), newBalancer(other...)
 			for chat := uint64(1); chat < 50; chat++ {
-				ask := placement.Request{Pool: pool, Chat: chat}
-				if serve(one, start, ask).Target.UID != serve(two, start, ask).Target.UID {
-					t.Fatalf("chat %d", chat)
+				request := placement.Request{Pool: pool, Chat: chat}
+				if serve(one, start, request).Target.UID != serve(two, start, request).Target.UID {
+					t.Fatalf("the routers place chat %d at different targets", chat)
 				}
 			}
 		})
 	})
 
-	It("takes more data centres than it tells apart", func() {
+	It("works with more data centres than it ranks", func() {
 		var list []placement.Target
 		for i := range 40 {
 			list = append(list, target(fmt.Sprint("t", i), fmt.Sprint("dc", i)))
 		}
-		b := board(list...)
+		b := newBalancer(list...)
 		for chat := uint64(1); chat < 200; chat++ {
 			_, ok := b.Place(start.Add(time.Second), placement.Request{Pool: pool, Chat: chat})
 			Expect(ok).To(BeTrue())
--- a/internal/core/placement/outlier_test.go
+++ b/internal/core/placement/outlier_test.go
@@ -10,111 +10,111 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/placement"
 )
 
-// greyDay is a played load: nine routers, twelve targets, some of which fail a share of
-// what they get for ten of fifteen seconds.
-type greyDay struct {
-	failing int               // targets; one if 0
-	share   float64           // of its requests that it fails
-	as      placement.Outcome // how
-	others  float64           // share that every target fails, as its own failure
-	alone   bool              // routers don't tell each other
+// greyFailure simulates nine routers and twelve targets, some of which fail a share of their
+// requests for ten of fifteen seconds.
+type greyFailure struct {
+	failingTargets int               // number of failing targets; one if 0
+	failureShare   float64           // share of its requests that a failing target fails
+	failAs         placement.Outcome // outcome of these failures
+	errorShare     float64           // share of requests that every target fails with Errored
+	isolated       bool              // routers don't report to each other
 }
 
-// play returns how many requests the failing targets spoiled, and how many were kept away
-// from targets that fail no more than all.
-func (g greyDay) play() (spoiled, misplaced int) {
+// run returns the number of requests that the failing targets failed, and the number of requests
+// that did not go to the home of their chat.
+func (g greyFailure) run() (failed, awayFromHome int) {
 	const routers, perSecond = 9, 130
 	rnd := rand.New(rand.NewPCG(5, 6))
-	boards := make([]*placement.Balancer, routers)
-	for i := range boards {
-		boards[i] = board(targets(12)...)
+	balancers := make([]*placement.Balancer, routers)
+	for i := range balancers {
+		balancers[i] = newBalancer(targets(12)...)
 	}
-	grey := map[uint64]bool{}
-	for _, t := range targets(12)[:max(g.failing, 1)] {
-		grey[t.UID] = true
+	failingUIDs := map[uint64]bool{}
+	for _, t := range targets(12)[:max(g.failingTargets, 1)] {
+		failingUIDs[t.UID] = true
 	}
 	for i := range 15 * perSecond {
 		now := start.Add(time.Duration(i) * time.Second / perSecond)
-		if i%(perSecond/10) == 0 && !g.alone {
-			for from := range boards {
-				for to := range boards {
+		if i%(perSecond/10) == 0 && !g.isolated {
+			for from := range balancers {
+				for to := range balancers {
 					if from != to {
-						boards[to].ReceiveReport(now, uint32(from), boards[from].OwnLoads(), boards[from].OutcomesToReport(now))
+						balancers[to].ReceiveReport(now, uint32(from), balancers[from].OwnLoads(), balancers[from].OutcomesToReport(now))
 					}
 				}
 			}
 		}
-		b := boards[rnd.IntN(routers)]
+		b := balancers[rnd.IntN(routers)]
 		chat := rnd.Uint64N(500) + 1
 		c := place(b, now, chat)
 		if c.Rule != placement.RuleHome {
-			misplaced++
+			awayFromHome++
 		}
-		failing := grey[c.Target.UID] && now.Sub(start) > 2*time.Second && now.Sub(start) < 12*time.Second
+		fails := failingUIDs[c.Target.UID] && now.Sub(start) > 2*time.Second && now.Sub(start) < 12*time.Second
 		outcome := placement.Answered
 		switch {
-		case failing && rnd.Float64() < g.share:
-			outcome = g.as
-			spoiled++
-		case rnd.Float64() < g.others:
+		case fails && rnd.Float64() < g.failureShare:
+			outcome = g.failAs
+			failed++
+		case rnd.Float64() < g.errorShare:
 			outcome = placement.Errored
 		}
 		b.FinishRequest(now, c.Target.UID, outcome)
 	}
-	return spoiled, misplaced
+	return failed, awayFromHome
 }
 
-var _ = Describe("the detection of outliers by the whole fleet", func() {
-	// Symptom: for as long as a target loses the answers of a third of what it runs, owners
-	// who write to its chats wait for eight seconds and get nothing; such requests may not be
-	// repeated. Sequence: its liveness checks pass; each router sees one request a second go
-	// there and two in three succeed. Cause: a router ejectedBy by what it saw alone.
-	It("finds in a second or two one that loses answers, where each router sees a sliver", func() {
-		alone, _ := greyDay{share: 0.3, as: placement.Failed, alone: true}.play()
-		together, _ := greyDay{share: 0.3, as: placement.Failed}.play()
-		Expect(together).To(BeNumerically("<", alone/2), "%d spoiled by the fleet's outcomes, %d by each router's own", together, alone)
+var _ = Describe("outlier detection by the outcomes of the whole fleet", func() {
+	// A target loses a third of its answers but passes its liveness checks. Each router sees one
+	// request a second go there, two in three of which succeed, so its own outcomes were not enough
+	// to eject it. Callers that wrote to its chats waited for eight seconds and got nothing, and
+	// such requests may not be retried.
+	It("ejects a target that loses answers within seconds, although each router sees few of its requests", func() {
+		isolated, _ := greyFailure{failureShare: 0.3, failAs: placement.Failed, isolated: true}.run()
+		together, _ := greyFailure{failureShare: 0.3, failAs: placement.Failed}.run()
+		Expect(together).To(BeNumerically("<", isolated/2), "%d requests failed with the outcomes of the fleet, %d with each router's own", together, isolated)
 	})
 
-	It("finds one that fails half of what it gets", func() {
-		alone, _ := greyDay{share: 0.5, as: placement.Errored, alone: true}.play()
-		together, _ := greyDay{share: 0.5, as: placement.Errored}.play()
-		Expect(together).To(BeNumerically("<", alone/2), "%d spoiled by the fleet's outcomes, %d by each router's own", together, alone)
+	It("ejects a target that fails half of its requests", func() {
+		isolated, _ := greyFailure{failureShare: 0.5, failAs: placement.Errored, isolated: true}.run()
+		together, _ := greyFailure{failureShare: 0.5, failAs: placement.Errored}.run()
+		Expect(together).To(BeNumerically("<", isolated/2), "%d requests failed with the outcomes of the fleet, %d with each router's own", together, isolated)
 	})
 
-	It("leaves chats at home while all targets fail some, as some services always do", func() {
-		_, misplaced := greyDay{others: 0.14}.play()
-		Expect(misplaced).To(BeNumerically("<", 60), "of 1,950")
+	It("keeps chats at home while all targets fail some requests, as some services always do", func() {
+		_, awayFromHome := greyFailure{errorShare: 0.14}.run()
+		Expect(awayFromHome).To(BeNumerically("<", 60), "requests of 1,950 away from home")
 	})
 
-	It("leaves chats at home while all targets fail half of what they get", func() {
-		_, misplaced := greyDay{others: 0.45}.play()
-		Expect(misplaced).To(BeNumerically("<", 120), "of 1,950")
+	It("keeps chats at home while all targets fail nearly half of their requests", func() {
+		_, awayFromHome := greyFailure{errorShare: 0.45}.run()
+		Expect(awayFromHome).To(BeNumerically("<", 120), "requests of 1,950 away from home")
 	})
 
-	It("finds seven of twelve that lose answers", func() {
-		alone, _ := greyDay{failing: 7, share: 0.3, as: placement.Failed, alone: true}.play()
-		together, _ := greyDay{failing: 7, share: 0.3, as: placement.Failed}.play()
-		Expect(together).To(BeNumerically("<", alone*2/3), "%d spoiled by the fleet's outcomes, %d by each router's own", together, alone)
+	It("ejects seven of twelve targets that lose answers", func() {
+		isolated, _ := greyFailure{failingTargets: 7, failureShare: 0.3, failAs: placement.Failed, isolated: true}.run()
+		together, _ := greyFailure{failingTargets: 7, failureShare: 0.3, failAs: placement.Failed}.run()
+		Expect(together).To(BeNumerically("<", isolated*2/3), "%d requests failed with the outcomes of the fleet, %d with each router's own", together, isolated)
 	})
 
-	It("leaves chats at home where one answer in twenty is lost", func() {
-		_, misplaced := greyDay{share: 0.05, as: placement.Failed}.play()
-		Expect(misplaced).To(BeNumerically("<", 40), "of 1,950")
+	It("keeps chats at home while a target loses one answer in twenty", func() {
+		_, awayFromHome := greyFailure{failureShare: 0.05, failAs: placement.Failed}.run()
+		Expect(awayFromHome).To(BeNumerically("<", 40), "requests of 1,950 away from home")
 	})
 
-	// Symptom: a target stays out of work for ever. Sequence: it is ejected, and the others go on
-	// telling what they saw before. Cause would be old outcomes that end in a new ejection.
-	It("gives a target that has recovered its work back", func() {
-		one, other := board(targets(6)...), board(targets(6)...)
+	// A target is ejected while other routers still report the failures from before. If these led
+	// to another ejection, the target would stay ejected for ever.
+	It("uses a target again after it has recovered", func() {
+		one, other := newBalancer(targets(6)...), newBalancer(targets(6)...)
 		home := place(one, start, 7).Target.UID
 		for range 11 {
 			other.FinishRequest(start, home, placement.Errored)
 			one.FinishRequest(start, home, placement.Neutral)
 		}
 		one.FinishRequest(start, home, placement.Errored)
-		told := other.OutcomesToReport(start)
-		Expect(told).To(HaveLen(1))
-		Expect(one.ReceiveReport(start, 2, nil, told)).To(HaveLen(1), "ejected by what it heard")
+		reported := other.OutcomesToReport(start)
+		Expect(reported).To(HaveLen(1))
+		Expect(one.ReceiveReport(start, 2, nil, reported)).To(HaveLen(1), "ejected by the report")
 		Expect(place(one, start, 7).Target.UID).NotTo(Equal(home))
 		for i := range 100 {
 			now := start.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -124,10 +124,10 @@
 		Expect(place(one, now, 7).Target.UID).To(Equal(home))
 	})
 
-	It("ejects a target for longer if it fails again soon after", func() {
-		b := board(targets(6)...)
+	It("doubles the time of an ejection that follows soon after another one", func() {
+		b := newBalancer(targets(6)...)
 		home := place(b, start, 7).Target.UID
-		until := func(now time.Time) time.Duration {
+		ejectionTime := func(now time.Time) time.Duration {
 			for range 20 {
 				b.FinishRequest(now, home, placement.Errored)
 			}
@@ -137,24 +137,23 @@
 			}
 			return ejected
 		}
-		first := until(start)
-		Expect(until(start.Add(2 * time.Second))).To(Equal(2 * first))
-		Expect(until(start.Add(time.Minute))).To(Equal(first))
+		first := ejectionTime(start)
+		Expect(ejectionTime(start.Add(2 * time.Second))).To(Equal(2 * first))
+		Expect(ejectionTime(start.Add(time.Minute))).To(Equal(first))
 	})
 
-	It("tells nothing of targets that fail nothing", func() {
-		b := board(targets(6)...)
+	It("reports no outcomes of targets without failures", func() {
+		b := newBalancer(targets(6)...)
 		for range 50 {
 			b.FinishRequest(start, place(b, start, 7).Target.UID, placement.Answered)
 		}
 		Expect(b.OutcomesToReport(start)).To(BeEmpty())
 	})
 
-	// Symptom: a target is ejected that fails three in a hundred. Sequence: the one router that saw
-	// the failures tells of them; those that saw successes only are silent. Cause would be
-	// failures that are counted over fewer ends than there were.
-	It("is told with its successes by all once one router tells of a failure", func() {
-		one, other := board(targets(6)...), board(targets(6)...)
+	// One router sees failures of a target and reports them; others see only successes. Without
+	// their successes, a target that fails three in a hundred requests would be ejected.
+	It("includes the successes that all routers saw at a target once one router reports a failure", func() {
+		one, other := newBalancer(targets(6)...), newBalancer(targets(6)...)
 		uid := targets(6)[0].UID
 		one.FinishRequest(start, uid, placement.Errored)
 		for range 30 {
--- a/internal/core/placement/pause.go
+++ b/internal/core/placement/pause.go
@@ -2,84 +2,90 @@
 
 import "time"
 
-// pause is a target's word for how long it wants nothing from this router. After it one request is sent first, and no other before
-// that has its first event: requests that waited for the end would come all at once, to a target that may ask again.
+// pause is the time for which a target has asked this router to send it no requests. After a pause
+// one trial request is sent, and no other before its first event. Otherwise the requests that
+// waited for the end of the pause would arrive all at once at a target that may pause again.
 type pause struct {
-	until   time.Time
-	untried bool // nothing has been answered since
-	trying  bool // the first request after it is under way
+	until    time.Time
+	untested bool // no request has been answered since
+	onTrial  bool // the trial request is in flight
 }
 
 const (
-	// resumeSpread is the part of a pause by which routers let it last longer, and resumeSpreadMost the most of it: those
-	// that were turned away together would come back together.
-	resumeSpread     = 0.25
-	resumeSpreadMost = time.Second
+	// pauseJitter is the share of a pause by which a router may prolong it at random, and
+	// maxPauseJitter limits that. Routers that were refused together would otherwise come back
+	// together.
+	pauseJitter    = 0.25
+	maxPauseJitter = time.Second
 )
 
-// holds reports whether the target gets nothing now.
-func (p *pause) holds(now time.Time) bool { return p.until.After(now) || (p.untried && p.trying) }
+// isOn reports whether the target gets no requests now.
+func (p *pause) isOn(now time.Time) bool { return p.until.After(now) || (p.untested && p.onTrial) }
 
-func (p *pause) placed() { p.trying = p.untried }
+func (p *pause) recordPlacement() { p.onTrial = p.untested }
 
-// answered notes the first event of a request, or that it ended without one. A request that was sent before the pause says
-// nothing of what comes after it.
-func (p *pause) answered(now time.Time, ok bool) {
-	if p.trying && !p.until.After(now) {
-		p.trying = false
-		p.untried = !ok
+// recordFirstEvent records the first event of a request, or, if answered is false, that the request
+// ended without one. Requests that end during the pause were sent before it and do not count as its
+// trial.
+func (p *pause) recordFirstEvent(now time.Time, answered bool) {
+	if p.onTrial && !p.until.After(now) {
+		p.onTrial = false
+		p.untested = !answered
 	}
 }
 
-// MarkPaused takes in that a target wants nothing from this router for a time. Of two words the one that lasts longer counts.
+// MarkPaused records that a target wants no requests from this router for d. Of several pauses, the
+// one that ends last counts.
 func (b *Balancer) MarkPaused(now time.Time, uid uint64, d time.Duration) {
 	t, ok := b.byUID[uid]
 	if !ok || d <= 0 {
 		return
 	}
-	until := now.Add(d + time.Duration(b.rand.Float64()*float64(min(time.Duration(resumeSpread*float64(d)), resumeSpreadMost))))
+	until := now.Add(d + time.Duration(b.rand.Float64()*float64(min(time.Duration(pauseJitter*float64(d)), maxPauseJitter))))
 	if until.After(t.pause.until) {
-		t.pause = pause{until: until, untried: true}
+		t.pause = pause{until: until, untested: true}
 	}
 }
 
-// closed reports whether a target gets nothing at all: it leaves, its data centre is evacuated, or it wants nothing for now.
-func (t *target) closed(now time.Time) bool { return !t.stays() || t.pause.holds(now) }
+// isClosed reports whether a target gets no requests at all: it is leaving, its data centre is
+// evacuated, or it is paused.
+func (t *target) isClosed(now time.Time) bool { return !t.isActive() || t.pause.isOn(now) }
 
-// MaySend reports whether a request that was placed may be sent to its target now. If it may and the target is cold, it counts as
-// sent from now on.
+// MaySend reports whether a placed request may be sent to its target now. For a cold target, true
+// also counts the request as sent.
 func (b *Balancer) MaySend(now time.Time, c Choice) bool {
 	t, ok := b.byUID[c.Target.UID]
 	if !ok || b.IsLeavingOrRemoved(t.UID) || t.evacuated || t.pause.until.After(now) {
 		return false
 	}
 	if t.isCold(now) {
-		if t.cold.holder != c.sequence && !b.bears(now, t) {
+		if t.cold.lastSequence != c.sequence && !b.maySendCold(now, t) {
 			return false
 		}
-		t.cold.placed(now, c.sequence)
+		t.cold.recordPlacement(now, c.sequence)
 	}
 	return true
 }
 
-// PausedRetryAfter returns in what time the first target of a pool wants requests again, if all of those that stay want none; 0 otherwise.
-func (b *Balancer) PausedRetryAfter(now time.Time, name string) time.Duration {
-	p, ok := b.pools[name]
+// PausedRetryAfter returns the time until the first pause in a pool ends if all of its active
+// targets are paused; 0 otherwise.
+func (b *Balancer) PausedRetryAfter(now time.Time, pool string) time.Duration {
+	p, ok := b.pools[pool]
 	if !ok {
 		return 0
 	}
-	first := time.Duration(0)
+	shortest := time.Duration(0)
 	for _, t := range p.targets {
-		if !t.stays() {
+		if !t.isActive() {
 			continue
 		}
-		left := t.pause.until.Sub(now)
-		if left <= 0 {
+		remaining := t.pause.until.Sub(now)
+		if remaining <= 0 {
 			return 0
 		}
-		if first == 0 || left < first {
-			first = left
+		if shortest == 0 || remaining < shortest {
+			shortest = remaining
 		}
 	}
-	return first
+	return shortest
 }
--- a/internal/core/placement/pause_test.go
+++ b/internal/core/placement/pause_test.go
@@ -12,7 +12,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-var _ = Describe("a target that wants nothing for a time", func() {
+var _ = Describe("a paused target", func() {
 	var (
 		b   *placement.Balancer
 		now time.Time
@@ -33,7 +33,7 @@
 		b.SetTargets(now, map[string][]placement.Target{"p": {{UID: 1, ID: "i-1", Slots: 8}, {UID: 2, ID: "i-2", Slots: 8}}})
 	})
 
-	It("gets nothing until then, its chats neither", func() {
+	It("gets no requests until the pause ends, even from its own chats", func() {
 		home, _ := place()
 		end(home, true)
 		b.MarkPaused(now, home.Target.UID, 3*time.Second)
@@ -46,10 +46,10 @@
 		}
 		now = now.Add(2 * time.Second)
 		c, _ := place()
-		Expect(c.Target.UID).To(Equal(home.Target.UID), "the chat comes home")
+		Expect(c.Target.UID).To(Equal(home.Target.UID), "the chat returns to its home")
 	})
 
-	It("gets one request first, and the others when that has its first event", func() {
+	It("gets one trial request after the pause, and others after its first event", func() {
 		home, _ := place()
 		end(home, true)
 		b.MarkPaused(now, home.Target.UID, time.Second)
@@ -63,7 +63,7 @@
 		Expect(third.Target.UID).To(Equal(home.Target.UID))
 	})
 
-	It("goes on pausing if the first request is turned away for a time again", func() {
+	It("stays paused if it answers the trial request with another pause", func() {
 		home, _ := place()
 		end(home, true)
 		b.MarkPaused(now, home.Target.UID, time.Second)
@@ -75,21 +75,21 @@
 		Expect(c.Target.UID).NotTo(Equal(home.Target.UID))
 	})
 
-	It("pauses for the longer of two words", func() {
+	It("pauses for the longer of two times", func() {
 		b.MarkPaused(now, 1, 10*time.Second)
 		b.MarkPaused(now, 1, time.Second)
 		now = now.Add(5 * time.Second)
 		Expect(b.MaySend(now, placement.Choice{Target: placement.Target{UID: 1}})).To(BeFalse())
 	})
 
-	It("is believed no longer by its next lifetime", func() {
+	It("is not paused in its next lifetime", func() {
 		b.MarkPaused(now, 1, time.Minute)
 		b.SetTargets(now, map[string][]placement.Target{"p": {{UID: 3, ID: "i-1", Slots: 8}}})
 		_, ok := place()
 		Expect(ok).To(BeTrue())
 	})
 
-	It("leaves nobody to be sent to if all want nothing, and says when the first does", func() {
+	It("leaves no target if all are paused, and reports when the first pause ends", func() {
 		b.MarkPaused(now, 1, 4*time.Second)
 		Expect(b.PausedRetryAfter(now, "p")).To(BeZero())
 		b.MarkPaused(now, 2, 2*time.Second)
@@ -98,7 +98,7 @@
 		Expect(b.PausedRetryAfter(now, "p")).To(BeNumerically("~", 2250*time.Millisecond, 250*time.Millisecond))
 	})
 
-	It("gets at most what was on its way, in any order of words, ends and placements", func() {
+	It("gets no new placements, in any order of pauses, ends and placements", func() {
 		testkit.Check("300", func(t *rapid.T) {
 			now := time.Unix(1_000_000, 0)
 			b := placement.New(placement.DefaultSettings("a"), rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)))
@@ -106,11 +106,11 @@
 			paused := make(map[uint64]time.Time)
 			var open []placement.Choice
 			for range rapid.IntRange(5, 80).Draw(t, "steps") {
-				switch rapid.IntRange(0, 3).Draw(t, "what") {
+				switch rapid.IntRange(0, 3).Draw(t, "action") {
 				case 0:
 					if c, ok := b.Place(now, placement.Request{Pool: "p", Chat: uint64(rapid.IntRange(0, 3).Draw(t, "chat"))}); ok {
 						if now.Before(paused[c.Target.UID]) {
-							t.Fatalf("placed at a target that wants nothing for %s", paused[c.Target.UID].Sub(now))
+							t.Fatalf("a request was placed at a target that is paused for another %s", paused[c.Target.UID].Sub(now))
 						}
 						open = append(open, c)
 					}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement chooses the target of each request from what the whole fleet
-// has open. Every router tells the others how many requests it has open at each
-// target; each one places by the sum. So one router's view covers the fleet's load
-// although it sees a sliver of the traffic, and no router waits for another.
+// Package placement chooses the target of each request by the load of the whole fleet. Every router
+// reports to the others how many requests it has open at each target, and places requests by the
+// sum. So each router knows the whole load although it handles only a small part of the traffic,
+// and no router waits for another.
 package placement
 
 import (
@@ -14,27 +14,27 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/warmup"
 )
 
-// Settings are the limits of a Board.
+// Settings configure a Balancer.
 type Settings struct {
 	// DataCentre is where this router runs.
 	DataCentre string
-	// LoadMultiple and Slack bound what a target may hold: LoadMultiple x the pool's mean +
-	// Slack. They are the operators' promise to the targets.
+	// LoadMultiple and LoadSlack bound the open requests of a target: LoadMultiple * the pool's
+	// mean + LoadSlack. Operators guarantee this bound to the targets.
 	LoadMultiple float64
 	LoadSlack    float64
-	// LoadMargin is how many requests below the bound a placement stays: routers place
-	// for up to a digest interval without knowing of each other's last requests.
+	// LoadMargin is how many requests a placement stays below the bound: for up to one digest
+	// interval, routers place requests without knowing of each other's latest ones.
 	LoadMargin float64
-	// ColdMultiple and ColdSlack bound what a cold target gets in a second from all routers: ColdMultiple x what its pool says
-	// that it bears + ColdSlack.
+	// ColdMultiple and ColdSlack bound how many requests a second a cold target gets from all
+	// routers: ColdMultiple * the rate that its pool declares + ColdSlack.
 	ColdMultiple float64
 	ColdSlack    float64
-	// LoadReportTTL is how long a silent router's loads still count. Its requests end
-	// with it, but a short silence may be lost datagrams.
+	// LoadReportTTL is how long the loads of a silent router count. Its requests end if it exits,
+	// but a short silence may be due to lost datagrams.
 	LoadReportTTL time.Duration
 }
 
-// DefaultSettings returns the settings used by the router.
+// DefaultSettings returns the default settings of a router. ColdMultiple and ColdSlack are zero.
 func DefaultSettings(dataCentre string) Settings {
 	return Settings{
 		DataCentre: dataCentre, LoadMultiple: 2, LoadSlack: 3, LoadMargin: 1,
@@ -43,73 +43,77 @@
 }
 
 type pool struct {
-	targets []*target
-	centres []centre
-	model   *model
-	limits  PoolLimits
-	// maxOpen is what each target may have open, by the connections it accepts.
+	targets     []*target
+	dataCentres []dataCentre
+	model       *latencyModel
+	limits      PoolLimits
+	// maxOpen is the limit of open requests of each target, derived from the connections that it
+	// accepts.
 	maxOpen float64
-	// coldPerSecond is what a cold target may get in a second from all routers; 0 if there is no bound.
+	// coldPerSecond is how many requests a second a cold target may get from all routers; 0 if
+	// there is no limit.
 	coldPerSecond int
 }
 
-// PoolLimits are what operators say of the targets of a pool.
+// PoolLimits are the limits that operators configure for the targets of a pool.
 type PoolLimits struct {
-	// MaxConnections are what one target accepts; 0 if it is not known.
+	// MaxConnections is how many connections one target accepts; 0 if unknown.
 	MaxConnections int
-	// ColdPerSecond is how many requests a second a cold target bears, 0 if that is not bounded; ColdFor is how long one is
-	// cold that has started, or whose data centre was evacuated.
+	// ColdPerSecond is how many requests a second a cold target can take; 0 if there is no limit.
+	// ColdDuration is how long a target is cold after its start, and after the evacuation of its
+	// data centre has ended.
 	ColdPerSecond float64
 	ColdDuration  time.Duration
 }
 
-// peerView is what another router told last.
-type peerView struct {
-	heard    time.Time
-	loads    []Load
-	outcomes []TargetOutcomes
-	told     time.Time // when it told outcomes last
+// peerReport is the latest report of another router.
+type peerReport struct {
+	receivedAt         time.Time
+	loads              []Load
+	outcomes           []TargetOutcomes
+	outcomesReceivedAt time.Time // when outcomes were last part of a report
 }
 
-// Balancer counts the open requests of the fleet. It is not safe for concurrent use.
+// Balancer places requests and counts the open requests of the fleet. It is not safe for concurrent
+// use.
 type Balancer struct {
-	settings Settings
-	rand     *rand.Rand
-	pools    map[string]*pool
-	limits   map[string]PoolLimits
-	byUID    map[uint64]*target
-	peers    map[uint32]*peerView
-	held     *inventory
-	models   map[string]*model // by pool
-	said     map[uint64]*said
-	sequence uint64 // of placements
-	orders   evacuation.Orders
-	fleet    *warmup.Fleet // nil until something is known of it
-}
-
-// New returns an empty Board.
+	settings       Settings
+	rand           *rand.Rand
+	pools          map[string]*pool
+	limits         map[string]PoolLimits
+	byUID          map[uint64]*target
+	peers          map[uint32]*peerReport
+	inventory      *inventory
+	models         map[string]*latencyModel // by pool
+	leavingNotices map[uint64]*leavingNotice
+	sequence       uint64 // of the latest placement
+	orders         evacuation.Orders
+	fleet          *warmup.Fleet // nil until the fleet is known
+}
+
+// New returns a Balancer without targets.
 func New(s Settings, rnd *rand.Rand) *Balancer {
 	return &Balancer{
 		settings: s, rand: rnd, pools: make(map[string]*pool), limits: make(map[string]PoolLimits),
-		byUID: make(map[uint64]*target), peers: make(map[uint32]*peerView), held: newInventory(),
-		models: make(map[string]*model), said: make(map[uint64]*said),
+		byUID: make(map[uint64]*target), peers: make(map[uint32]*peerReport), inventory: newInventory(),
+		models: make(map[string]*latencyModel), leavingNotices: make(map[uint64]*leavingNotice),
 	}
 }
 
-// connectionShare is the part of the connections that a target accepts which requests
-// may use: one that ends holds its connection for a moment more, and beyond the limit a
-// target resets connections with requests on them.
+// connectionShare is the share of a target's connections that requests may use. A request that has
+// ended holds its connection for a moment longer, and beyond its limit a target resets connections
+// with requests on them.
 const connectionShare = 0.9
 
-// SetLimits puts what operators say of the targets of each pool in force.
+// SetLimits replaces the limits of all pools.
 func (b *Balancer) SetLimits(byPool map[string]PoolLimits) {
 	b.limits = byPool
 	for name, p := range b.pools {
-		b.limit(name, p)
+		b.applyLimits(name, p)
 	}
 }
 
-func (b *Balancer) limit(name string, p *pool) {
+func (b *Balancer) applyLimits(name string, p *pool) {
 	p.limits, p.maxOpen = b.limits[name], math.Inf(1)
 	if n := p.limits.MaxConnections; n > 0 {
 		p.maxOpen = connectionShare * float64(n)
@@ -117,112 +121,115 @@
 	p.coldPerSecond = warmup.MaxPerSecond(p.limits.ColdPerSecond, b.settings.ColdMultiple, b.settings.ColdSlack)
 }
 
-// SetTargets puts the targets of all pools in force. A target that is gone keeps
-// its count until its last request ends.
+// SetTargets replaces the targets of all pools. A removed target keeps its count until its last
+// request ends.
 func (b *Balancer) SetTargets(now time.Time, pools map[string][]Target) {
-	joined := now
+	joinedAt := now
 	if len(b.byUID) == 0 {
-		joined = time.Time{} // those of the first list have been there before this router
+		joinedAt = time.Time{} // the targets of the first list were there before this router
 	}
 	b.pools = make(map[string]*pool, len(pools))
 	listed := make(map[uint64]bool)
 	for name, targets := range pools {
-		p := &pool{model: b.model(name)}
-		b.limit(name, p)
+		p := &pool{model: b.modelOf(name)}
+		b.applyLimits(name, p)
 		for _, t := range targets {
 			known, ok := b.byUID[t.UID]
 			if !ok {
-				known = &target{joined: joined, seed: rendezvous.Hash(t.ID)}
+				known = &target{joinedAt: joinedAt, seed: rendezvous.Hash(t.ID)}
 				b.byUID[t.UID] = known
 			}
-			if !known.ended.IsZero() && t.RowVersion > known.RowVersion {
-				known.ended, known.askedEnded, known.health = time.Time{}, time.Time{}, health{} // it has written again
+			if !known.exitedAt.IsZero() && t.RowVersion > known.RowVersion {
+				// The target is running, since it has written its entry again.
+				known.exitedAt, known.probedAt, known.health = time.Time{}, time.Time{}, health{}
 			}
 			if t.RowVersion > known.RowVersion {
-				known.cold.learn(now, t.ColdRemaining)
+				known.cold.extend(now, t.ColdRemaining)
 			}
 			known.Target, known.pool = t, p
 			known.evacuated = b.orders.IsEvacuated(t.DataCentre)
-			b.applySaid(now, known)
+			b.applyLeavingNotice(now, known)
 			listed[t.UID] = true
 			p.targets = append(p.targets, known)
 		}
-		p.centres = centres(p.targets)
+		p.dataCentres = groupByDataCentre(p.targets)
 		b.pools[name] = p
 	}
 	for uid, t := range b.byUID {
-		if !listed[uid] && t.own == 0 {
+		if !listed[uid] && t.ownOpen == 0 {
 			delete(b.byUID, uid)
 		}
 	}
-	b.sumPeers()
+	b.recomputePeerLoads()
 }
 
-// model returns the model of a pool, which outlasts its lists.
-func (b *Balancer) model(pool string) *model {
+// modelOf returns the latency model of a pool, which is kept across target lists.
+func (b *Balancer) modelOf(pool string) *latencyModel {
 	m, ok := b.models[pool]
 	if !ok {
-		m = &model{}
+		m = &latencyModel{}
 		b.models[pool] = m
 	}
 	return m
 }
 
-// SetLoadBounds changes what a target may hold, and what a cold one may get.
+// SetLoadBounds replaces the load bounds of targets and the rate limits of cold ones.
 func (b *Balancer) SetLoadBounds(multiple, slack, coldMultiple, coldSlack float64) {
 	b.settings.LoadMultiple, b.settings.LoadSlack = multiple, slack
 	b.settings.ColdMultiple, b.settings.ColdSlack = coldMultiple, coldSlack
 	b.SetLimits(b.limits)
 }
 
-// Place chooses a target and counts the request there; false if the pool has none.
-func (b *Balancer) Place(now time.Time, a Request) (Choice, bool) {
-	p, ok := b.pools[a.Pool]
+// Place chooses a target and counts the request as open there. It returns false if there is no
+// target for it.
+func (b *Balancer) Place(now time.Time, r Request) (Choice, bool) {
+	p, ok := b.pools[r.Pool]
 	if !ok {
 		return Choice{}, false
 	}
-	bound := b.bound(p)
-	t, rule := b.choose(now, p, a, bound)
+	bound := b.loadBound(p)
+	t, rule := b.choose(now, p, r, bound)
 	if t == nil {
 		return Choice{}, false
 	}
 	b.sequence++
-	c := Choice{Target: t.Target, Rule: rule, Open: t.open(), Bound: bound, CacheSource: b.source(now, p, a, t), sequence: b.sequence}
-	t.waiting = append(t.waiting, pending{sequence: c.sequence, since: now, prompt: a.PromptPrefixes, unread: b.unread(now, a, t)})
-	t.own++
-	t.serves(now)
-	t.health.placed()
-	t.pause.placed()
-	t.cold.placed(now, c.sequence)
+	c := Choice{Target: t.Target, Rule: rule, Open: t.totalOpen(), Bound: bound, CacheSource: b.cacheSource(now, p, r, t), sequence: b.sequence}
+	t.pending = append(t.pending, pendingRequest{sequence: c.sequence, placedAt: now, prefixes: r.PromptPrefixes, unreadTokens: b.unreadTokens(now, r, t)})
+	t.ownOpen++
+	t.recordServing(now)
+	t.health.recordPlacement()
+	t.pause.recordPlacement()
+	t.cold.recordPlacement(now, c.sequence)
 	return c, true
 }
 
-// FinishRequest takes a request off its target and learns from its outcome. It reports whether
-// the target is suspended from now on.
+// FinishRequest removes a request from the open ones of its target and records the outcome. It
+// reports whether the target is suspended or ejected as a result.
 func (b *Balancer) FinishRequest(now time.Time, uid uint64, o Outcome) (suspended bool) {
 	t, ok := b.byUID[uid]
 	if !ok {
 		return false
 	}
-	t.own--
-	if o == Refused && t.hasRoom() {
-		o = Errored // it turns requests away for a reason of its own
+	t.ownOpen--
+	if o == Refused && t.hasFreeSlot() {
+		o = Errored // it has a free slot, so the refusal does not mean that it is full
 	}
-	return b.observe(now, t, o)
+	return b.applyOutcome(now, t, o)
 }
 
-// observe learns from an outcome and reports whether new work is kept away from now on.
-func (b *Balancer) observe(now time.Time, t *target, o Outcome) bool {
-	suspended := t.health.observe(now, o)
+// applyOutcome records an outcome and reports whether the target is suspended or ejected as a
+// result.
+func (b *Balancer) applyOutcome(now time.Time, t *target, o Outcome) bool {
+	suspended := t.health.recordOutcome(now, o)
 	weight, ok := failureWeight(o)
 	if !ok {
 		return suspended
 	}
 	t.counts.add(now, weight)
-	return suspended || (weight > 0 && b.detect(now, t))
+	return suspended || (weight > 0 && b.ejectIfOutlier(now, t))
 }
 
-// TargetID returns the name of a target's lifetime, empty if it is not known.
+// TargetID returns the ID of the target with a lifetime; empty if it is unknown.
 func (b *Balancer) TargetID(uid uint64) string {
 	if t, ok := b.byUID[uid]; ok {
 		return t.ID
@@ -230,24 +237,24 @@
 	return ""
 }
 
-// IsLeavingOrRemoved reports whether a target leaves, or is not listed any more.
+// IsLeavingOrRemoved reports whether a target is leaving or has been removed from the target list.
 func (b *Balancer) IsLeavingOrRemoved(uid uint64) bool {
 	t, ok := b.byUID[uid]
 	if !ok || t.Leaving {
 		return true
 	}
 	for _, p := range b.pools {
-		if p == t.pool { // pools are made anew with each list
+		if p == t.pool { // each list creates new pools
 			return false
 		}
 	}
 	return true
 }
 
-// RecordSilence takes note of a target that leaves a request unanswered for longer than
-// its answers take. The request still waits, so nothing else would show the failure
-// before the request's deadline, and more would be sent there meanwhile.
+// RecordSilence counts a failure of a target that has left a request unanswered for longer than its
+// answers take. The request is still waiting, so without this the failure would show only at the
+// request's deadline, and more requests would be sent there until then.
 func (b *Balancer) RecordSilence(now time.Time, uid uint64) (suspended bool) {
 	t, ok := b.byUID[uid]
-	return ok && b.observe(now, t, Failed)
+	return ok && b.applyOutcome(now, t, Failed)
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -32,7 +32,7 @@
 	return out
 }
 
-func board(list ...placement.Target) *placement.Balancer {
+func newBalancer(list ...placement.Target) *placement.Balancer {
 	b := placement.New(placement.DefaultSettings("a"), rand.New(rand.NewPCG(1, 2)))
 	b.SetTargets(start, map[string][]placement.Target{pool: list})
 	return b
@@ -44,7 +44,7 @@
 	return c
 }
 
-func fail(b *placement.Balancer, now time.Time, uid uint64, times int) {
+func recordFailures(b *placement.Balancer, now time.Time, uid uint64, times int) {
 	for range times {
 		b.FinishRequest(now, uid, placement.Failed)
 	}
@@ -52,7 +52,7 @@
 
 var _ = Describe("placement", func() {
 	It("sends a chat to the same target from every router", func() {
-		one, other := board(targets(12)...), board(targets(12)...)
+		one, other := newBalancer(targets(12)...), newBalancer(targets(12)...)
 		for chat := uint64(1); chat < 200; chat++ {
 			a, b := place(one, start, chat), place(other, start, chat)
 			Expect(a.Target).To(Equal(b.Target))
@@ -62,15 +62,14 @@
 		}
 	})
 
-	// Symptom: one target holds more than the promised multiple of the mean. Sequence:
-	// a hot chat comes to many routers at once, each of which sees a sliver. Cause: each
-	// router counted its own requests only.
-	It("keeps the bound over the whole fleet, but for what a digest interval hides", func() {
+	// A hot chat arrives at many routers at once, each of which sees a small part of it. While each
+	// router counted only its own requests, one target exceeded the load bound.
+	It("keeps the load bound over the whole fleet, apart from the requests of one digest interval", func() {
 		testkit.Check("50", func(t *rapid.T) {
 			const routers = 9
-			boards := make([]*placement.Balancer, routers)
-			for i := range boards {
-				boards[i] = board(targets(12)...)
+			balancers := make([]*placement.Balancer, routers)
+			for i := range balancers {
+				balancers[i] = newBalancer(targets(12)...)
 			}
 			open := map[uint64]int{}
 			total := 0
@@ -78,10 +77,10 @@
 			chats := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 			for tick := range 40 {
 				now := start.Add(time.Duration(tick) * 100 * time.Millisecond)
-				for i, b := range boards {
-					for j := range boards {
+				for i, b := range balancers {
+					for j := range balancers {
 						if i != j {
-							boards[j].ReceiveReport(now, uint32(i+1), b.OwnLoads(), nil)
+							balancers[j].ReceiveReport(now, uint32(i+1), b.OwnLoads(), nil)
 						}
 					}
 				}
@@ -91,20 +90,20 @@
 					if chats.Float64() < hot {
 						chat = 7
 					}
-					c := place(boards[chats.IntN(routers)], now, chat)
+					c := place(balancers[chats.IntN(routers)], now, chat)
 					open[c.Target.UID]++
 					total++
 					mean := float64(total) / 12
 					if limit := 2*mean + 3; float64(open[c.Target.UID]) > limit+float64(arrivals) {
-						t.Fatalf("a target holds %d, the bound is %.1f", open[c.Target.UID], limit)
+						t.Fatalf("a target holds %d open requests, the load bound is %.1f", open[c.Target.UID], limit)
 					}
 				}
 			}
 		})
 	})
 
-	It("spills in the chat's order, and names the home as the source of its cache", func() {
-		b := board(targets(12)...)
+	It("spills in the chat's order, and names the home as the cache source", func() {
+		b := newBalancer(targets(12)...)
 		home := place(b, start, 7)
 		Expect(home.CacheSource).To(BeEmpty())
 		var spilled placement.Choice
@@ -115,11 +114,10 @@
 		Expect(spilled.CacheSource).To(Equal(home.Target.Address))
 	})
 
-	// Symptom: hundreds of thousands of prompt tokens are read again when a pool grows
-	// or is replaced. Sequence: a target joins and becomes the home of chats that others
-	// have cached. Cause: nobody told it who has them.
-	It("lets a target that has joined fetch from the one that was a chat's home", func() {
-		b := board(targets(6)...)
+	// When a pool grows or is replaced, a new target becomes the home of chats that other targets
+	// have cached. Without a cache source it read hundreds of thousands of prompt tokens again.
+	It("lets a target that has joined fetch from a chat's former home", func() {
+		b := newBalancer(targets(6)...)
 		homes := map[uint64]placement.Choice{}
 		for chat := uint64(1); chat < 100; chat++ {
 			homes[chat] = place(b, start, chat)
@@ -142,9 +140,9 @@
 		Expect(moved).To(BeNumerically(">", 0))
 	})
 
-	It("lets the next home fetch from one that is leaving, which gets no new work", func() {
+	It("lets the next home fetch from a leaving target, which gets no new requests", func() {
 		list := targets(6)
-		b := board(list...)
+		b := newBalancer(list...)
 		home := place(b, start, 7)
 		for i := range list {
 			list[i].Leaving = list[i].UID == home.Target.UID
@@ -158,15 +156,15 @@
 		}
 	})
 
-	It("prefers a target of the own data centre among equal ones for requests without a chat", func() {
-		b := board(targets(3)...)
+	It("prefers a target in its own data centre among equally loaded ones for requests without a chat", func() {
+		b := newBalancer(targets(3)...)
 		c := place(b, start, 0)
 		Expect(c.Target.DataCentre).To(Equal("a"))
 		Expect(c.Rule).To(Equal(placement.RuleLeastLoaded))
 	})
 
-	It("counts what other routers have open, and forgets those that fall silent", func() {
-		b := board(targets(3)...)
+	It("counts the open requests of other routers, and forgets routers that become silent", func() {
+		b := newBalancer(targets(3)...)
 		for _, t := range targets(3)[:2] {
 			b.ReceiveReport(start, 9, []placement.Load{{Target: t.UID, Open: 10}}, nil)
 		}
@@ -176,10 +174,10 @@
 		Expect(place(b, start, 0).Target.DataCentre).To(Equal("a"))
 	})
 
-	// Symptom: requests are reset at a target that is not down. Sequence: all routers
-	// together open more connections than it accepts. Cause: nobody counted them.
-	It("stays below the connections that a target accepts", func() {
-		b := board(targets(2)...)
+	// All routers together opened more connections than a target accepts, and it reset connections
+	// with requests on them.
+	It("stays below the number of connections that a target accepts", func() {
+		b := newBalancer(targets(2)...)
 		b.SetLimits(map[string]placement.PoolLimits{pool: {MaxConnections: 10}})
 		for range 18 {
 			place(b, start, 0)
@@ -188,8 +186,8 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("excludes the targets that a request names", func() {
-		b := board(targets(2)...)
+	It("does not choose the targets that a request excludes", func() {
+		b := newBalancer(targets(2)...)
 		for range 20 {
 			Expect(place(b, start, 7, targets(2)[0].UID).Target.UID).To(Equal(targets(2)[1].UID))
 		}
@@ -201,22 +199,22 @@
 })
 
 var _ = Describe("the health of a target", func() {
-	It("suspends after failures in a row, for longer each time, and takes it back", func() {
-		b := board(targets(6)...)
+	It("suspends it after consecutive failures, for longer each time, and uses it again afterwards", func() {
+		b := newBalancer(targets(6)...)
 		home := place(b, start, 7).Target.UID
-		fail(b, start, home, 2)
+		recordFailures(b, start, home, 2)
 		Expect(place(b, start, 7).Target.UID).NotTo(Equal(home))
 		later := start.Add(600 * time.Millisecond)
 		Expect(place(b, later, 7).Target.UID).To(Equal(home))
-		fail(b, later, home, 1)
+		recordFailures(b, later, home, 1)
 		Expect(place(b, later.Add(600*time.Millisecond), 7).Target.UID).NotTo(Equal(home))
 		Expect(place(b, later.Add(1100*time.Millisecond), 7).Target.UID).To(Equal(home))
 	})
 
-	// Symptom: a target that passes its liveness checks fails half of what it gets, for
-	// as long as it lasts. Cause: single failures between answers suspend nothing.
-	It("ejects one that fails much of what it gets", func() {
-		b := board(targets(6)...)
+	// A target passes its liveness checks but fails half of its requests. Single failures between
+	// answers never lead to a suspension.
+	It("ejects it if it fails half of its requests", func() {
+		b := newBalancer(targets(6)...)
 		home := place(b, start, 7).Target.UID
 		for range 20 {
 			b.FinishRequest(start, home, placement.Errored)
@@ -225,8 +223,8 @@
 		Expect(place(b, start, 7).Target.UID).NotTo(Equal(home))
 	})
 
-	It("does not eject one whose failures are a few in a hundred", func() {
-		b := board(targets(6)...)
+	It("does not eject it if it fails one in eight requests", func() {
+		b := newBalancer(targets(6)...)
 		home := place(b, start, 7).Target.UID
 		for i := range 200 {
 			o := placement.Answered
@@ -238,11 +236,10 @@
 		Expect(place(b, start, 7).Target.UID).To(Equal(home))
 	})
 
-	// Symptom: chats scatter and their caches are read again while every target fails
-	// some requests. Sequence: all are suspended in turn, and the few left take all.
-	// Cause: a suspension was believed whatever became of the rest of the pool.
-	It("passes suspensions over when most of the pool is suspended", func() {
-		b := board(targets(6)...)
+	// All targets fail some requests and are suspended in turn. While all suspensions applied, the
+	// few others got the whole load, and the chats lost their caches.
+	It("ignores suspensions while most of the pool is suspended", func() {
+		b := newBalancer(targets(6)...)
 		homes := map[uint64]uint64{}
 		for chat := uint64(1); chat < 50; chat++ {
 			c := place(b, start, chat)
@@ -250,7 +247,7 @@
 			b.FinishRequest(start, c.Target.UID, placement.Answered)
 		}
 		for _, t := range targets(6)[:4] {
-			fail(b, start, t.UID, 2)
+			recordFailures(b, start, t.UID, 2)
 		}
 		for chat, home := range homes {
 			c := place(b, start, chat)
@@ -259,14 +256,12 @@
 		}
 	})
 
-	// Symptom: every second request of a small pool fails, although one of its two targets
-	// answers all it gets. Sequence: the other one is cut off; it is suspended, and gets
-	// requests all the same until the budget of repeats is spent. Cause: half of a pool counted
-	// as most of it.
-	It("keeps to the suspension of one target of two", func() {
-		b := board(targets(2)...)
+	// One of two targets is cut off. While half of a pool counted as most of it, the suspension was
+	// ignored, so every second request failed until the retry budget was spent.
+	It("does not ignore the suspension of one target of two", func() {
+		b := newBalancer(targets(2)...)
 		silent := targets(2)[0].UID
-		fail(b, start, silent, 2)
+		recordFailures(b, start, silent, 2)
 		for chat := range uint64(50) { // 0 is a request without a chat
 			c := place(b, start, chat)
 			Expect(c.Target.UID).NotTo(Equal(silent))
@@ -274,17 +269,15 @@
 		}
 	})
 
-	// Symptom: thousands of requests a second are sent to targets that are down, and each
-	// loses a try. Sequence: four in ten crash, some others fail under the load, and
-	// suspensions are passed over for all. Cause: a target that can't be reached counted
-	// like one that fails some requests.
-	It("never passes the suspension of a target over that accepts no connection", func() {
-		b := board(targets(6)...)
+	// Four in ten targets crash and others fail under the load, so suspensions are ignored. While
+	// that included the unreachable targets, thousands of requests a second lost an attempt there.
+	It("never ignores the suspension of a target that accepts no connection", func() {
+		b := newBalancer(targets(6)...)
 		for _, t := range targets(6)[:2] {
 			b.FinishRequest(start, t.UID, placement.Unreachable)
 		}
 		for _, t := range targets(6)[2:4] {
-			fail(b, start, t.UID, 2)
+			recordFailures(b, start, t.UID, 2)
 		}
 		for chat := uint64(1); chat < 100; chat++ {
 			c := place(b, start, chat)
@@ -293,50 +286,49 @@
 		}
 	})
 
-	// Symptom: many of the requests to a small pool need a second send, and some are
-	// refused when the budget of repeats is spent, though two of three targets are idle.
-	// Sequence: one target turns most requests away while it has room, and looks the least
-	// loaded. Cause: a refusal was taken for a sign of load only.
-	It("ejects a target that turns requests away though it has room", func() {
-		pool := targets(3)
-		for i := range pool {
-			pool[i].Slots = 6
+	// One target of three refuses most requests although it has room, so it seems the least loaded.
+	// While a refusal counted only as a sign of load, many requests needed a second attempt, and
+	// some failed because the retry budget was spent, although the other two targets were idle.
+	It("ejects a target that refuses requests although it has free slots", func() {
+		list := targets(3)
+		for i := range list {
+			list[i].Slots = 6
 		}
-		b := board(pool...)
+		b := newBalancer(list...)
 		refused := 0
 		for i := range 300 {
 			now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 			c := place(b, now, 0)
 			switch {
-			case c.Target.UID != pool[0].UID:
+			case c.Target.UID != list[0].UID:
 				b.FinishRequest(now, c.Target.UID, placement.Answered)
-			case i%3 == 0: // it answers some
+			case i%3 == 0: // some requests are answered
 				b.FinishRequest(now, c.Target.UID, placement.Answered)
 			default:
 				refused++
 				b.FinishRequest(now, c.Target.UID, placement.Refused)
 			}
 		}
-		Expect(refused).To(BeNumerically("<", 30), "of 300; 200 when refusals are only a sign of load")
+		Expect(refused).To(BeNumerically("<", 30), "requests of 300; 200 if refusals only count as a sign of load")
 	})
 
-	It("does not blame a target that is full", func() {
-		pool := targets(2)
-		for i := range pool {
-			pool[i].Slots = 2
+	It("does not suspend or eject a target that refuses requests because it is full", func() {
+		list := targets(2)
+		for i := range list {
+			list[i].Slots = 2
 		}
-		b := board(pool...)
+		b := newBalancer(list...)
 		for range 6 {
 			place(b, start, 0)
 		}
 		for range 20 {
-			Expect(b.FinishRequest(start, pool[0].UID, placement.Refused)).To(BeFalse())
-			b.ReceiveReport(start, 9, []placement.Load{{Target: pool[0].UID, Open: 30}}, nil)
+			Expect(b.FinishRequest(start, list[0].UID, placement.Refused)).To(BeFalse())
+			b.ReceiveReport(start, 9, []placement.Load{{Target: list[0].UID, Open: 30}}, nil)
 		}
 	})
 
-	It("sends one request after a suspension, and more once that was answered", func() {
-		b := board(targets(6)...)
+	It("sends one trial request after a suspension, and more after its answer", func() {
+		b := newBalancer(targets(6)...)
 		home := place(b, start, 7).Target.UID
 		b.FinishRequest(start, home, placement.Unreachable)
 		now := start.Add(600 * time.Millisecond)
@@ -346,8 +338,8 @@
 		Expect(place(b, now, 7).Target.UID).To(Equal(home))
 	})
 
-	It("counts a target that stays silent as failing while the request still waits", func() {
-		b := board(targets(6)...)
+	It("counts a failure of a silent target while its request is still waiting", func() {
+		b := newBalancer(targets(6)...)
 		home := place(b, start, 7).Target.UID
 		b.RecordSilence(start, home)
 		b.RecordSilence(start, home)
--- a/internal/core/placement/roster.go
+++ b/internal/core/placement/roster.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// TargetSet keeps targets for a while after they left the platform's list. Entries
-// expire while the platform's store is away although their targets work, and are
-// back soon after its return; sending everything elsewhere meanwhile would lose the
-// caches of the whole pool. A target that is gone for good names another lifetime
-// or refuses connections, so a request sent there in between is not run.
+// TargetSet keeps targets for a while after their removal from the platform's target list. During a
+// store outage, entries expire although their targets work, and they are back soon after the
+// outage. Sending all requests elsewhere in the meantime would lose the caches of the whole pool. A
+// target that is really gone refuses connections, or another lifetime answers in its place, so a
+// request that is sent there is not executed.
 type TargetSet struct {
-	version  uint64              // of the list in force
-	entries  map[string]*entry   // by id
-	departed map[uint64]departed // by lifetime
-	gone     int                 // entries that left the list
-	// lifetimes are those of the entries, nil if they have changed since they were collected.
+	version      uint64                      // of the latest list
+	entries      map[string]*entry           // by target ID
+	departures   map[uint64]pendingDeparture // by lifetime
+	removedCount int                         // number of entries that were removed from the list
+	// lifetimes are the UIDs of all entries; nil if the entries have changed since they were
+	// collected.
 	lifetimes map[uint64]bool
 }
 
@@ -24,27 +25,27 @@
 	target Target
 }
 
-// NewTargetSet returns an empty Roster.
+// NewTargetSet returns an empty TargetSet.
 func NewTargetSet() *TargetSet {
-	return &TargetSet{entries: make(map[string]*entry), departed: make(map[uint64]departed)}
+	return &TargetSet{entries: make(map[string]*entry), departures: make(map[uint64]pendingDeparture)}
 }
 
-// Update takes in the list as of a version, and the ids of entries in it that can't be trusted: those name no
-// target from now on, whatever they named before. It returns the lifetimes that have ended
-// because their targets have started again since, as told by the targets' own clocks.
+// Update replaces the target list by the one of a version. rejected are the IDs of its invalid
+// entries: their targets are dropped, whatever was listed before. It returns the lifetimes that
+// have ended because their targets started again, according to the targets' own clocks.
 //
-// The newest list decides which lifetime a target is in, not the later start: the time of day
-// of a VM may have been set back between two starts.
-func (r *TargetSet) Update(now time.Time, version uint64, pools map[string][]Target, rejected []string) (ended []Target) {
-	r.version = max(r.version, version)
+// The latest list decides which lifetime of a target is current, not the later start: the wall
+// clock of a VM may have been set back between two starts.
+func (s *TargetSet) Update(now time.Time, version uint64, pools map[string][]Target, rejected []string) (ended []Target) {
+	s.version = max(s.version, version)
 	listed := make(map[string]bool)
 	for pool, targets := range pools {
 		for _, t := range targets {
 			listed[t.ID] = true
-			known, ok := r.entries[t.ID]
+			known, ok := s.entries[t.ID]
 			if !ok {
 				known = &entry{target: t}
-				r.entries[t.ID] = known
+				s.entries[t.ID] = known
 			}
 			if known.target.UID != t.UID && known.target.StartedAtMs < t.StartedAtMs {
 				ended = append(ended, known.target)
@@ -52,42 +53,44 @@
 			known.pool, known.target = pool, t
 		}
 	}
-	for id, e := range r.entries {
+	for id, e := range s.entries {
 		switch {
 		case listed[id]:
 		case slices.Contains(rejected, id):
-			delete(r.entries, id)
+			delete(s.entries, id)
 		case e.target.RemovedAt.IsZero():
 			e.target.RemovedAt = now
 		}
 	}
-	r.departAgain()
-	r.count()
+	s.reapplyDepartures()
+	s.countRemoved()
 	return ended
 }
 
-// Departure is the news that a target leaves, or is gone from the list.
+// Departure reports that a target is leaving, was removed from the target list, or has exited.
 type Departure struct {
-	Target uint64 // its lifetime
-	// ListVersion is the version of the list that says so. A later list knows better.
+	Target uint64 // UID of its lifetime
+	// ListVersion is the version of the target list that shows the departure. Later lists supersede
+	// it.
 	ListVersion uint64
 	Removed     bool
-	// Announced: the target has said so itself, in an answer. No list says it yet, and none counts against it.
+	// Announced: the target announced its shutdown itself, in an answer. No list shows it yet, so
+	// list versions do not matter.
 	Announced bool
-	// Exited: the target's process has ended, as a router saw by its connections and its port.
+	// Exited: the target's process has exited, as a router saw by its connections and its port.
 	Exited bool
 }
 
-// departed is a departure by a later list than the one in force.
-type departed struct {
+// pendingDeparture is a departure shown by a later list than the current one.
+type pendingDeparture struct {
 	Departure
-	since time.Time
+	receivedAt time.Time
 }
 
-// ActiveTargets returns the listed targets that don't leave, by id.
-func (r *TargetSet) ActiveTargets() map[string]Target {
-	out := make(map[string]Target, len(r.entries))
-	for id, e := range r.entries {
+// ActiveTargets returns the listed targets that are not leaving, by ID.
+func (s *TargetSet) ActiveTargets() map[string]Target {
+	out := make(map[string]Target, len(s.entries))
+	for id, e := range s.entries {
 		if e.target.RemovedAt.IsZero() && !e.target.Leaving {
 			out[id] = e.target
 		}
@@ -95,16 +98,17 @@
 	return out
 }
 
-// DeparturesSince returns which of the targets that were staying leave by the list in force, or are not in it, with their
-// ids. Those with an entry that can't be trusted, as listed tells, are left out: they may stay.
-func (r *TargetSet) DeparturesSince(staying map[string]Target, listed func(id string) bool) (out []Departure, ids []string) {
-	for id, t := range staying {
-		e, ok := r.entries[id]
+// DeparturesSince compares the current list with the targets that were active before it. It returns
+// those that are now leaving or removed, and their IDs, sorted. Targets with an invalid entry, for
+// which isListed still returns true, are left out: they may be running.
+func (s *TargetSet) DeparturesSince(before map[string]Target, isListed func(id string) bool) (out []Departure, ids []string) {
+	for id, t := range before {
+		e, ok := s.entries[id]
 		switch {
 		case ok && e.target.Leaving && e.target.UID == t.UID:
-			out = append(out, Departure{Target: t.UID, ListVersion: r.version})
-		case !listed(id):
-			out = append(out, Departure{Target: t.UID, ListVersion: r.version, Removed: true})
+			out = append(out, Departure{Target: t.UID, ListVersion: s.version})
+		case !isListed(id):
+			out = append(out, Departure{Target: t.UID, ListVersion: s.version, Removed: true})
 		default:
 			continue
 		}
@@ -114,113 +118,116 @@
 	return out, ids
 }
 
-// ApplyDepartures takes in departures that another router tells of, and returns those that are news, with the ids of the
-// targets that get no new work by them. They count until a list comes that knows of them: it may come much later.
-func (r *TargetSet) ApplyDepartures(now time.Time, told []Departure) (news []Departure, ids []string) {
-	for _, d := range told {
-		if d.ListVersion <= r.version || r.departed[d.Target].ListVersion >= d.ListVersion {
+// ApplyDepartures applies departures that another router reported. It returns those that are news,
+// and the IDs of the targets that get no new requests as a result. A departure counts until a list
+// of its version or a later one arrives, which may take long.
+func (s *TargetSet) ApplyDepartures(now time.Time, reported []Departure) (news []Departure, ids []string) {
+	for _, d := range reported {
+		if d.ListVersion <= s.version || s.departures[d.Target].ListVersion >= d.ListVersion {
 			continue
 		}
-		one := departed{Departure: d, since: now}
-		r.departed[d.Target] = one
+		pending := pendingDeparture{Departure: d, receivedAt: now}
+		s.departures[d.Target] = pending
 		news = append(news, d)
-		for id, e := range r.entries {
-			if e.target.UID == d.Target && e.depart(one) {
+		for id, e := range s.entries {
+			if e.target.UID == d.Target && e.applyDeparture(pending) {
 				ids = append(ids, id)
 			}
 		}
 	}
-	r.count()
+	s.countRemoved()
 	return news, ids
 }
 
-// count notes how many entries are gone, so that nobody looks through all of them ten times a second.
-func (r *TargetSet) count() {
-	r.gone, r.lifetimes = 0, nil
-	for _, e := range r.entries {
+// countRemoved updates removedCount, which saves Expire from iterating over all entries ten times a
+// second, and resets the cache of lifetimes.
+func (s *TargetSet) countRemoved() {
+	s.removedCount, s.lifetimes = 0, nil
+	for _, e := range s.entries {
 		if !e.target.RemovedAt.IsZero() {
-			r.gone++
+			s.removedCount++
 		}
 	}
 }
 
-// depart applies a departure and reports whether the target was staying.
-func (e *entry) depart(d departed) bool {
+// applyDeparture applies a departure and reports whether the target was active before.
+func (e *entry) applyDeparture(d pendingDeparture) bool {
 	if e.target.Leaving || !e.target.RemovedAt.IsZero() {
 		return false
 	}
 	if d.Removed {
-		e.target.RemovedAt = d.since
+		e.target.RemovedAt = d.receivedAt
 	} else {
 		e.target.Leaving = true
 	}
 	return true
 }
 
-// departAgain forgets the departures that the list just taken in knows of, and applies the others.
-func (r *TargetSet) departAgain() {
-	for uid, d := range r.departed {
-		if d.ListVersion <= r.version {
-			delete(r.departed, uid)
+// reapplyDepartures drops the departures that the new list covers, and applies the others to it.
+func (s *TargetSet) reapplyDepartures() {
+	for uid, d := range s.departures {
+		if d.ListVersion <= s.version {
+			delete(s.departures, uid)
 		}
 	}
-	for _, e := range r.entries {
-		if d, ok := r.departed[e.target.UID]; ok {
-			e.depart(d)
+	for _, e := range s.entries {
+		if d, ok := s.departures[e.target.UID]; ok {
+			e.applyDeparture(d)
 		}
 	}
 }
 
-// Retention says for how long targets are used after they left the list.
+// Retention is how long targets are used after their removal from the target list.
 type Retention struct {
 	AfterRemoval time.Duration
-	// AfterOutageRemoval is the same, if it is longer, for those that left it from Since on, and none is used until after Until for that: their entries
-	// may have lapsed while the platform's store was away. Those that work are back in the list by Until.
+	// AfterOutageRemoval replaces AfterRemoval, if it is longer, for targets removed from
+	// OutageStart on, whose entries may only have expired during a store outage. It applies until
+	// OutageEnd: by then, targets that work are back in the list.
 	AfterOutageRemoval     time.Duration
 	OutageStart, OutageEnd time.Time
 }
 
-// drops reports whether a target that left the list at a time is used no longer.
-func (k Retention) drops(now, gone time.Time) bool {
-	if now.Sub(gone) < k.AfterRemoval {
+// isExpired reports whether a target that was removed at a given time is no longer used.
+func (r Retention) isExpired(now, removedAt time.Time) bool {
+	if now.Sub(removedAt) < r.AfterRemoval {
 		return false
 	}
-	lapsed := k.AfterOutageRemoval > 0 && !gone.Before(k.OutageStart) && now.Before(k.OutageEnd)
-	return !lapsed || now.Sub(gone) >= k.AfterOutageRemoval
+	inOutage := r.AfterOutageRemoval > 0 && !removedAt.Before(r.OutageStart) && now.Before(r.OutageEnd)
+	return !inOutage || now.Sub(removedAt) >= r.AfterOutageRemoval
 }
 
-// Expire drops targets that have been gone for long enough and reports whether any was.
-func (r *TargetSet) Expire(now time.Time, keep Retention) bool {
-	if r.gone == 0 {
+// Expire drops the targets whose retention has passed and reports whether there were any.
+func (s *TargetSet) Expire(now time.Time, retention Retention) bool {
+	if s.removedCount == 0 {
 		return false
 	}
 	dropped := false
-	for id, e := range r.entries {
-		if !e.target.RemovedAt.IsZero() && keep.drops(now, e.target.RemovedAt) {
-			delete(r.entries, id)
+	for id, e := range s.entries {
+		if !e.target.RemovedAt.IsZero() && retention.isExpired(now, e.target.RemovedAt) {
+			delete(s.entries, id)
 			dropped = true
 		}
 	}
-	r.count()
+	s.countRemoved()
 	return dropped
 }
 
-// ByPool returns the targets by pool.
-func (r *TargetSet) ByPool() map[string][]Target {
+// ByPool returns the targets by pool, including removed ones that are still retained.
+func (s *TargetSet) ByPool() map[string][]Target {
 	out := make(map[string][]Target)
-	for _, e := range r.entries {
+	for _, e := range s.entries {
 		out[e.pool] = append(out[e.pool], e.target)
 	}
 	return out
 }
 
-// HasLifetime reports whether a lifetime is still kept.
-func (r *TargetSet) HasLifetime(uid uint64) bool {
-	if r.lifetimes == nil {
-		r.lifetimes = make(map[uint64]bool, len(r.entries))
-		for _, e := range r.entries {
-			r.lifetimes[e.target.UID] = true
+// HasLifetime reports whether a lifetime is current or still retained.
+func (s *TargetSet) HasLifetime(uid uint64) bool {
+	if s.lifetimes == nil {
+		s.lifetimes = make(map[uint64]bool, len(s.entries))
+		for _, e := range s.entries {
+			s.lifetimes[e.target.UID] = true
 		}
 	}
-	return r.lifetimes[uid]
+	return s.lifetimes[uid]
 }
--- a/internal/core/placement/said.go
+++ b/internal/core/placement/said.go
@@ -2,74 +2,78 @@
 
 import "time"
 
-// said is a target's own word that it leaves, in an answer. It comes before the list's, and counts whatever the list
-// says: the store may be away, or late with what the target wrote before.
-type said struct {
-	at  time.Time
-	row uint64 // of the entry that was in force then
-	// staysSince is since when a later entry says that the target stays; zero if none does.
-	staysSince time.Time
+// leavingNotice is a target's own announcement of its shutdown, made in an answer. It arrives
+// before the target list shows the shutdown and takes precedence over the list: there may be a
+// store outage, or the list may contain an earlier write of the target.
+type leavingNotice struct {
+	receivedAt time.Time
+	rowVersion uint64 // version of the target's entry at that time
+	// contradictedSince is when a later entry without the leaving state was first seen; zero if
+	// there is none.
+	contradictedSince time.Time
 }
 
 const (
-	// staysAfter is for how long a later entry has to say that the target stays before that counts: entries that were written
-	// before the word may come long after it.
-	staysAfter = time.Minute
-	// saidLasts is how long the word of a target is remembered that is not listed.
-	saidLasts = 10 * time.Minute
-	// saidMost bounds the words that are remembered.
-	saidMost = 8192
+	// contradictionPeriod is how long later entries must contradict a notice before it is dropped.
+	// Entries written before the notice may arrive long after it.
+	contradictionPeriod = time.Minute
+	// leavingNoticeTTL is how long the notice of a target that is not listed is kept.
+	leavingNoticeTTL = 10 * time.Minute
+	// maxLeavingNotices limits the number of notices.
+	maxLeavingNotices = 8192
 )
 
-// MarkLeaving takes in that a target says that it leaves, to this router or another one. It gets nothing more from now on. news
-// reports whether that was not known.
+// MarkLeaving records that a target announced its shutdown, to this router or to another one. It
+// gets no more requests. news reports whether that was unknown before.
 func (b *Balancer) MarkLeaving(now time.Time, uid uint64) (news bool) {
-	if s, ok := b.said[uid]; ok {
-		s.at, s.staysSince = now, time.Time{}
+	if notice, ok := b.leavingNotices[uid]; ok {
+		notice.receivedAt, notice.contradictedSince = now, time.Time{}
 		return false
 	}
-	if len(b.said) >= saidMost {
+	if len(b.leavingNotices) >= maxLeavingNotices {
 		return false
 	}
-	s := &said{at: now}
-	b.said[uid] = s
+	notice := &leavingNotice{receivedAt: now}
+	b.leavingNotices[uid] = notice
 	if t, ok := b.byUID[uid]; ok {
-		s.row = t.RowVersion
+		notice.rowVersion = t.RowVersion
 		if t.Leaving {
 			return false
 		}
 		t.Leaving = true
-		t.pool.centres = centres(t.pool.targets)
+		t.pool.dataCentres = groupByDataCentre(t.pool.targets)
 	}
 	return true
 }
 
-// applySaid has a target leave that said so, whatever its new entry says.
-func (b *Balancer) applySaid(now time.Time, t *target) {
-	s, ok := b.said[t.UID]
+// applyLeavingNotice marks a target as leaving if it announced its shutdown, whatever its new entry
+// says.
+func (b *Balancer) applyLeavingNotice(now time.Time, t *target) {
+	notice, ok := b.leavingNotices[t.UID]
 	if !ok {
 		return
 	}
 	switch {
-	case t.Leaving, t.RowVersion <= s.row:
-		s.staysSince = time.Time{}
-	case s.staysSince.IsZero():
-		s.staysSince = now
+	case t.Leaving, t.RowVersion <= notice.rowVersion:
+		notice.contradictedSince = time.Time{}
+	case notice.contradictedSince.IsZero():
+		notice.contradictedSince = now
 	}
 	t.Leaving = true
 }
 
-// expireSaid forgets the words of targets that a later entry has told to stay for long, and of those that are gone.
-func (b *Balancer) expireSaid(now time.Time) {
-	for uid, s := range b.said {
+// expireLeavingNotices drops the notices that later entries have contradicted for long enough, and
+// old ones of targets that are not listed.
+func (b *Balancer) expireLeavingNotices(now time.Time) {
+	for uid, notice := range b.leavingNotices {
 		t, listed := b.byUID[uid]
 		switch {
-		case !listed && now.Sub(s.at) >= saidLasts:
-			delete(b.said, uid)
-		case listed && !s.staysSince.IsZero() && now.Sub(s.staysSince) >= staysAfter:
-			delete(b.said, uid)
+		case !listed && now.Sub(notice.receivedAt) >= leavingNoticeTTL:
+			delete(b.leavingNotices, uid)
+		case listed && !notice.contradictedSince.IsZero() && now.Sub(notice.contradictedSince) >= contradictionPeriod:
+			delete(b.leavingNotices, uid)
 			t.Leaving = false
-			t.pool.centres = centres(t.pool.targets)
+			t.pool.dataCentres = groupByDataCentre(t.pool.targets)
 		}
 	}
 }
--- a/internal/core/placement/source.go
+++ b/internal/core/placement/source.go
@@ -6,70 +6,71 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// youngFor is how long a target that joined is taken not to hold the chats that
-// are its own by rendezvous order. Most chats return within that time.
-const youngFor = 20 * time.Second
+// newTargetPeriod is how long after it joined a target is assumed not to hold the chats that are
+// its own by rendezvous order. Most chats return within that time.
+const newTargetPeriod = 20 * time.Second
 
-// source returns the address of a target from which t should fetch cached parts of the prompt, empty
-// if it probably has them or nobody has. Fetching a part takes less time than reading it again,
-// and costs less.
+// cacheSource returns the address of a target from which t should fetch cached prefixes of the
+// prompt; empty if t probably has them or no other target does. Fetching a prefix is faster and
+// cheaper than reading it again.
 //
-// A target that is known to have read all of the prompt comes first. If there is none, rendezvous order
-// tells who had the chat, if anybody; a chat that is new fetches what others share with it.
-func (b *Balancer) source(now time.Time, p *pool, a Request, t *target) string {
-	if a.Chat == 0 || ablate.Off(ablate.Fetch) {
+// A target that is known to have read the whole prompt comes first. Without one, the rendezvous
+// order gives the chat's former home, if it has one. A new chat fetches the prefix that it shares
+// with others.
+func (b *Balancer) cacheSource(now time.Time, p *pool, r Request, t *target) string {
+	if r.Chat == 0 || ablate.Off(ablate.Fetch) {
 		return ""
 	}
-	held := b.held.at(now, a.PromptPrefixes, t.UID)
-	if a.whole(held) {
+	held := b.inventory.longestHeldBy(now, r.PromptPrefixes, t.UID)
+	if r.coversPrompt(held) {
 		return ""
 	}
-	best, from := b.deepest(now, a, t)
-	if a.whole(best) {
+	elsewhere, from := b.longestHeldElsewhere(now, r, t)
+	if r.coversPrompt(elsewhere) {
 		return from.Address
 	}
-	if before := formerHome(now, p, a, t); before != nil {
-		return before.Address
+	if former := formerHome(now, p, r, t); former != nil {
+		return former.Address
 	}
-	if best.Tokens > held.Tokens {
+	if elsewhere.Tokens > held.Tokens {
 		return from.Address
 	}
 	return ""
 }
 
-// gives reports whether cached parts may be fetched from a target.
-func (t *target) gives(now time.Time) bool { return !t.health.suspended(now) && !t.pause.holds(now) }
+// shares reports whether other targets may fetch cached prefixes from the target.
+func (t *target) shares(now time.Time) bool { return !t.health.isSuspended(now) && !t.pause.isOn(now) }
 
-// deepest returns the longest beginning of the prompt that another target holds, and that target; the Part
-// is empty if there is none.
-func (b *Balancer) deepest(now time.Time, a Request, t *target) (Prefix, *target) {
-	return b.held.deepest(now, a.PromptPrefixes, t, func(uid uint64) (*target, bool) {
+// longestHeldElsewhere returns the longest prefix of the prompt that another target of the pool
+// holds, and that target; the Prefix is zero if there is none.
+func (b *Balancer) longestHeldElsewhere(now time.Time, r Request, t *target) (Prefix, *target) {
+	return b.inventory.longestHeldElsewhere(now, r.PromptPrefixes, t, func(uid uint64) (*target, bool) {
 		o, ok := b.byUID[uid]
-		return o, ok && o.pool == t.pool && o.gives(now)
+		return o, ok && o.pool == t.pool && o.shares(now)
 	})
 }
 
-// whole reports whether a beginning is all of the prompt that can be held.
-func (a *Request) whole(p Prefix) bool {
-	return len(a.PromptPrefixes) > 0 && p.Hash == a.PromptPrefixes[len(a.PromptPrefixes)-1].Hash
+// coversPrompt reports whether p is the longest prefix of the prompt.
+func (r *Request) coversPrompt(p Prefix) bool {
+	return len(r.PromptPrefixes) > 0 && p.Hash == r.PromptPrefixes[len(r.PromptPrefixes)-1].Hash
 }
 
-// formerHome returns the target that the chat's requests went to before they go to t: the
-// first in the chat's order of those that served before t joined, if t is young, and the first of all,
-// a leaving one as well, if t is not that. Targets that join together, as at the start of a fleet, have
-// nothing for each other. It is nil if t is the chat's home of old.
-func formerHome(now time.Time, p *pool, a Request, t *target) *target {
-	young := now.Sub(t.joined) < youngFor
+// formerHome returns the target that probably got the chat's requests before t. If t is new, that
+// is the first one in the chat's order that served requests before t joined. Otherwise it is the
+// first one of all, leaving targets included. Targets that join together, as at the start of a
+// fleet, have nothing to share. It returns nil if t itself was the chat's home.
+func formerHome(now time.Time, p *pool, r Request, t *target) *target {
+	isNew := now.Sub(t.joinedAt) < newTargetPeriod
 	var best *target
-	order := p.order(a.Chat, func(*target) bool { return false })
+	order := p.chatOrder(r.Chat, func(*target) bool { return false })
 	weight := order.weight(t)
 	var bestWeight uint64
 	for _, o := range p.targets {
 		w := order.weight(o)
-		if o == t || !o.gives(now) || (!young && w < weight) {
+		if o == t || !o.shares(now) || (!isNew && w < weight) {
 			continue
 		}
-		if young && !o.servedBefore(t.joined) || !young && now.Sub(o.joined) < youngFor {
+		if isNew && !o.servedBefore(t.joinedAt) || !isNew && now.Sub(o.joinedAt) < newTargetPeriod {
 			continue
 		}
 		if best == nil || w > bestWeight {
--- a/internal/core/placement/target.go
+++ b/internal/core/placement/target.go
@@ -6,49 +6,53 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/rendezvous"
 )
 
-// Target is one lifetime of a back end as a placement sees it.
+// Target is one lifetime of a back end, with the properties that placement needs.
 type Target struct {
-	// UID names the lifetime: all that is believed of a target is kept by it, so that nothing
-	// of it is believed of the next one.
+	// UID identifies the lifetime. All state about a target is kept by UID, so none of it carries
+	// over to the next lifetime.
 	UID        uint64
-	ID         string // the name that the target gives itself in its answers
+	ID         string // the name by which the target identifies itself in its answers
 	Address    string
 	DataCentre string
 	Leaving    bool
-	// RemovedAt is when the target left the list; zero while it is listed. It may be used for a while after.
+	// RemovedAt is when the target was removed from the target list; zero while it is listed. It
+	// may still be used for a while, see TargetSet.
 	RemovedAt  time.Time
 	RowVersion uint64 // version of its entry
-	Slots      int    // 0 if unknown
+	Slots      int    // how many requests it executes at once; 0 if unknown
 	// ColdRemaining is how long the target stays cold, as its entry says.
 	ColdRemaining time.Duration
-	// StartedAtMs is the Unix millisecond at which the lifetime began, 0 if it is not known. A target that
-	// starts again keeps its ID, its chats find it by that, and nothing else of it is the same.
+	// StartedAtMs is when the lifetime began, in Unix milliseconds; 0 if unknown. A target that
+	// starts again keeps its ID, by which its chats find it, and no other state.
 	StartedAtMs int64
 }
 
-// UID returns the UID of a target's lifetime. All routers compute the same.
-func UID(id string, started int64) uint64 {
-	return rendezvous.Mix(rendezvous.Hash(id), uint64(started))
+// UID returns the UID of a target's lifetime, given its ID and its start in Unix milliseconds. All
+// routers compute the same value.
+func UID(id string, startedAtMs int64) uint64 {
+	return rendezvous.Mix(rendezvous.Hash(id), uint64(startedAtMs))
 }
 
-// Request is one request that needs a target.
+// Request describes a request that needs a target.
 type Request struct {
 	Pool string
-	// Chat is the hash of what the request shares with earlier ones; 0 if nothing.
+	// Chat is the hash of what the request shares with earlier ones; 0 if it shares nothing.
 	Chat uint64
-	// PromptPrefixes are the beginnings of the prompt that other requests share, the shortest first;
-	// empty if it is not known.
+	// PromptPrefixes are the prefixes of the prompt that other requests may share, shortest first;
+	// empty if unknown.
 	PromptPrefixes []Prefix
-	// PromptTokens are those of the whole prompt, what belongs to the request alone included; 0 if it has none.
+	// PromptTokens is the number of tokens in the whole prompt, including those of this request
+	// alone; 0 if it has none.
 	PromptTokens int
-	// Objective is the time to the first event that the route aims at; 0 if none.
+	// Objective is the route's objective for the time to the first event; 0 if it has none.
 	Objective time.Duration
-	Excluded  []uint64
-	// LoadsOutdated: a request of the pool takes less time than the news of what others have open there.
+	Excluded  []uint64 // UIDs of targets that must not be chosen
+	// LoadsOutdated is true if requests of the pool take less time than the load reports of other
+	// routers, so that the reported loads are of no use.
 	LoadsOutdated bool
 }
 
-// Load is how many requests one router has open at a target.
+// Load is the number of requests that one router has open at a target.
 type Load struct {
 	Target uint64
 	Open   int
@@ -57,27 +61,26 @@
 // Rule names why a target was chosen, for the log.
 type Rule string
 
-// The rules.
 const (
 	RuleHome        Rule = "home"         // first in the chat's order
-	RuleSpill       Rule = "spill"        // a later one: those before it are at the bound or suspended
-	RuleFaster      Rule = "faster"       // a later one: those before it would answer late
-	RuleLeastLoaded Rule = "least_loaded" // no chat, or every target at the bound
-	RuleRandom      Rule = "random"       // no chat, and what is known of the others' requests is out of date
-	RuleCold        Rule = "cold"         // a cold one: the others have no place free
-	RuleSuspect     Rule = "suspect"      // all others are suspended or have failed the request
-	// RuleTicket is that of routers that place by tickets of a pool's owner.
+	RuleSpill       Rule = "spill"        // later: the ones before are at the load bound or skipped
+	RuleFaster      Rule = "faster"       // later: the ones before would answer late
+	RuleLeastLoaded Rule = "least_loaded" // no chat, or no target below the load bound
+	RuleRandom      Rule = "random"       // like least_loaded, but the reported loads are outdated
+	RuleCold        Rule = "cold"         // a cold one: the others have no free slot
+	RuleSuspect     Rule = "suspect"      // the remaining targets are suspended or ejected
+	// RuleTicket marks requests placed by a ticket from the pool's owner, not by a Balancer.
 	RuleTicket Rule = "ticket"
 )
 
-// Choice is a placement with the figures that decided.
+// Choice is a placement, with the figures that it was based on.
 type Choice struct {
 	Target Target
 	Rule   Rule
-	Open   int     // what the fleet had open at the target, this request not counted
-	Bound  float64 // what it may hold
-	// CacheSource is the address of a target that probably holds the chat's cache while
-	// the chosen one does not; empty if there is none.
+	Open   int     // the fleet's open requests at the target, without this one
+	Bound  float64 // the load bound of the target
+	// CacheSource is the address of a target that probably holds cached prefixes of the prompt that
+	// the chosen one lacks; empty if there is none.
 	CacheSource string
 
 	sequence uint64
@@ -85,44 +88,44 @@
 
 type target struct {
 	Target
-	joined time.Time
-	served time.Time // when it was seen with a request first; zero if never
-	seed   uint64
-	own    int
-	peers  int // of all other routers, from their last digests
-	health health
-	pause  pause
-	ended  time.Time // when its process was told to have ended; zero if it was not
-	// askedEnded is when its port was asked last whether it has.
-	askedEnded time.Time
-
-	cold cold
-	// evacuated: operators want nothing sent to its data centre.
+	joinedAt time.Time
+	usedAt   time.Time // when a request was first seen at it; zero if never
+	seed     uint64
+	ownOpen  int
+	peerOpen int // reported by all other routers
+	health   health
+	pause    pause
+	exitedAt time.Time // when its process was last reported to have exited; zero if it was not
+	// probedAt is when its port was last probed, see ExitedTargetsToProbe.
+	probedAt time.Time
+
+	cold coldState
+	// evacuated is true if operators have ordered the evacuation of its data centre.
 	evacuated bool
 
-	pool    *pool
-	centre  int // index of its data centre in the pool
-	waiting waiting
-	counts  counts // of this router's requests
-	// peerCounts are those of all other routers, from their last digests with outcomes.
-	peerCounts counts
+	pool            *pool
+	dataCentreIndex int // index into pool.dataCentres
+	pending         pendingRequests
+	counts          outcomeCounts // by this router's requests
+	// peerCounts are the sums reported by all other routers.
+	peerCounts outcomeCounts
 	ejection   ejection
-	// reportedAt is when another router told last that the target failed it.
+	// reportedAt is when another router last reported failures of the target.
 	reportedAt time.Time
-	detectedAt time.Time // when what others told was looked at last
+	detectedAt time.Time // when a report last caused a check for an outlier
 }
 
-func (t *target) open() int { return t.own + t.peers }
+func (t *target) totalOpen() int { return t.ownOpen + t.peerOpen }
 
-// serves notes that the target has requests.
-func (t *target) serves(now time.Time) {
-	if t.served.IsZero() {
-		t.served = now
+// recordServing records that the target has requests.
+func (t *target) recordServing(now time.Time) {
+	if t.usedAt.IsZero() {
+		t.usedAt = now
 	}
 }
 
 // servedBefore reports whether the target was seen with requests before a time.
-func (t *target) servedBefore(at time.Time) bool { return !t.served.IsZero() && t.served.Before(at) }
+func (t *target) servedBefore(at time.Time) bool { return !t.usedAt.IsZero() && t.usedAt.Before(at) }
 
-// hasRoom reports whether the target has places free as far as the fleet knows.
-func (t *target) hasRoom() bool { return t.Slots > 0 && t.open() < t.Slots }
+// hasFreeSlot reports whether the target has free slots, as far as the fleet knows.
+func (t *target) hasFreeSlot() bool { return t.Slots > 0 && t.totalOpen() < t.Slots }
