--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -131,9 +131,9 @@
 	tell.News = c.news(now)
 	c.step(ctx, now, tell)
 	c.view.mu.Lock()
-	c.view.board.Expire(now)
+	c.view.board.ExpireReports(now)
 	c.view.mu.Unlock()
-	if c.roster.Expire(now, c.keep(now)) {
+	if c.roster.RemoveExpired(now, c.keep(now)) {
 		c.publishTargets(now)
 	}
 	c.askEnded(ctx, now)
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -91,7 +91,7 @@
 // the same one at every router.
 func (b *Balancer) chooseByChat(now time.Time, p *pool, r Request, bound float64, skip func(*target) bool) (*target, Rule) {
 	var c candidates
-	p.candidates(&c, r, min(bound, p.maxOpen), skip)
+	p.collectCandidates(&c, r, min(bound, p.maxOpen), skip)
 	if c.n == 0 {
 		return nil, ""
 	}
@@ -113,9 +113,9 @@
 	preferred int
 }
 
-// candidates collects the targets that hold less than limit: in the chat's order, but those above
-// the load given by spillLoadFactor come last.
-func (p *pool) candidates(c *candidates, r Request, limit float64, skip func(*target) bool) {
+// collectCandidates collects the targets that hold less than limit: in the chat's order, but those
+// above the load given by spillLoadFactor come last.
+func (p *pool) collectCandidates(c *candidates, r Request, limit float64, skip func(*target) bool) {
 	var top rendezvous.Top
 	order := p.chatOrder(r.Chat, skip)
 	for i, t := range p.targets {
@@ -260,6 +260,8 @@
 // centres is paid for.
 const remoteCost = 1.5
 
+// cost returns the load of a target for comparison with others: its open requests times its
+// slowdown, plus remoteCost in another data centre. A random fraction of a request breaks ties.
 func (b *Balancer) cost(now time.Time, t *target) float64 {
 	cost := (float64(t.totalOpen()) + b.rand.Float64()) * b.slowdown(now, t)
 	if t.DataCentre != b.settings.DataCentre && !ablate.Off(ablate.RemoteCost) {
--- a/internal/core/placement/cold_test.go
+++ b/internal/core/placement/cold_test.go
@@ -32,9 +32,9 @@
 }
 
 type openRequest struct {
-	board *placement.Balancer
-	c     placement.Choice
-	ends  time.Time
+	balancer *placement.Balancer
+	c        placement.Choice
+	ends     time.Time
 }
 
 func newColdFleet(routers, n int, seed uint64) *coldFleet {
@@ -82,8 +82,8 @@
 			if o.ends.After(now) {
 				return false
 			}
-			o.board.RecordFirstEvent(now, o.c, true)
-			o.board.FinishRequest(now, o.c.Target.UID, placement.Answered)
+			o.balancer.RecordFirstEvent(now, o.c, true)
+			o.balancer.FinishRequest(now, o.c.Target.UID, placement.Answered)
 			return true
 		})
 		b := f.balancers[f.rnd.IntN(len(f.balancers))]
--- a/internal/core/placement/loads.go
+++ b/internal/core/placement/loads.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// Expire drops the loads of routers that have been silent for too long, and the leaving notices
-// that no longer count.
-func (b *Balancer) Expire(now time.Time) {
+// ExpireReports drops the loads of routers that have been silent for too long, and the leaving
+// notices that no longer count.
+func (b *Balancer) ExpireReports(now time.Time) {
 	for id, p := range b.peers {
 		if now.Sub(p.receivedAt) > b.settings.LoadReportTTL {
 			b.ForgetRouter(id)
--- a/internal/core/placement/model.go
+++ b/internal/core/placement/model.go
@@ -43,8 +43,8 @@
 
 func (m *latencyModel) addAnswer(now time.Time, tokens, took, weight float64) {
 	if elapsed := now.Sub(m.decayedAt); elapsed > 0 {
-		decay := halfLifeDecay(elapsed, modelHalfLife)
-		m.n, m.x, m.xx, m.y, m.xy = m.n*decay, m.x*decay, m.xx*decay, m.y*decay, m.xy*decay
+		factor := halfLifeDecay(elapsed, modelHalfLife)
+		m.n, m.x, m.xx, m.y, m.xy = m.n*factor, m.x*factor, m.xx*factor, m.y*factor, m.xy*factor
 		m.decayedAt = now
 	}
 	m.n += weight
@@ -95,9 +95,10 @@
 	unreadTokens float64
 }
 
-// slowdown returns how many times as long as the model predicts a target takes, by the answers that
-// the whole fleet saw; 1 is average. A request that has waited longer than expected counts with its
-// waiting time, because the answers of a target that has just become slow come late.
+// slowdown returns the ratio of a target's actual times to the first event to those that the model
+// predicts, by the answers that the whole fleet saw; 1 is average. A pending request that has
+// waited longer than expected counts with its waiting time, because the answers of a target that
+// has just become slow come late.
 func (b *Balancer) slowdown(now time.Time, t *target) float64 {
 	m := t.pool.model
 	if !m.isFitted() || ablate.Off(ablate.Pace) {
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -73,9 +73,9 @@
 	return c.weight * math.Exp2(math.Round(math.Log2(1-skipped/c.active)))
 }
 
-// chatOrder is a chat's order of the targets of a pool: by data centre first, then by target. All
-// routers compute the same order. Chats that spill or move stay in their data centre while it has
-// room.
+// chatOrder is a chat's order of the targets of a pool: by data centre first, then by target. The
+// first target is the chat's home. All routers compute the same order. Chats that spill or move
+// stay in their data centre while it has room.
 type chatOrder struct {
 	chat uint64
 	rank [maxDataCentres]uint8 // a higher rank comes earlier; 0 is the last
--- a/internal/core/placement/outlier.go
+++ b/internal/core/placement/outlier.go
@@ -78,11 +78,11 @@
 		return
 	}
 	if elapsed := now.Sub(c.decayedAt); elapsed > 0 {
-		decay := halfLifeDecay(elapsed, outcomeHalfLife)
-		c.ended *= decay
-		c.failed *= decay
-		c.took *= decay
-		c.expected *= decay
+		factor := halfLifeDecay(elapsed, outcomeHalfLife)
+		c.ended *= factor
+		c.failed *= factor
+		c.took *= factor
+		c.expected *= factor
 		c.decayedAt = now
 	}
 }
@@ -210,14 +210,14 @@
 
 // subtractOutcomes subtracts what a router reported before from the sums.
 func (b *Balancer) subtractOutcomes(now time.Time, p *peerReport) {
-	decay := halfLifeDecay(now.Sub(p.outcomesReceivedAt), outcomeHalfLife)
+	factor := halfLifeDecay(now.Sub(p.outcomesReceivedAt), outcomeHalfLife)
 	for _, o := range p.outcomes {
 		if t, ok := b.byUID[o.Target]; ok {
 			t.peerCounts.decay(now)
-			t.peerCounts.ended = max(t.peerCounts.ended-decay*o.Ended, 0)
-			t.peerCounts.failed = max(t.peerCounts.failed-decay*o.Failed, 0)
-			t.peerCounts.took = max(t.peerCounts.took-decay*o.FirstEventSeconds, 0)
-			t.peerCounts.expected = max(t.peerCounts.expected-decay*o.ExpectedSeconds, 0)
+			t.peerCounts.ended = max(t.peerCounts.ended-factor*o.Ended, 0)
+			t.peerCounts.failed = max(t.peerCounts.failed-factor*o.Failed, 0)
+			t.peerCounts.took = max(t.peerCounts.took-factor*o.FirstEventSeconds, 0)
+			t.peerCounts.expected = max(t.peerCounts.expected-factor*o.ExpectedSeconds, 0)
 		}
 	}
 	p.outcomes = nil
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -79,10 +79,10 @@
 type Balancer struct {
 	settings       Settings
 	rand           *rand.Rand
-	pools          map[string]*pool
-	limits         map[string]PoolLimits
+	pools          map[string]*pool      // by name
+	limits         map[string]PoolLimits // by pool
 	byUID          map[uint64]*target
-	peers          map[uint32]*peerReport
+	peers          map[uint32]*peerReport // by router
 	inventory      *inventory
 	models         map[string]*latencyModel // by pool
 	leavingNotices map[uint64]*leavingNotice
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -170,7 +170,7 @@
 		}
 		b.ReceiveReport(start, 8, []placement.Load{{Target: targets(3)[0].UID, Open: 10}}, nil)
 		Expect(place(b, start, 0).Target.UID).To(Equal(targets(3)[2].UID))
-		b.Expire(start.Add(time.Minute))
+		b.ExpireReports(start.Add(time.Minute))
 		Expect(place(b, start, 0).Target.DataCentre).To(Equal("a"))
 	})
 
--- a/internal/core/placement/roster.go
+++ b/internal/core/placement/roster.go
@@ -139,8 +139,8 @@
 	return news, ids
 }
 
-// countRemoved updates removedCount, which saves Expire from iterating over all entries ten times a
-// second, and resets the cache of lifetimes.
+// countRemoved updates removedCount, which saves RemoveExpired from iterating over all entries ten
+// times a second, and resets the cache of lifetimes.
 func (s *TargetSet) countRemoved() {
 	s.removedCount, s.lifetimes = 0, nil
 	for _, e := range s.entries {
@@ -196,8 +196,8 @@
 	return !inOutage || now.Sub(removedAt) >= r.AfterOutageRemoval
 }
 
-// Expire drops the targets whose retention has passed and reports whether there were any.
-func (s *TargetSet) Expire(now time.Time, retention Retention) bool {
+// RemoveExpired drops the targets whose retention has passed and reports whether there were any.
+func (s *TargetSet) RemoveExpired(now time.Time, retention Retention) bool {
 	if s.removedCount == 0 {
 		return false
 	}
--- a/internal/core/placement/roster_test.go
+++ b/internal/core/placement/roster_test.go
@@ -21,12 +21,12 @@
 		s := placement.NewTargetSet()
 		s.Update(start, 0, list, nil)
 		s.Update(start, 0, nil, nil)
-		Expect(s.Expire(start.Add(time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
+		Expect(s.RemoveExpired(start.Add(time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
 		Expect(s.ByPool()[pool]).To(HaveLen(2))
 		s.Update(start.Add(time.Second), 0, list, nil)
-		Expect(s.Expire(start.Add(time.Minute), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
+		Expect(s.RemoveExpired(start.Add(time.Minute), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
 		s.Update(start.Add(time.Minute), 0, nil, nil)
-		Expect(s.Expire(start.Add(time.Minute+2*time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeTrue())
+		Expect(s.RemoveExpired(start.Add(time.Minute+2*time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeTrue())
 		Expect(s.ByPool()).To(BeEmpty())
 		Expect(s.HasLifetime(targets(1)[0].UID)).To(BeFalse())
 	})
@@ -198,8 +198,8 @@
 		Expect(ids).To(Equal([]string{"a"}), "the other target is not listed yet")
 		Expect(s.ApplyDepartures(at, news)).To(BeEmpty(), "they were reported before")
 		s.Update(at.Add(time.Second), 8, map[string][]placement.Target{"p": {{UID: 1, ID: "a"}}}, nil)
-		Expect(s.Expire(at.Add(1900*time.Millisecond), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
-		Expect(s.Expire(at.Add(2*time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeTrue(), "counted from the report")
+		Expect(s.RemoveExpired(at.Add(1900*time.Millisecond), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
+		Expect(s.RemoveExpired(at.Add(2*time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeTrue(), "counted from the report")
 		Expect(s.ByPool()).To(BeEmpty())
 	})
 
@@ -212,8 +212,8 @@
 		s := placement.NewTargetSet()
 		s.Update(start, 1, map[string][]placement.Target{"p": {{UID: 7, ID: "a"}}}, nil)
 		s.Update(out.Add(removed), 2, nil, nil)
-		Expect(s.Expire(out.Add(kept-time.Millisecond), retention)).To(BeFalse())
-		Expect(s.Expire(out.Add(kept), retention)).To(BeTrue())
+		Expect(s.RemoveExpired(out.Add(kept-time.Millisecond), retention)).To(BeFalse())
+		Expect(s.RemoveExpired(out.Add(kept), retention)).To(BeTrue())
 	},
 		Entry("removed before the outage", -time.Second, -300*time.Millisecond),
 		Entry("removed during the outage", 5*time.Second, 7500*time.Millisecond),
--- a/internal/core/placement/said_test.go
+++ b/internal/core/placement/said_test.go
@@ -51,7 +51,7 @@
 		setEntry(2, false) // written before the notice, delivered after it
 		Expect(isUsed()).To(BeFalse())
 		now = now.Add(30 * time.Second)
-		b.Expire(now)
+		b.ExpireReports(now)
 		Expect(isUsed()).To(BeFalse())
 	})
 
@@ -68,7 +68,7 @@
 		b.MarkLeaving(now, 1)
 		setEntry(2, false)
 		now = now.Add(61 * time.Second)
-		b.Expire(now)
+		b.ExpireReports(now)
 		Expect(isUsed()).To(BeTrue())
 		setEntry(3, false)
 		Expect(isUsed()).To(BeTrue())
