--- a/internal/app/gateway/inforce.go
+++ b/internal/app/gateway/inforce.go
@@ -70,7 +70,7 @@
 func limitsOf(table *route.Table) map[string]placement.PoolLimits {
 	out := make(map[string]placement.PoolLimits)
 	for name, p := range table.Pools() {
-		out[name] = placement.PoolLimits{Connections: p.MaxConnections, ColdPerSecond: p.ColdRequestsPerSecond, ColdFor: p.WarmUpTime}
+		out[name] = placement.PoolLimits{MaxConnections: p.MaxConnections, ColdPerSecond: p.ColdRequestsPerSecond, ColdDuration: p.WarmUpTime}
 	}
 	return out
 }
--- a/internal/core/admission/short_test.go
+++ b/internal/core/admission/short_test.go
@@ -103,7 +103,7 @@
 		list[i] = placement.Target{UID: uint64(i + 1), ID: fmt.Sprint("i-", i), Slots: slots, DataCentre: "a"}
 		engines[list[i].UID] = &plainTarget{slots: slots, queue: queue, free: make([]time.Duration, slots)}
 	}
-	boards, gates := make([]*placement.Board, l.routers), make([]*admission.Gate, l.routers)
+	boards, gates := make([]*placement.Balancer, l.routers), make([]*admission.Gate, l.routers)
 	for i := range boards {
 		boards[i] = placement.New(placement.DefaultSettings("a"), rand.New(rand.NewPCG(seed, uint64(i))))
 		boards[i].SetTargets(start, map[string][]placement.Target{"p": list})
@@ -117,7 +117,7 @@
 		if now%(100*time.Millisecond) == 0 {
 			ownLoads := make([][]placement.Load, l.routers)
 			for i, b := range boards {
-				ownLoads[i] = b.Own()
+				ownLoads[i] = b.OwnLoads()
 			}
 			reports = append(reports, ownLoads)
 		}
@@ -125,7 +125,7 @@
 			for i, b := range boards {
 				for o, loads := range reports[index] {
 					if o != i {
-						b.Heard(at, uint32(o+1), loads, nil)
+						b.ReceiveReport(at, uint32(o+1), loads, nil)
 					}
 				}
 			}
@@ -141,7 +141,7 @@
 				end = admission.Late
 			}
 			gates[a.router].RecordEnd(at, "", took, end)
-			boards[a.router].Done(at, a.choice.Target.UID, o)
+			boards[a.router].FinishRequest(at, a.choice.Target.UID, o)
 			rank := a.rank
 			switch {
 			case a.sent < 2*time.Second:
@@ -160,7 +160,7 @@
 					got[rank].asked++
 				}
 				r := rnd.IntN(l.routers)
-				c, ok := boards[r].Place(at, placement.Ask{Pool: "p", Stale: !l.exact && gates[r].HasShortWork(l.reportAge)})
+				c, ok := boards[r].Place(at, placement.Request{Pool: "p", LoadsOutdated: !l.exact && gates[r].HasShortWork(l.reportAge)})
 				Expect(ok).To(BeTrue())
 				age := l.reportAge
 				if l.exact {
@@ -168,7 +168,7 @@
 				}
 				decision := gates[r].Decide(at, admission.Request{Rank: 1, RouteRank: rank, Remaining: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, ReportAge: age})
 				if decision.Code != code.OK {
-					boards[r].Done(at, c.Target.UID, placement.Neutral)
+					boards[r].FinishRequest(at, c.Target.UID, placement.Neutral)
 					Expect(decision.RetryAfter).To(BeNumerically(">", 0))
 					if now >= 2*time.Second {
 						got[rank].refused++
--- a/internal/core/fleet/events.go
+++ b/internal/core/fleet/events.go
@@ -83,9 +83,9 @@
 	// Tick reports that time has passed. The core expects one every TickInterval.
 	Tick struct {
 		Loads    []placement.Load
-		Outcomes []placement.Outcomes
+		Outcomes []placement.TargetOutcomes
 		// Prompts are sent in the next digest only.
-		Prompts []placement.Read
+		Prompts []placement.PrefixRead
 		UrgentReports
 	}
 	// ReportsPending passes urgent reports that the core must send immediately.
@@ -165,8 +165,8 @@
 		// don't overlap, except for those discarded by ReportsDiscarded.
 		Source     uint32
 		Loads      []placement.Load
-		Outcomes   []placement.Outcomes
-		Prompts    []placement.Read
+		Outcomes   []placement.TargetOutcomes
+		Prompts    []placement.PrefixRead
 		Departures []placement.Departure
 		Poison     poison.Report
 		// Partial: the report has only prompts, departures and poison reports.
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -138,8 +138,8 @@
 	sequence         uint64
 	lastSentAt       time.Time
 	lastLoads        []placement.Load
-	outcomes         []placement.Outcomes
-	prompts          []placement.Read // not yet sent
+	outcomes         []placement.TargetOutcomes
+	prompts          []placement.PrefixRead // not yet sent
 	departures       []placement.Departure
 	poison           poison.Report
 	suspects         suspects
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -271,7 +271,7 @@
 	It("sends prompt locations in one digest, and passes on those of other routers", func() {
 		c := fleet.New(n.now, fleet.Settings{Self: "self", Incarnation: 1})
 		c.Step(n.now, fleet.DigestReceived{From: "other", Digest: &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 1}})
-		read := []placement.Read{{Part: 1, Target: 2}}
+		read := []placement.PrefixRead{{Prefix: 1, Target: 2}}
 		sentPrompts := func(t fleet.Tick, after time.Duration) (parts, targets []uint64) {
 			for _, a := range c.Step(n.now.Add(after), t) {
 				if d, ok := a.(fleet.SendDigest); ok {
@@ -288,7 +288,7 @@
 		Expect(sentPrompts(fleet.Tick{}, time.Second)).To(BeEmpty())
 		d := &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 2, Report: &peerv1.Report{}, PromptPart: []uint64{7, 8}, PromptTarget: []uint64{9}}
 		Expect(c.Step(n.now, fleet.DigestReceived{From: "other", Digest: d})).To(ContainElement(
-			fleet.ReportReceived{Source: fleet.RouterID("other"), Loads: []placement.Load{}, Prompts: []placement.Read{{Part: 7, Target: 9}}}))
+			fleet.ReportReceived{Source: fleet.RouterID("other"), Loads: []placement.Load{}, Prompts: []placement.PrefixRead{{Prefix: 7, Target: 9}}}))
 	})
 
 	// Guards against a digest of an exited process that replaces the reports of its successor. The
--- a/internal/core/fleet/many_test.go
+++ b/internal/core/fleet/many_test.go
@@ -185,7 +185,7 @@
 			n.loss = loss
 			for target := range uint64(10) {
 				reporter := n.nodes[address(int(target)*6)]
-				reporter.addDeparture(n.now, placement.Departure{Target: 1000 + target, List: 1})
+				reporter.addDeparture(n.now, placement.Departure{Target: 1000 + target, ListVersion: 1})
 				n.run(300 * time.Millisecond)
 			}
 			missing := 0
--- a/internal/core/fleet/net_test.go
+++ b/internal/core/fleet/net_test.go
@@ -312,7 +312,7 @@
 func (x *node) openRequests(now time.Time, target uint64) int {
 	sum := 0
 	for _, h := range x.reports {
-		if now.Sub(h.at) > placement.DefaultSettings("").LoadsExpire {
+		if now.Sub(h.at) > placement.DefaultSettings("").LoadReportTTL {
 			continue
 		}
 		for _, l := range h.loads {
--- a/internal/core/fleet/report.go
+++ b/internal/core/fleet/report.go
@@ -12,7 +12,7 @@
 type sourceReport struct {
 	at         time.Time // when loads were reported; zero if there are none
 	loads      []placement.Load
-	outcomes   []placement.Outcomes
+	outcomes   []placement.TargetOutcomes
 	outcomesAt time.Time // when outcomes were reported
 	counted    int       // number of routers in a sum
 }
@@ -24,7 +24,7 @@
 
 // update replaces the loads, and the outcomes unless they are nil. It reports whether the loads
 // changed.
-func (r *sourceReport) update(now time.Time, loads []placement.Load, outcomes []placement.Outcomes) bool {
+func (r *sourceReport) update(now time.Time, loads []placement.Load, outcomes []placement.TargetOutcomes) bool {
 	differ := !r.fresh(now) || !equalLoads(r.loads, loads)
 	r.at, r.loads = now, loads
 	if outcomes != nil {
@@ -38,7 +38,7 @@
 type tally struct {
 	loadPos  map[uint64]int // index of each target in loads
 	loads    []placement.Load
-	outcomes []placement.Outcomes
+	outcomes []placement.TargetOutcomes
 	outPos   map[uint64]int // index of each target in outcomes
 }
 
@@ -56,13 +56,13 @@
 	}
 }
 
-func (s *tally) addOutcomes(outcomes []placement.Outcomes, weight float64) {
+func (s *tally) addOutcomes(outcomes []placement.TargetOutcomes, weight float64) {
 	for _, o := range outcomes {
 		i, ok := s.outPos[o.Target]
 		if !ok {
 			i = len(s.outcomes)
 			s.outPos[o.Target] = i
-			s.outcomes = append(s.outcomes, placement.Outcomes{Target: o.Target})
+			s.outcomes = append(s.outcomes, placement.TargetOutcomes{Target: o.Target})
 		}
 		s.outcomes[i].Add(o, weight)
 	}
@@ -74,26 +74,26 @@
 		s.addLoads(r.loads, 1)
 	}
 	if !r.outcomesAt.IsZero() && now.Sub(r.outcomesAt) < reportTTL {
-		s.addOutcomes(r.outcomes, placement.Remaining(now.Sub(r.outcomesAt)))
+		s.addOutcomes(r.outcomes, placement.DecayFactor(now.Sub(r.outcomesAt)))
 	}
 }
 
 // subtract returns loads and outcomes without a part that is counted elsewhere.
-func subtract(loads, part []placement.Load, outcomes, partOutcomes []placement.Outcomes) ([]placement.Load, []placement.Outcomes) {
+func subtract(loads, part []placement.Load, outcomes, partOutcomes []placement.TargetOutcomes) ([]placement.Load, []placement.TargetOutcomes) {
 	sum := newTally()
 	sum.addLoads(loads, 1)
 	sum.addLoads(part, -1)
 	if outcomes == nil {
 		return sum.loads, nil
 	}
-	sum.outcomes = make([]placement.Outcomes, 0, len(outcomes))
+	sum.outcomes = make([]placement.TargetOutcomes, 0, len(outcomes))
 	sum.addOutcomes(outcomes, 1)
 	sum.addOutcomes(partOutcomes, -1)
 	return sum.loads, sum.outcomes
 }
 
 // encodeReport encodes loads and, if includeOutcomes is set, outcomes.
-func encodeReport(loads []placement.Load, outcomes []placement.Outcomes, includeOutcomes bool) *peerv1.Report {
+func encodeReport(loads []placement.Load, outcomes []placement.TargetOutcomes, includeOutcomes bool) *peerv1.Report {
 	r := &peerv1.Report{TellsOutcomes: includeOutcomes}
 	for _, l := range loads {
 		if l.Open > 0 {
@@ -110,10 +110,10 @@
 			r.OutcomeEnded = append(r.OutcomeEnded, float32(o.Ended))
 			r.OutcomeFailed = append(r.OutcomeFailed, float32(o.Failed))
 		}
-		if o.Took > 0 {
+		if o.FirstEventSeconds > 0 {
 			r.SlowTarget = append(r.SlowTarget, o.Target)
-			r.SlowTook = append(r.SlowTook, float32(o.Took))
-			r.SlowExpected = append(r.SlowExpected, float32(o.Expected))
+			r.SlowTook = append(r.SlowTook, float32(o.FirstEventSeconds))
+			r.SlowExpected = append(r.SlowExpected, float32(o.ExpectedSeconds))
 		}
 	}
 	return r
@@ -132,33 +132,33 @@
 func isValidSum(v float64) bool { return v >= 0 && !math.IsInf(v, 1) }
 
 // decodeOutcomes returns nil if the report does not include outcomes.
-func decodeOutcomes(r *peerv1.Report) []placement.Outcomes {
+func decodeOutcomes(r *peerv1.Report) []placement.TargetOutcomes {
 	if !r.GetTellsOutcomes() {
 		return nil
 	}
 	n := min(len(r.GetOutcomeTarget()), len(r.GetOutcomeEnded()), len(r.GetOutcomeFailed()))
 	slow := min(len(r.GetSlowTarget()), len(r.GetSlowTook()), len(r.GetSlowExpected()))
-	out := make([]placement.Outcomes, 0, n+slow)
+	out := make([]placement.TargetOutcomes, 0, n+slow)
 	for i := range n {
 		ended, failed := float64(r.GetOutcomeEnded()[i]), float64(r.GetOutcomeFailed()[i])
 		if isValidSum(ended) && isValidSum(failed) {
-			out = append(out, placement.Outcomes{Target: r.GetOutcomeTarget()[i], Ended: ended, Failed: failed})
+			out = append(out, placement.TargetOutcomes{Target: r.GetOutcomeTarget()[i], Ended: ended, Failed: failed})
 		}
 	}
 	for i := range slow {
 		took, expected := float64(r.GetSlowTook()[i]), float64(r.GetSlowExpected()[i])
 		if isValidSum(took) && isValidSum(expected) {
-			out = append(out, placement.Outcomes{Target: r.GetSlowTarget()[i], Took: took, Expected: expected})
+			out = append(out, placement.TargetOutcomes{Target: r.GetSlowTarget()[i], FirstEventSeconds: took, ExpectedSeconds: expected})
 		}
 	}
 	return out
 }
 
-func decodePrompts(d *peerv1.Digest) []placement.Read {
+func decodePrompts(d *peerv1.Digest) []placement.PrefixRead {
 	n := min(len(d.GetPromptPart()), len(d.GetPromptTarget()))
-	out := make([]placement.Read, n)
+	out := make([]placement.PrefixRead, n)
 	for i := range n {
-		out[i] = placement.Read{Part: d.GetPromptPart()[i], Target: d.GetPromptTarget()[i]}
+		out[i] = placement.PrefixRead{Prefix: d.GetPromptPart()[i], Target: d.GetPromptTarget()[i]}
 	}
 	return out
 }
@@ -170,12 +170,12 @@
 	}
 	out := make([]placement.Departure, n)
 	for i := range n {
-		out[i] = placement.Departure{Target: d.GetLeftTarget()[i], List: d.GetLeftList()[i], Gone: d.GetLeftGone()[i]}
+		out[i] = placement.Departure{Target: d.GetLeftTarget()[i], ListVersion: d.GetLeftList()[i], Removed: d.GetLeftGone()[i]}
 		if i < len(d.GetLeftSaid()) { // absent in digests of earlier releases
-			out[i].Said = d.GetLeftSaid()[i]
+			out[i].Announced = d.GetLeftSaid()[i]
 		}
 		if i < len(d.GetLeftEnded()) {
-			out[i].Ended = d.GetLeftEnded()[i]
+			out[i].Exited = d.GetLeftEnded()[i]
 		}
 	}
 	return out
--- a/internal/core/fleet/sums.go
+++ b/internal/core/fleet/sums.go
@@ -56,7 +56,7 @@
 
 // updateCentreSum counts a data centre by its sum, and no longer by its routers' own reports. It
 // returns false if another relay there covers more routers.
-func (c *Core) updateCentreSum(now time.Time, dataCentre string, counted int, loads []placement.Load, outcomes []placement.Outcomes) bool {
+func (c *Core) updateCentreSum(now time.Time, dataCentre string, counted int, loads []placement.Load, outcomes []placement.TargetOutcomes) bool {
 	s, ok := c.centreSums[dataCentre]
 	if !ok {
 		s = &sourceReport{}
--- a/internal/core/fleet/suspects.go
+++ b/internal/core/fleet/suspects.go
@@ -73,10 +73,10 @@
 func (c *Core) addUrgentReports(d *peerv1.Digest) {
 	for _, departure := range c.departures {
 		d.LeftTarget = append(d.LeftTarget, departure.Target)
-		d.LeftList = append(d.LeftList, departure.List)
-		d.LeftGone = append(d.LeftGone, departure.Gone)
-		d.LeftSaid = append(d.LeftSaid, departure.Said)
-		d.LeftEnded = append(d.LeftEnded, departure.Ended)
+		d.LeftList = append(d.LeftList, departure.ListVersion)
+		d.LeftGone = append(d.LeftGone, departure.Removed)
+		d.LeftSaid = append(d.LeftSaid, departure.Announced)
+		d.LeftEnded = append(d.LeftEnded, departure.Exited)
 	}
 	for _, e := range c.poison.Exits {
 		d.EndedRequest = append(d.EndedRequest, uint64(e.Request))
--- a/internal/core/fleet/tell.go
+++ b/internal/core/fleet/tell.go
@@ -33,13 +33,13 @@
 // outbox holds the prompts that a relay has to pass on, and when it last sent the list of routers,
 // a sum and outcomes.
 type outbox struct {
-	prompts        []placement.Read
+	prompts        []placement.PrefixRead
 	listSentAt     time.Time
 	sumSentAt      time.Time
 	outcomesSentAt time.Time
 }
 
-func (o *outbox) add(prompts []placement.Read) {
+func (o *outbox) add(prompts []placement.PrefixRead) {
 	o.prompts = append(o.prompts, prompts...)
 	if over := len(o.prompts) - maxQueuedPrompts; over > 0 {
 		o.prompts = slices.Delete(o.prompts, 0, over)
@@ -47,7 +47,7 @@
 }
 
 // takePrompts removes and returns the prompts of the next digest.
-func (o *outbox) takePrompts() []placement.Read {
+func (o *outbox) takePrompts() []placement.PrefixRead {
 	n := min(len(o.prompts), maxPromptsPerDigest)
 	out := o.prompts[:n:n]
 	o.prompts = o.prompts[n:]
@@ -273,9 +273,9 @@
 	return d
 }
 
-func setPrompts(d *peerv1.Digest, prompts []placement.Read) {
+func setPrompts(d *peerv1.Digest, prompts []placement.PrefixRead) {
 	for _, s := range prompts {
-		d.PromptPart = append(d.PromptPart, s.Part)
+		d.PromptPart = append(d.PromptPart, s.Prefix)
 		d.PromptTarget = append(d.PromptTarget, s.Target)
 	}
 }
--- a/internal/core/placement/evacuate.go
+++ b/internal/core/placement/evacuate.go
@@ -6,8 +6,9 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/evacuation"
 )
 
-// Evacuate puts the operators' orders to evacuate data centres in force, in place of those before, and returns what has changed.
-func (b *Board) Evacuate(now time.Time, dataCentres []string) []evacuation.Change {
+// SetEvacuated replaces the applied evacuation orders by those for dataCentres and returns the
+// changes.
+func (b *Balancer) SetEvacuated(now time.Time, dataCentres []string) []evacuation.Change {
 	changes := b.orders.Update(dataCentres)
 	if len(changes) == 0 {
 		return nil
@@ -17,26 +18,29 @@
 		returned[ch.DataCentre] = !ch.Evacuated
 	}
 	for _, t := range b.byUID {
-		t.evacuated = b.orders.Holds(t.DataCentre)
+		t.evacuated = b.orders.IsEvacuated(t.DataCentre)
 		if returned[t.DataCentre] {
-			t.cold.learn(now, t.pool.limits.ColdFor) // it may have been switched off meanwhile, and say so too late
+			// The target may have been switched off during the evacuation, and may report too late
+			// that it is cold.
+			t.cold.extend(now, t.pool.limits.ColdDuration)
 		}
 	}
 	for _, p := range b.pools {
-		p.centres = centres(p.targets)
+		p.dataCentres = groupByDataCentre(p.targets)
 	}
 	return changes
 }
 
-// Evacuated reports whether all targets of a pool that stay are in evacuated data centres.
-func (b *Board) Evacuated(pool string) bool {
+// IsEvacuated reports whether a pool has targets that are not leaving, and all of them are in
+// evacuated data centres.
+func (b *Balancer) IsEvacuated(pool string) bool {
 	p, ok := b.pools[pool]
 	if !ok {
 		return false
 	}
 	evacuated := false
 	for _, t := range p.targets {
-		if t.stays() {
+		if t.isActive() {
 			return false
 		}
 		evacuated = evacuated || (t.evacuated && !t.Leaving)
@@ -44,5 +48,6 @@
 	return evacuated
 }
 
-// stays reports whether the target may get requests at all: it does not leave, and its data centre is not evacuated.
-func (t *target) stays() bool { return !t.Leaving && !t.evacuated }
+// isActive reports whether the target may get requests at all: it is not leaving and its data
+// centre is not evacuated.
+func (t *target) isActive() bool { return !t.Leaving && !t.evacuated }
