--- a/internal/adapter/gatewayhttp/gatewayhttp.go
+++ b/internal/adapter/gatewayhttp/gatewayhttp.go
@@ -23,7 +23,7 @@
 
 // Server serves callers. It is safe for concurrent use.
 type Server struct {
-	relay   *gateway.Relay
+	relay   *gateway.Proxy
 	control *gateway.Control
 	decoder Decoder
 	now     func() time.Time
@@ -31,7 +31,7 @@
 }
 
 // New returns a Server.
-func New(relay *gateway.Relay, control *gateway.Control, decoder Decoder, now func() time.Time, refused func(code.Code)) *Server {
+func New(relay *gateway.Proxy, control *gateway.Control, decoder Decoder, now func() time.Time, refused func(code.Code)) *Server {
 	return &Server{relay: relay, control: control, decoder: decoder, now: now, refused: refused}
 }
 
@@ -41,7 +41,7 @@
 // ServeHTTP carries one request. It is no mux: paths go to targets as they came,
 // and a mux would redirect those that it finds unclean.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.control.Leaving() {
+	if s.control.ShuttingDown() {
 		// Connections end one by one, each with its next answer. Closing idle ones at
 		// once would cross requests that are on their way.
 		w.Header().Set("Connection", "close")
@@ -74,7 +74,7 @@
 
 func (s *Server) refuse(out *responder, call *gateway.Call, c code.Code) {
 	s.refused(c)
-	out.Refuse(c, gateway.RetryAfter(c, call.Budget))
+	out.SendError(c, gateway.RetryAfter(c, call.Timeout))
 }
 
 // Readiness serves the balancer's check at a path.
@@ -111,8 +111,8 @@
 	"Te": true, "Trailer": true, "Upgrade": true, "Content-Length": true,
 }
 
-// Begin sends status and header.
-func (o *responder) Begin(status int, header http.Header, length int64) {
+// SendHeader sends status and header.
+func (o *responder) SendHeader(status int, header http.Header, length int64) {
 	h := o.w.Header()
 	for name, values := range header {
 		if !hopByHop[name] {
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// Refuse answers with a result code.
-func (o *responder) Refuse(c code.Code, retryAfter time.Duration) {
+// SendError answers with a result code.
+func (o *responder) SendError(c code.Code, retryAfter time.Duration) {
 	if c == code.CallerGone {
 		o.cut = true // nobody reads an answer
 		return
@@ -153,5 +153,5 @@
 	wire.WriteError(o.w, code.New(c, "request not served"))
 }
 
-// Cut closes the connection so that the answer has no end.
-func (o *responder) Cut() { o.cut = true }
+// Abort closes the connection so that the answer has no end.
+func (o *responder) Abort() { o.cut = true }
--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -49,26 +49,26 @@
 	}
 }
 
-// Observe records how a request ended.
-func (g *Gateway) Observe(r gateway.Result) {
+// RecordResult records how a request ended.
+func (g *Gateway) RecordResult(r gateway.Result) {
 	g.add("requests_total", "code", r.Code.Lookup().Name, 1)
-	if r.Repeats > 0 {
-		g.add("repeats_total", "pool", r.Pool, r.Repeats)
+	if r.Retries > 0 {
+		g.add("repeats_total", "pool", r.Pool, r.Retries)
 	}
-	if r.Denied {
+	if r.RetryDenied {
 		g.add("repeats_denied_total", "pool", r.Pool, 1)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.Code == code.OK {
-		g.latency("first_byte_ms", r).observe(r.First)
-		g.latency("total_ms", r).observe(r.Total)
+		g.latency("first_byte_ms", r).observe(r.FirstByteTime)
+		g.latency("total_ms", r).observe(r.TotalTime)
 	}
 	if r.Code == code.CallerGone {
 		return // says nothing of the service
 	}
 	answered := r.Code == code.OK && r.Status < http.StatusInternalServerError
-	g.levels.Observe(g.now(), burn.Key{Pool: r.Pool, Team: r.Team}, burn.Good(answered, r.First, r.Objective), r.First)
+	g.levels.Observe(g.now(), burn.Key{Pool: r.Pool, Team: r.Team}, burn.Good(answered, r.FirstByteTime, r.Objective), r.FirstByteTime)
 }
 
 // latency returns the histogram of a request's route and team class. Beyond the bound
@@ -87,8 +87,8 @@
 	return l
 }
 
-// Said counts what targets say of themselves.
-func (g *Gateway) Said(what string) { g.add("targets_said_total", "what", what, 1) }
+// CountSignal counts what targets say of themselves.
+func (g *Gateway) CountSignal(what string) { g.add("targets_said_total", "what", what, 1) }
 
 // Refused counts a refusal before a route was known.
 func (g *Gateway) Refused(c code.Code) { g.add("refused_total", "code", c.Lookup().Name, 1) }
@@ -144,16 +144,16 @@
 		name  string
 		value float64
 	}{
-		{"ready", boolean(s.Ready)}, {"store_reading", boolean(s.Reading)}, {"desired_state_version", float64(s.Version)},
+		{"ready", boolean(s.Ready)}, {"store_reading", boolean(s.StoreReader)}, {"desired_state_version", float64(s.DesiredVersion)},
 		{"desired_state_age_seconds", s.DesiredAge.Seconds()}, {"targets_age_seconds", s.TargetsAge.Seconds()},
-		{"peers_alive", float64(s.Peers)}, {"peers_heard", float64(s.Heard)}, {"relay", boolean(s.Relay)},
-		{"feed_age_seconds", s.FedAge.Seconds()}, {"suspects", float64(s.Suspects)}, {"evacuated_data_centres", float64(s.Evacuated)},
-		{"cold_targets", float64(s.Cold)},
+		{"peers_alive", float64(s.LivePeers)}, {"peers_heard", float64(s.DirectPeers)}, {"relay", boolean(s.IsRelay)},
+		{"feed_age_seconds", s.FeedAge.Seconds()}, {"suspects", float64(s.Suspects)}, {"evacuated_data_centres", float64(s.EvacuatedDataCentres)},
+		{"cold_targets", float64(s.ColdTargets)},
 	} {
 		fmt.Fprintf(w, "%s%s %g\n", prefix, one.name, one.value)
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.OpenAt)) {
-		fmt.Fprintf(w, "%sopen_requests{target=%q} %d\n", prefix, id, s.OpenAt[id])
+	for _, id := range slices.Sorted(maps.Keys(s.OpenRequests)) {
+		fmt.Fprintf(w, "%sopen_requests{target=%q} %d\n", prefix, id, s.OpenRequests[id])
 	}
 }
 
--- a/internal/adapter/peer/copier.go
+++ b/internal/adapter/peer/copier.go
@@ -27,8 +27,8 @@
 	return &Copier{client: newHTTPClient(timeout, copyIdle, wrap), timeout: timeout}
 }
 
-// Copy asks the router at an address.
-func (c *Copier) Copy(ctx context.Context, address string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+// RequestCopy asks the router at an address.
+func (c *Copier) RequestCopy(ctx context.Context, address string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	client := peerv1connect.NewPeerServiceClient(c.client, "http://"+address, connect.WithReadMaxBytes(maxMessage))
--- a/internal/adapter/peer/datagram.go
+++ b/internal/adapter/peer/datagram.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// Send queues a digest for each address; nobody waits for it. yours, if there are any, are added to the digest, each for the
+// SendDigest queues a digest for each address; nobody waits for it. yours, if there are any, are added to the digest, each for the
 // address in its place. None of them may be changed afterwards.
-func (d *Datagrams) Send(to []string, m *peerv1.Digest, yours []*peerv1.Report) {
+func (d *Datagrams) SendDigest(to []string, m *peerv1.Digest, yours []*peerv1.Report) {
 	select {
 	case d.unsent <- message{to, m, yours}:
 	default:
--- a/internal/adapter/peer/datagram_test.go
+++ b/internal/adapter/peer/datagram_test.go
@@ -35,7 +35,7 @@
 	It("come whole, each with what is its receiver's", func() {
 		here := listen("127.0.0.1:0")
 		a, b := received(listen("127.0.0.2:17341")), received(listen("127.0.0.3:17341"))
-		here.Send([]string{"127.0.0.2:17341", "127.0.0.3:17341"},
+		here.SendDigest([]string{"127.0.0.2:17341", "127.0.0.3:17341"},
 			&peerv1.Digest{Sequence: 7, Report: &peerv1.Report{LoadTarget: []uint64{1, 2}, LoadOpen: []uint32{3, 4}}},
 			[]*peerv1.Report{{LoadTarget: []uint64{1}, LoadOpen: []uint32{1}}, nil})
 		var first, second *peerv1.Digest
@@ -57,7 +57,7 @@
 			to[i] = "127.0.0.4:17341"
 		}
 		began := time.Now()
-		here.Send(to, &peerv1.Digest{Sequence: 1}, nil)
+		here.SendDigest(to, &peerv1.Digest{Sequence: 1}, nil)
 		for range to {
 			Eventually(got).Should(Receive())
 		}
@@ -66,7 +66,7 @@
 
 	It("are counted as lost when they can't be sent, and when too many wait", func() {
 		here := listen("127.0.0.1:0")
-		here.Send([]string{"nowhere"}, &peerv1.Digest{}, nil)
+		here.SendDigest([]string{"nowhere"}, &peerv1.Digest{}, nil)
 		Eventually(here.Lost).Should(Equal(int64(1)))
 		to := make([]string, 320) // 19 pauses
 		for i := range to {
@@ -74,7 +74,7 @@
 		}
 		began := time.Now()
 		for range 80 {
-			here.Send(to, &peerv1.Digest{}, nil)
+			here.SendDigest(to, &peerv1.Digest{}, nil)
 		}
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second), "to send them takes 7.6 s at the least, and nobody waits for it")
 		Expect(here.Lost()).To(BeNumerically(">=", 10*320), "64 wait")
--- a/internal/app/gateway/answer.go
+++ b/internal/app/gateway/answer.go
@@ -146,7 +146,7 @@
 	}
 	if x.first.IsZero() {
 		x.first, x.status = x.relay.now(), answer.Status
-		x.out.Begin(answer.Status, answer.Header, -1)
+		x.out.SendHeader(answer.Status, answer.Header, -1)
 	}
 	if err := x.out.Write(data[:whole]); err != nil {
 		return nil, x.machine.Step(attempt.CallerLeft{})
--- a/internal/app/gateway/bench_test.go
+++ b/internal/app/gateway/bench_test.go
@@ -19,9 +19,9 @@
 // entries decodes rows of JSON, as targets write them.
 type entries struct{}
 
-func (entries) Evacuated([]replica.Row) []string { return nil }
+func (entries) EvacuatedDataCentres([]replica.Row) []string { return nil }
 
-func (entries) Desired([]replica.Row) (*route.State, error) { return nil, nil }
+func (entries) DesiredState([]replica.Row) (*route.State, error) { return nil, nil }
 
 func (entries) Targets(rows []replica.Row) (map[string][]placement.Target, []RejectedEntry) {
 	out := make(map[string][]placement.Target)
@@ -37,20 +37,20 @@
 // noStore never answers.
 type noStore struct{ Store }
 
-func (noStore) Whole(ctx context.Context, _ fleet.Table, _ int) (uint64, []replica.Row, error) {
+func (noStore) ReadTable(ctx context.Context, _ fleet.Table, _ int) (uint64, []replica.Row, error) {
 	<-ctx.Done()
 	return 0, nil, ctx.Err()
 }
 
-func (noStore) Follow(ctx context.Context, _ fleet.Table, _ uint64, _ time.Duration) (uint64, []replica.Row, error) {
+func (noStore) AwaitChanges(ctx context.Context, _ fleet.Table, _ uint64, _ time.Duration) (uint64, []replica.Row, error) {
 	<-ctx.Done()
 	return 0, nil, ctx.Err()
 }
 
 type noPeers struct{}
 
-func (noPeers) Send([]string, *peerv1.Digest, []*peerv1.Report) {}
-func (noPeers) Copy(context.Context, string, *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+func (noPeers) SendDigest([]string, *peerv1.Digest, []*peerv1.Report) {}
+func (noPeers) RequestCopy(context.Context, string, *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	return nil, context.Canceled
 }
 
@@ -69,7 +69,7 @@
 // crowd returns a Control that knows n targets.
 func crowd(n int) (*Control, time.Time) {
 	now := time.Now()
-	c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: true, InForceWithin: 2 * time.Second, LeftWithin: 2 * time.Second, LoadMultiple: 2, RetryWindow: 10 * time.Second},
+	c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: true, MaxApplyDelay: 2 * time.Second, MaxDepartureDelay: 2 * time.Second, LoadMultiple: 2, RetryWindow: 10 * time.Second},
 		noStore{}, entries{}, noPeers{}, noTargets{}, eventlog.Nop(), time.Now)
 	for t := range c.followCtx {
 		c.followCtx[t], c.stopFollow[t] = context.WithCancel(context.Background())
--- a/internal/app/gateway/budget_test.go
+++ b/internal/app/gateway/budget_test.go
@@ -27,8 +27,8 @@
 				began := now.Add(time.Duration(start) * 1500 * time.Millisecond)
 				var passed atomic.Int64 // nanoseconds
 				clock := func() time.Time { return began.Add(time.Duration(passed.Load())) }
-				c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: first && start == 0, InForceWithin: 2 * time.Second,
-					LeftWithin: 2 * time.Second, LoadMultiple: 2, RetryRatio: 0.2, RetrySlack: slack, RetryWindow: span},
+				c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: first && start == 0, MaxApplyDelay: 2 * time.Second,
+					MaxDepartureDelay: 2 * time.Second, LoadMultiple: 2, RetryRatio: 0.2, RetrySlack: slack, RetryWindow: span},
 					noStore{}, entries{}, noPeers{}, noTargets{}, eventlog.Nop(), clock)
 				for t := range c.followCtx {
 					c.followCtx[t], c.stopFollow[t] = context.WithCancel(context.Background())
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -87,10 +87,10 @@
 		keepWake: make(chan struct{}, 1),
 		inbox:    make(chan func(time.Time), inboxSize), stopped: make(chan struct{}),
 		core: fleet.New(now(), fleet.Settings{
-			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), StartsFirst: s.ReadsAtOnce,
-			DataCentre: s.DataCentre, Strength: s.Strength, InForceWithin: s.InForceWithin, LeftWithin: s.LeftWithin,
+			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), StartsFirst: s.ReadStoreAtStart,
+			DataCentre: s.DataCentre, Strength: s.Strength, InForceWithin: s.MaxApplyDelay, LeftWithin: s.MaxDepartureDelay,
 		}),
-		copies:  newCopies(fleet.NewServeBudget(now(), s.LinkBytes)),
+		copies:  newCopies(fleet.NewServeBudget(now(), s.LinkBytesPerSecond)),
 		roster:  placement.NewRoster(),
 		list:    newDecodedList(decoder),
 		entries: newEntryLog(log),
@@ -144,7 +144,7 @@
 
 // keep returns for how long targets are used that left the list.
 func (c *Control) keep(now time.Time) placement.Keep {
-	k := placement.Keep{Gone: time.Duration(goneShare * float64(c.settings.LeftWithin))}
+	k := placement.Keep{Gone: time.Duration(goneShare * float64(c.settings.MaxDepartureDelay))}
 	away := c.core.StoreAway(now)
 	if away {
 		since, until := c.core.Outage()
@@ -232,7 +232,7 @@
 func (c *Control) act(ctx context.Context, now time.Time, a fleet.Action) {
 	switch a := a.(type) {
 	case fleet.SendDigest:
-		c.peers.Send(texts(a.To), a.Digest, a.Yours)
+		c.peers.SendDigest(texts(a.To), a.Digest, a.Yours)
 	case fleet.Follow:
 		go c.follow(ctx, c.followCtx[a.Table], a)
 	case fleet.ReadWhole:
@@ -286,32 +286,32 @@
 	return c.view.ready.Load() && !c.view.leaving.Load() && !c.view.stale.Load()
 }
 
-// Leaving reports whether the router is stopping.
-func (c *Control) Leaving() bool { return c.view.leaving.Load() }
+// ShuttingDown reports whether the router is stopping.
+func (c *Control) ShuttingDown() bool { return c.view.leaving.Load() }
 
-// Leave makes the router unready for good, as the first step of a graceful shutdown.
-func (c *Control) Leave(ctx context.Context) {
+// BeginShutdown makes the router unready for good, as the first step of a graceful shutdown.
+func (c *Control) BeginShutdown(ctx context.Context) {
 	c.view.leaving.Store(true)
 	c.post(ctx, fleet.Leave{})
 }
 
-// FinishBy begins the last phase of a graceful shutdown: only requests that end by a
+// SetShutdownDeadline begins the last phase of a graceful shutdown: only requests that end by a
 // time are begun from now on.
-func (c *Control) FinishBy(by time.Time) { c.view.finishing.Store(&by) }
+func (c *Control) SetShutdownDeadline(by time.Time) { c.view.finishing.Store(&by) }
 
-// Early returns the number of open requests that came before FinishBy.
-func (c *Control) Early() int64 { return c.view.early.Load() }
+// OpenEarlyRequests returns the number of open requests that came before FinishBy.
+func (c *Control) OpenEarlyRequests() int64 { return c.view.early.Load() }
 
-// Reload puts the bounds of new settings in force.
-func (c *Control) Reload(s Settings) {
+// ApplySettings puts the bounds of new settings in force.
+func (c *Control) ApplySettings(s Settings) {
 	c.view.mu.Lock()
 	defer c.view.mu.Unlock()
 	c.view.limits.Ratio, c.view.limits.Slack = s.RetryRatio, s.RetrySlack
 	c.view.board.SetBound(s.LoadMultiple, s.LoadSlack, s.ColdMultiple, s.ColdSlack)
 }
 
-// Digest takes in another router's digest.
-func (c *Control) Digest(ctx context.Context, from string, d *peerv1.Digest) {
+// ReceiveDigest takes in another router's digest.
+func (c *Control) ReceiveDigest(ctx context.Context, from string, d *peerv1.Digest) {
 	c.post(ctx, fleet.DigestIn{From: fleet.Address(from), Digest: d})
 }
 
--- a/internal/app/gateway/copies.go
+++ b/internal/app/gateway/copies.go
@@ -46,8 +46,8 @@
 	return &copies{budget: budget, packed: make(map[uint32]packedCopy)}
 }
 
-// Copy answers another router's copy request.
-func (c *Control) Copy(ctx context.Context, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+// ServeCopy answers another router's copy request.
+func (c *Control) ServeCopy(ctx context.Context, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	type answer struct {
 		reply   *peerv1.CopyResponse
 		holders []fleet.Address
--- a/internal/app/gateway/decoded.go
+++ b/internal/app/gateway/decoded.go
@@ -73,6 +73,6 @@
 		}
 	}
 	for _, e := range rejected {
-		l.rows[e.Key] = &decodedRow{version: e.Version, rejected: &e}
+		l.rows[e.Key] = &decodedRow{version: e.RowVersion, rejected: &e}
 	}
 }
--- a/internal/app/gateway/decoded_test.go
+++ b/internal/app/gateway/decoded_test.go
@@ -26,7 +26,7 @@
 	var rejected []RejectedEntry
 	for _, r := range rows {
 		if !json.Valid(r.Value) {
-			rejected = append(rejected, RejectedEntry{Key: r.Key, Version: r.Version, Err: code.New(code.BadTargetEntry, "no JSON")})
+			rejected = append(rejected, RejectedEntry{Key: r.Key, RowVersion: r.Version, Err: code.New(code.BadTargetEntry, "no JSON")})
 		}
 	}
 	return pools, rejected
--- a/internal/app/gateway/entrylog.go
+++ b/internal/app/gateway/entrylog.go
@@ -20,11 +20,11 @@
 func (l *entryLog) rejected(entries []RejectedEntry, source string) {
 	now := make(map[string]uint64, len(entries))
 	for _, e := range entries {
-		now[e.Key] = e.Version
-		if told, ok := l.told[e.Key]; ok && told == e.Version {
+		now[e.Key] = e.RowVersion
+		if told, ok := l.told[e.Key]; ok && told == e.RowVersion {
 			continue
 		}
-		l.log.Line(eventlog.TargetRejected).Str("target", e.Key).Uint64("row", e.Version).Str("source", source).
+		l.log.Line(eventlog.TargetRejected).Str("target", e.Key).Uint64("row", e.RowVersion).Str("source", source).
 			Int("code", int(e.Err.Code)).Err(e.Err).Msg("")
 	}
 	l.told = now
--- a/internal/app/gateway/inforce.go
+++ b/internal/app/gateway/inforce.go
@@ -20,7 +20,7 @@
 	rows, _ := c.core.Rows(a.Table)
 	if a.Table == fleet.Desired {
 		c.evacuate(now, rows, a)
-		state, err := c.decoder.Desired(rows)
+		state, err := c.decoder.DesiredState(rows)
 		switch {
 		case err != nil:
 			c.log.Line(eventlog.DesiredStateRejected).Uint64("row", a.Version).Str("source", a.Source).Err(err).Msg("")
@@ -38,7 +38,7 @@
 
 // evacuate puts orders to evacuate data centres in force. They count whether the desired state beside them can be decoded or not.
 func (c *Control) evacuate(now time.Time, rows []replica.Row, a fleet.Changed) {
-	dataCentres := c.decoder.Evacuated(rows)
+	dataCentres := c.decoder.EvacuatedDataCentres(rows)
 	for _, ch := range c.view.evacuate(now, dataCentres) {
 		c.log.Line(eventlog.Evacuation).Str("data_centre", ch.DataCentre).Bool("evacuated", ch.Evacuated).Uint64("row", a.Version).
 			Str("source", a.Source).Msg("")
@@ -95,7 +95,7 @@
 func (c *Control) updateBehind(now time.Time) {
 	c.view.behind.Store(c.core.Behind())
 	since := c.core.Outdated(now)
-	stale := !ablate.Off(ablate.Outdated) && since >= time.Duration(staleShare*float64(c.settings.InForceWithin))
+	stale := !ablate.Off(ablate.Outdated) && since >= time.Duration(staleShare*float64(c.settings.MaxApplyDelay))
 	if stale != c.view.stale.Load() {
 		c.view.stale.Store(stale)
 		c.log.Line(eventlog.StaleChanged).Bool("stale", stale).Uint64("version", c.version).Dur("behind", since).Msg("")
--- a/internal/app/gateway/keep.go
+++ b/internal/app/gateway/keep.go
@@ -84,7 +84,7 @@
 func (k *keeper) load(ctx context.Context) error {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	kept, err := k.control.store.Suspects(call)
+	kept, err := k.control.store.LoadSuspects(call)
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 	put, drop = put[:min(len(put), keptPerCall)], drop[:min(len(drop), keptPerCall)] // the rest follows
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := k.control.store.KeepSuspects(call, put, drop); err != nil {
+	if err := k.control.store.SaveSuspects(call, put, drop); err != nil {
 		return err
 	}
 	for _, s := range put {
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -54,7 +54,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *listStore) Whole(_ context.Context, t fleet.Table, _ int) (uint64, []replica.Row, error) {
+func (s *listStore) ReadTable(_ context.Context, t fleet.Table, _ int) (uint64, []replica.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t == fleet.Desired {
@@ -67,7 +67,7 @@
 	return s.version, out, nil
 }
 
-func (s *listStore) Follow(ctx context.Context, t fleet.Table, after uint64, wait time.Duration) (uint64, []replica.Row, error) {
+func (s *listStore) AwaitChanges(ctx context.Context, t fleet.Table, after uint64, wait time.Duration) (uint64, []replica.Row, error) {
 	over := time.After(wait)
 	for {
 		s.mu.Lock()
@@ -92,22 +92,22 @@
 	}
 }
 
-func (*listStore) Register(context.Context, []string) error     { return nil }
-func (*listStore) Registered(context.Context) ([]string, error) { return nil, nil }
+func (*listStore) RegisterRouters(context.Context, []string) error     { return nil }
+func (*listStore) RegisteredRouters(context.Context) ([]string, error) { return nil, nil }
 
 // refusing is a store that turns a router away.
 type refusing struct{ gateway.Store }
 
-func (refusing) Whole(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
+func (refusing) ReadTable(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
 	return 0, nil, errors.New("refused")
 }
 
-func (refusing) Follow(context.Context, fleet.Table, uint64, time.Duration) (uint64, []replica.Row, error) {
+func (refusing) AwaitChanges(context.Context, fleet.Table, uint64, time.Duration) (uint64, []replica.Row, error) {
 	return 0, nil, errors.New("refused")
 }
 
-func (refusing) Register(context.Context, []string) error { return nil }
-func (refusing) Registered(context.Context) ([]string, error) {
+func (refusing) RegisterRouters(context.Context, []string) error { return nil }
+func (refusing) RegisteredRouters(context.Context) ([]string, error) {
 	return nil, errors.New("refused")
 }
 
@@ -142,25 +142,25 @@
 	return m.routers[address]
 }
 
-func (n *network) Send(to []string, d *peerv1.Digest, yours []*peerv1.Report) {
+func (n *network) SendDigest(to []string, d *peerv1.Digest, yours []*peerv1.Report) {
 	for i, a := range to {
 		copied := proto.Clone(d).(*peerv1.Digest)
 		if i < len(yours) {
 			copied.Yours = yours[i]
 		}
 		if c := n.mesh.router(a); c != nil {
-			go c.Digest(context.Background(), n.from, copied)
+			go c.ReceiveDigest(context.Background(), n.from, copied)
 		}
 	}
 }
 
-func (n *network) Copy(ctx context.Context, to string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+func (n *network) RequestCopy(ctx context.Context, to string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	c := n.mesh.router(to)
 	if c == nil || n.mesh.full.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return c.Copy(ctx, req)
+	return c.ServeCopy(ctx, req)
 }
 
 // recorder counts the attempts at each target; none succeeds.
@@ -189,19 +189,19 @@
 
 type plainWire struct{}
 
-func (plainWire) Prepare(*gateway.Call, gateway.Attempt) http.Header { return http.Header{} }
-func (plainWire) Echoes(*gateway.Call, http.Header) bool             { return true }
-func (plainWire) ForCaller(http.Header)                              {}
-func (plainWire) Reply(int, http.Header) gateway.Reply               { return gateway.Reply{} }
+func (plainWire) PrepareHeader(*gateway.Call, gateway.Attempt) http.Header { return http.Header{} }
+func (plainWire) MatchesCall(*gateway.Call, http.Header) bool             { return true }
+func (plainWire) StripRouterHeaders(http.Header)                              {}
+func (plainWire) DecodeReply(int, http.Header) gateway.Reply               { return gateway.Reply{} }
 
 type nobody struct{}
 
-func (nobody) Begin(int, http.Header, int64)   {}
+func (nobody) SendHeader(int, http.Header, int64)   {}
 func (nobody) Write([]byte) error              { return nil }
-func (nobody) Refuse(code.Code, time.Duration) {}
-func (nobody) Cut()                            {}
-func (nobody) Observe(gateway.Result)          {}
-func (nobody) Said(string)                     {}
+func (nobody) SendError(code.Code, time.Duration) {}
+func (nobody) Abort()                            {}
+func (nobody) RecordResult(gateway.Result)          {}
+func (nobody) CountSignal(string)                     {}
 
 var _ = Describe("a router that can't copy the list of targets", func() {
 	const bound = time.Second
@@ -223,8 +223,8 @@
 		sent := &recorder{sent: make(map[uint64]int)}
 		start := func(address string, s gateway.Store) *gateway.Control {
 			c := gateway.NewControl(gateway.Settings{
-				Name: address, Address: address, Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, ReadsAtOnce: true,
-				InForceWithin: bound, LeftWithin: bound, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
+				Name: address, Address: address, Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, ReadStoreAtStart: true,
+				MaxApplyDelay: bound, MaxDepartureDelay: bound, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
 			}, s, states{}, &network{from: address, mesh: m}, sent, eventlog.Nop(), time.Now)
 			m.mu.Lock()
 			m.routers[address] = c
@@ -235,7 +235,7 @@
 		start("10.0.0.1:1", store)
 		cut := start("10.0.0.2:1", refusing{})
 		Eventually(cut.Ready, 3*time.Second).Should(BeTrue())
-		relay := gateway.NewRelay(cut, plainWire{}, sent, nobody{}, eventlog.Nop(), time.Now)
+		relay := gateway.NewProxy(cut, plainWire{}, sent, nobody{}, eventlog.Nop(), time.Now)
 		requests := func() {
 			for i := range 30 {
 				match, got := relay.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
@@ -265,7 +265,7 @@
 // largeStore has a desired state of 100 KB.
 type largeStore struct{ frozenStore }
 
-func (largeStore) Whole(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
+func (largeStore) ReadTable(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
 	noise := make([]byte, 100_000) // does not get smaller
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range noise {
@@ -281,12 +281,12 @@
 	It("is answered in plain rows unless the asker reads packed replies", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:1", ReadsAtOnce: true, InForceWithin: time.Second, LinkBytes: 1000},
+		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:1", ReadStoreAtStart: true, MaxApplyDelay: time.Second, LinkBytesPerSecond: 1000},
 			largeStore{}, versions{}, &fullLink{}, noUpstream{}, eventlog.Nop(), time.Now)
 		go c.Run(ctx)
 		Eventually(c.Ready, time.Second).Should(BeTrue())
 		ask := func(packed bool) *peerv1.CopyResponse {
-			r, err := c.Copy(ctx, &peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(fleet.Desired), ReadsPacked: packed})
+			r, err := c.ServeCopy(ctx, &peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(fleet.Desired), ReadsPacked: packed})
 			Expect(err).NotTo(HaveOccurred())
 			return r
 		}
@@ -296,8 +296,8 @@
 	})
 })
 
-func (*listStore) Suspects(context.Context) ([]poison.Suspect, error) { return nil, nil }
+func (*listStore) LoadSuspects(context.Context) ([]poison.Suspect, error) { return nil, nil }
 
-func (refusing) Suspects(context.Context) ([]poison.Suspect, error) {
+func (refusing) LoadSuspects(context.Context) ([]poison.Suspect, error) {
 	return nil, errors.New("refused")
 }
--- a/internal/app/gateway/listing.go
+++ b/internal/app/gateway/listing.go
@@ -76,7 +76,7 @@
 	c := l.control
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := c.store.Register(call, texts(missing)); err != nil {
+	if err := c.store.RegisterRouters(call, texts(missing)); err != nil {
 		c.log.Line(eventlog.ListFailed).Int("routers", len(missing)).Err(err).Msg("")
 		l.retryAt = now.Add(l.retry)
 		l.retry = min(2*l.retry, listRetryMax)
@@ -93,7 +93,7 @@
 	c := l.control
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	listed, err := c.store.Registered(call)
+	listed, err := c.store.RegisteredRouters(call)
 	if err != nil {
 		c.log.Line(eventlog.ListFailed).Err(err).Msg("")
 		return nil, err
@@ -120,7 +120,7 @@
 	}
 	for _, a := range l.sweep.Stale(found, heard) {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
-		err := c.store.Unregister(call, string(a))
+		err := c.store.UnregisterRouter(call, string(a))
 		cancel()
 		if err != nil {
 			c.log.Line(eventlog.ListFailed).Str("peer", string(a)).Err(err).Msg("")
@@ -130,9 +130,9 @@
 	}
 }
 
-// Unlist takes this router out of the store's list.
-func (c *Control) Unlist(ctx context.Context) error {
-	return c.store.Unregister(ctx, c.settings.Address)
+// Unregister takes this router out of the store's list.
+func (c *Control) Unregister(ctx context.Context) error {
+	return c.store.UnregisterRouter(ctx, c.settings.Address)
 }
 
 // pause waits for about d and reports whether ctx still runs.
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -198,7 +198,7 @@
 }
 
 // inquire opens a connection: a process that has ended refuses it.
-func (r *Relay) inquire(target placement.Target) {
+func (r *Proxy) inquire(target placement.Target) {
 	ended := errors.Is(knock(context.Background(), target.Address), syscall.ECONNREFUSED)
 	if requests := r.view.guard.answered(r.now(), target.UID, ended); ended {
 		r.ended(target, requests)
@@ -226,7 +226,7 @@
 	}
 }
 
-func (r *Relay) ended(target placement.Target, requests []poison.Fingerprint) {
+func (r *Proxy) ended(target placement.Target, requests []poison.Fingerprint) {
 	r.log.Line(eventlog.TargetEnded).Str("target", target.ID).Int("requests", len(requests)).Msg("")
 	r.view.guard.ended(r.now(), target.UID, requests)
 	if r.view.targetEnded(r.now(), target.UID) {
--- a/internal/app/gateway/reads.go
+++ b/internal/app/gateway/reads.go
@@ -16,7 +16,7 @@
 
 func (c *Control) follow(ctx, calls context.Context, a fleet.Follow) {
 	began := c.now()
-	position, rows, err := c.store.Follow(calls, a.Table, a.After, a.Wait)
+	position, rows, err := c.store.AwaitChanges(calls, a.Table, a.After, a.Wait)
 	if err != nil {
 		c.readFailed(ctx, calls, a.Table, began, err)
 		return
@@ -28,7 +28,7 @@
 	calls, cancel := context.WithTimeout(calls, callTimeout)
 	defer cancel()
 	began := c.now()
-	position, rows, err := c.store.Whole(calls, t, most)
+	position, rows, err := c.store.ReadTable(calls, t, most)
 	if err != nil {
 		c.readFailed(ctx, calls, t, began, err)
 		return
@@ -51,7 +51,7 @@
 	call, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
 	began := c.now()
-	reply, err := c.peers.Copy(call, string(a.Peer), req)
+	reply, err := c.peers.RequestCopy(call, string(a.Peer), req)
 	size := proto.Size(reply)
 	if err == nil {
 		reply, err = unpack(reply)
--- a/internal/app/gateway/relay.go
+++ b/internal/app/gateway/relay.go
@@ -18,16 +18,16 @@
 
 // Observer is told how each request ended, and what targets say of themselves.
 type Observer interface {
-	Observe(r Result)
-	// Said counts a target's word: that it leaves, a pause, or a time that makes no sense.
-	Said(what string)
+	RecordResult(r Result)
+	// CountSignal counts a target's word: that it leaves, a pause, or a time that makes no sense.
+	CountSignal(what string)
 }
 
 // What targets say of themselves.
 const (
-	SaidLeaving = "leaving"
-	SaidPause   = "pause"
-	SaidBad     = "bad"
+	SignalLeaving = "leaving"
+	SignalPause   = "pause"
+	SignalInvalid     = "bad"
 )
 
 // Result is how a request ended.
@@ -39,19 +39,19 @@
 	Code     code.Code
 	Status   int // of the answer that was passed on; 0 if none
 	Attempts int
-	Repeats  int
-	// Denied: one more repeat would have been made, but the budget had no room.
-	Denied bool
-	First  time.Duration // to the first byte of the answer; 0 if none
-	Total  time.Duration
+	Retries  int
+	// RetryDenied: one more repeat would have been made, but the budget had no room.
+	RetryDenied bool
+	FirstByteTime  time.Duration // to the first byte of the answer; 0 if none
+	TotalTime  time.Duration
 	// Objective is the time to the first byte that the route aims at; 0 if none.
 	Objective time.Duration
 }
 
-// Relay carries requests. It is safe for concurrent use.
-type Relay struct {
+// Proxy carries requests. It is safe for concurrent use.
+type Proxy struct {
 	view     *view
-	wire     Wire
+	wire     HeaderCodec
 	upstream Upstream
 	log      *eventlog.Log
 	now      func() time.Time
@@ -59,9 +59,9 @@
 	depart   func(placement.Departure) // passes it on at once
 }
 
-// NewRelay returns a Relay that goes by what a Control knows.
-func NewRelay(c *Control, wire Wire, up Upstream, observer Observer, log *eventlog.Log, now func() time.Time) *Relay {
-	return &Relay{view: c.view, wire: wire, upstream: up, observer: observer, log: log, now: now, depart: c.tellDeparture}
+// NewProxy returns a Relay that goes by what a Control knows.
+func NewProxy(c *Control, wire HeaderCodec, up Upstream, observer Observer, log *eventlog.Log, now func() time.Time) *Proxy {
+	return &Proxy{view: c.view, wire: wire, upstream: up, observer: observer, log: log, now: now, depart: c.tellDeparture}
 }
 
 const (
@@ -76,8 +76,8 @@
 	defaultBudget = 30 * time.Second
 )
 
-// Match is a request whose route and team are known, so that its body is wanted.
-type Match struct {
+// MatchedRequest is a request whose route and team are known, so that its body is wanted.
+type MatchedRequest struct {
 	call  *Call
 	route *route.Route
 	team  *route.Team // nil if the request has none
@@ -90,7 +90,7 @@
 }
 
 // teamName returns the team's name, empty if the request has none.
-func (m *Match) teamName() string {
+func (m *MatchedRequest) teamName() string {
 	if m.team == nil {
 		return ""
 	}
@@ -98,7 +98,7 @@
 }
 
 // fingerprint names the request's content.
-func (m *Match) fingerprint(body []byte) poison.Fingerprint {
+func (m *MatchedRequest) fingerprint(body []byte) poison.Fingerprint {
 	return poison.FingerprintOf(m.teamName(), m.call.Method, m.call.Host, m.call.Path, body)
 }
 
@@ -109,7 +109,7 @@
 )
 
 // class groups teams by their own rank: there are too many to count each alone.
-func (m *Match) class() string {
+func (m *MatchedRequest) class() string {
 	switch {
 	case m.team == nil:
 		return classNoTeam
@@ -120,7 +120,7 @@
 }
 
 // rank returns how urgent the request is: its team's rank, or else the route's.
-func (m *Match) rank() int {
+func (m *MatchedRequest) rank() int {
 	if m.team != nil && m.team.Priority != nil {
 		return *m.team.Priority
 	}
@@ -128,7 +128,7 @@
 }
 
 // Match finds a request's route and team. The code is OK, or why there are none.
-func (r *Relay) Match(call *Call) (*Match, code.Code) {
+func (r *Proxy) Match(call *Call) (*MatchedRequest, code.Code) {
 	table := r.view.table.Load()
 	if table == nil || !r.view.ready.Load() {
 		return nil, code.NotReady
@@ -140,13 +140,13 @@
 	if !ok {
 		return nil, r.denied(code.NotFound)
 	}
-	m := &Match{call: call, route: rt, began: r.now(), version: table.Version, MaxBodyBytes: table.MaxBodyBytes}
-	if team, ok := table.TeamByKey(call.Key); ok {
+	m := &MatchedRequest{call: call, route: rt, began: r.now(), version: table.Version, MaxBodyBytes: table.MaxBodyBytes}
+	if team, ok := table.TeamByKey(call.APIKey); ok {
 		m.team = team
 	} else if table.HasTeams() && !rt.Public {
 		return nil, r.denied(code.UnknownKey)
 	}
-	hash := call.Chat
+	hash := call.ChatHash
 	if hash == 0 {
 		hash = rendezvous.Hash(call.ID)
 	}
@@ -156,7 +156,7 @@
 
 // denied returns the code for a request that the desired state in force does not allow. While others have
 // a newer one that may, its caller is told to come back instead: denials are final.
-func (r *Relay) denied(c code.Code) code.Code {
+func (r *Proxy) denied(c code.Code) code.Code {
 	if r.view.behind.Load() {
 		return code.StaleConfig
 	}
@@ -185,8 +185,8 @@
 }
 
 // Serve carries a matched request to its end. ctx ends when the caller leaves.
-func (r *Relay) Serve(ctx context.Context, m *Match, body []byte, out Responder) {
-	budget := m.call.Budget
+func (r *Proxy) Serve(ctx context.Context, m *MatchedRequest, body []byte, out Responder) {
+	budget := m.call.Timeout
 	if t := m.route.Timeout; t > 0 && (budget == 0 || t < budget) {
 		budget = t
 	}
@@ -210,7 +210,7 @@
 		r.view.early.Add(1)
 		defer r.view.early.Add(-1)
 	}
-	x.stream.last = m.call.ResumeAfter
+	x.stream.last = m.call.LastEventID
 	var cancel context.CancelFunc
 	x.ctx, cancel = context.WithDeadline(ctx, x.ends.Add(answerAfterDeadline))
 	defer cancel()
--- a/internal/app/gateway/run.go
+++ b/internal/app/gateway/run.go
@@ -18,8 +18,8 @@
 
 // run is one request under way.
 type run struct {
-	relay   *Relay
-	match   *Match
+	relay   *Proxy
+	match   *MatchedRequest
 	body    []byte
 	out     Responder
 	machine *attempt.Machine
@@ -79,7 +79,7 @@
 		defer func() { r.view.guard.trialOver(r.now(), x.fingerprint) }()
 	}
 	choice, verdict, ok := r.view.place(now, placement.Ask{
-		Pool: x.match.pool, Chat: x.match.call.Chat, Prompt: x.match.call.Prompt, Tokens: x.match.call.Tokens,
+		Pool: x.match.pool, Chat: x.match.call.ChatHash, Prompt: x.match.call.PromptParts, Tokens: x.match.call.PromptTokens,
 		Objective: x.match.route.Objective, Excluded: x.machine.Excluded(),
 	}, admission.Ask{Team: x.match.teamName(), Rank: x.match.rank(), RouteRank: x.match.route.Priority, Left: x.ends.Sub(now), Objective: x.match.route.Objective}, x.machine.MayHaveRun())
 	switch {
@@ -134,36 +134,36 @@
 			after = admission.RetryAfter(c, x.ends.Sub(r.now()))
 		}
 		if x.notBefore > 0 {
-			x.out.Refuse(c, later(x.notBefore))
+			x.out.SendError(c, later(x.notBefore))
 		} else {
-			x.out.Refuse(c, jittered(after))
+			x.out.SendError(c, jittered(after))
 		}
 	default:
-		x.out.Cut()
+		x.out.Abort()
 	}
 	now := r.now()
 	res := Result{
 		Route: x.match.route.Name, Pool: x.match.pool, Team: x.match.teamName(), Class: x.match.class(),
 		Code: c, Status: x.status, Objective: x.match.route.Objective,
-		Attempts: x.machine.Attempts(), Repeats: x.repeats, Denied: x.denied, Total: now.Sub(x.match.began),
+		Attempts: x.machine.Attempts(), Retries: x.repeats, RetryDenied: x.denied, TotalTime: now.Sub(x.match.began),
 	}
 	if !x.first.IsZero() {
-		res.First = x.first.Sub(x.match.began)
+		res.FirstByteTime = x.first.Sub(x.match.began)
 	}
-	r.observer.Observe(res)
+	r.observer.RecordResult(res)
 	kind := eventlog.Finished
 	if c != code.OK {
 		kind = eventlog.Failed
 	}
 	x.note(kind).Int("code", int(c)).Str("name", c.Lookup().Name).Str("ran", c.Lookup().Ran.String()).
-		Int("status", x.status).Int("attempts", res.Attempts).Dur("first", res.First).Dur("total", res.Total).
+		Int("status", x.status).Int("attempts", res.Attempts).Dur("first", res.FirstByteTime).Dur("total", res.TotalTime).
 		Dur("budget", x.ends.Sub(x.match.began)).Msg("")
 }
 
 // whole passes a whole answer on.
 func (x *run) whole(status int, header http.Header, body []byte) {
 	x.first, x.status = x.relay.now(), status
-	x.out.Begin(status, header, int64(len(body)))
+	x.out.SendHeader(status, header, int64(len(body)))
 	_ = x.out.Write(body) // a caller that left shows in its context
 }
 
--- a/internal/app/gateway/said_test.go
+++ b/internal/app/gateway/said_test.go
@@ -18,7 +18,7 @@
 // sayingWire decodes what targets say by a header of its own.
 type sayingWire struct{ plainWire }
 
-func (sayingWire) Reply(_ int, h http.Header) gateway.Reply {
+func (sayingWire) DecodeReply(_ int, h http.Header) gateway.Reply {
 	return gateway.Reply{Leaving: h.Get("leaving") != ""}
 }
 
@@ -55,13 +55,13 @@
 		}
 		up := &slowDial{sent: make(map[uint64]int)}
 		c := gateway.NewControl(gateway.Settings{
-			Name: "r", Address: "10.0.0.1:1", ReadsAtOnce: true, FirstStart: true, InForceWithin: time.Second, LeftWithin: time.Second,
+			Name: "r", Address: "10.0.0.1:1", ReadStoreAtStart: true, FirstStart: true, MaxApplyDelay: time.Second, MaxDepartureDelay: time.Second,
 			LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
 		}, store, states{}, &network{from: "10.0.0.1:1", mesh: &mesh{routers: make(map[string]*gateway.Control)}}, up, eventlog.Nop(), time.Now)
 		go c.Run(ctx)
 		Eventually(c.Ready, 3*time.Second).Should(BeTrue())
-		Eventually(func() int { return len(c.Status().OpenAt) }).Should(Equal(3))
-		relay := gateway.NewRelay(c, sayingWire{}, up, nobody{}, eventlog.Nop(), time.Now)
+		Eventually(func() int { return len(c.Status().OpenRequests) }).Should(Equal(3))
+		relay := gateway.NewProxy(c, sayingWire{}, up, nobody{}, eventlog.Nop(), time.Now)
 		var leaver uint64
 		up.meanwhile = func(q upstream.Request) {
 			leaver = q.Target
--- a/internal/app/gateway/settings.go
+++ b/internal/app/gateway/settings.go
@@ -10,15 +10,15 @@
 	Strength uint32
 	Address  string   // where other routers reach this one, as IP:PORT
 	Seeds    []string // addresses at which routers may run
-	// ReadsAtOnce is false for routers that start together with others that read the
+	// ReadStoreAtStart is false for routers that start together with others that read the
 	// store and pass on what they read.
-	ReadsAtOnce bool
+	ReadStoreAtStart bool
 	// FirstStart: the whole system starts for the first time, so nothing that it has learned is kept anywhere.
 	FirstStart bool
-	// InForceWithin is the time in which a desired state has to be in force, LeftWithin
+	// MaxApplyDelay is the time in which a desired state has to be in force, LeftWithin
 	// that in which a leaving target has to be left alone.
-	InForceWithin time.Duration
-	LeftWithin    time.Duration
+	MaxApplyDelay time.Duration
+	MaxDepartureDelay    time.Duration
 	// RetryRatio, RetrySlack and RetryWindow are the fleet's budget of repeats.
 	RetryRatio  float64
 	RetrySlack  float64
@@ -29,6 +29,6 @@
 	// ColdMultiple and ColdSlack bound what a cold target gets, see placement.Settings.
 	ColdMultiple float64
 	ColdSlack    float64
-	// LinkBytes is what the VM's link carries a second, each way; 0 if it is not known.
-	LinkBytes int64
+	// LinkBytesPerSecond is what the VM's link carries a second, each way; 0 if it is not known.
+	LinkBytesPerSecond int64
 }
--- a/internal/app/gateway/stale_test.go
+++ b/internal/app/gateway/stale_test.go
@@ -29,24 +29,24 @@
 // frozenStore has one state for ever, as a store does that is cut off after the first read.
 type frozenStore struct{ gateway.Store }
 
-func (frozenStore) Whole(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
+func (frozenStore) ReadTable(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
 	return 3, []replica.Row{{Key: "config", Version: 3}}, nil
 }
 
-func (frozenStore) Follow(ctx context.Context, _ fleet.Table, _ uint64, _ time.Duration) (uint64, []replica.Row, error) {
+func (frozenStore) AwaitChanges(ctx context.Context, _ fleet.Table, _ uint64, _ time.Duration) (uint64, []replica.Row, error) {
 	<-ctx.Done()
 	return 0, nil, ctx.Err()
 }
 
-func (frozenStore) Register(context.Context, []string) error     { return nil }
-func (frozenStore) Registered(context.Context) ([]string, error) { return nil, nil }
+func (frozenStore) RegisterRouters(context.Context, []string) error     { return nil }
+func (frozenStore) RegisteredRouters(context.Context) ([]string, error) { return nil, nil }
 
 // versions decodes a row into a state whose version is the row's, with a route named /old/.
 type versions struct{}
 
-func (versions) Evacuated([]replica.Row) []string { return nil }
+func (versions) EvacuatedDataCentres([]replica.Row) []string { return nil }
 
-func (versions) Desired(rows []replica.Row) (*route.State, error) {
+func (versions) DesiredState(rows []replica.Row) (*route.State, error) {
 	s := &route.State{Version: rows[0].Version, Pools: []route.Pool{{Name: "p"}}}
 	s.Routes = []route.Route{{Name: "old", Host: "h", Prefix: "/old/", Public: true, Split: []route.Share{{Pool: "p", Weight: 1}}}}
 	return s, nil
@@ -59,9 +59,9 @@
 // fullLink passes no copy on while it is full.
 type fullLink struct{ full atomic.Bool }
 
-func (*fullLink) Send([]string, *peerv1.Digest, []*peerv1.Report) {}
+func (*fullLink) SendDigest([]string, *peerv1.Digest, []*peerv1.Report) {}
 
-func (l *fullLink) Copy(ctx context.Context, _ string, _ *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+func (l *fullLink) RequestCopy(ctx context.Context, _ string, _ *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	if l.full.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -87,9 +87,9 @@
 		defer cancel()
 		link := &fullLink{}
 		link.full.Store(true)
-		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:7340", ReadsAtOnce: true, InForceWithin: inForce},
+		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:7340", ReadStoreAtStart: true, MaxApplyDelay: inForce},
 			frozenStore{}, versions{}, link, noUpstream{}, eventlog.Nop(), time.Now)
-		relay := gateway.NewRelay(c, nil, noUpstream{}, nil, eventlog.Nop(), time.Now)
+		relay := gateway.NewProxy(c, nil, noUpstream{}, nil, eventlog.Nop(), time.Now)
 		match := func(path string) code.Code {
 			_, got := relay.Match(&gateway.Call{ID: "1", Host: "h", Path: path, Header: http.Header{}})
 			return got
@@ -100,7 +100,7 @@
 		sequence := uint64(0)
 		tell := func() {
 			sequence++
-			c.Digest(ctx, "10.0.0.2:7340", &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 1, Sequence: sequence, Versions: []uint64{9, 3}})
+			c.ReceiveDigest(ctx, "10.0.0.2:7340", &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 1, Sequence: sequence, Versions: []uint64{9, 3}})
 		}
 		tell()
 		Eventually(func() code.Code { return match("/new/") }, 200*time.Millisecond, time.Millisecond).Should(Equal(code.StaleConfig))
@@ -115,4 +115,4 @@
 	})
 })
 
-func (frozenStore) Suspects(context.Context) ([]poison.Suspect, error) { return nil, nil }
+func (frozenStore) LoadSuspects(context.Context) ([]poison.Suspect, error) { return nil, nil }
--- a/internal/app/gateway/targets.go
+++ b/internal/app/gateway/targets.go
@@ -41,7 +41,7 @@
 		}
 		for _, t := range list {
 			err := code.AtField(code.BadTargetEntry, t.ID, "pool %q is not in desired state %d", pool, table.Version)
-			out = append(out, RejectedEntry{Key: t.ID, Version: t.Row, Err: err})
+			out = append(out, RejectedEntry{Key: t.ID, RowVersion: t.Row, Err: err})
 		}
 		delete(targets, pool)
 	}
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -89,10 +89,10 @@
 		return t.sendFailed(err)
 	}
 	defer answer.Close()
-	reply := x.relay.wire.Reply(answer.Status, answer.Header)
-	x.relay.wire.ForCaller(answer.Header) // or the caller would take it for this router's word
+	reply := x.relay.wire.DecodeReply(answer.Status, answer.Header)
+	x.relay.wire.StripRouterHeaders(answer.Header) // or the caller would take it for this router's word
 	switch {
-	case reply.Unrun:
+	case reply.NotExecuted:
 		return t.turnedAway(reply)
 	case x.match.route.Kind == route.Stream && answer.Status == http.StatusOK && reply.Sealed:
 		return t.relayStream(answer)
@@ -104,13 +104,13 @@
 	x := t.run
 	call := x.match.call
 	a := Attempt{
-		Left: x.ends.Sub(t.began), TargetID: t.choice.Target.ID, ResumeFrom: x.stream.last,
-		Source: t.choice.Source, Team: x.match.teamName(), Priority: x.match.rank(),
+		Remaining: x.ends.Sub(t.began), TargetID: t.choice.Target.ID, LastEventID: x.stream.last,
+		CacheSource: t.choice.Source, Team: x.match.teamName(), Priority: x.match.rank(),
 	}
 	return upstream.Request{
 		Target: t.choice.Target.UID, Address: t.choice.Target.Address,
-		Method: call.Method, URI: call.URI, Host: call.Host, Header: x.relay.wire.Prepare(call, a), Body: x.body,
-		Echoes: func(h http.Header) bool { return x.relay.wire.Echoes(call, h) },
+		Method: call.Method, URI: call.URI, Host: call.Host, Header: x.relay.wire.PrepareHeader(call, a), Body: x.body,
+		Echoes: func(h http.Header) bool { return x.relay.wire.MatchesCall(call, h) },
 		Heard:  t.hear,
 		Sent:   t.sent,
 	}
@@ -199,7 +199,7 @@
 	switch {
 	case reply.WrongTarget:
 		t.fail("wrong_target", nil)
-	case reply.Pause > 0:
+	case reply.PauseDuration > 0:
 		t.outcome = placement.Neutral // it says what it wants
 	}
 	return t.run.machine.Step(attempt.TurnedAway{Attempt: t.number})
--- a/internal/cli/levels_test.go
+++ b/internal/cli/levels_test.go
@@ -19,16 +19,16 @@
 	serve := func(results ...gateway.Result) string {
 		m := metrics.NewGateway(time.Now)
 		for _, r := range results {
-			m.Observe(r)
+			m.RecordResult(r)
 		}
-		s := httptest.NewServer(m.Handler(func() gateway.Status { return gateway.Status{OpenAt: map[string]int{`odd"name`: 1}} }))
+		s := httptest.NewServer(m.Handler(func() gateway.Status { return gateway.Status{OpenRequests: map[string]int{`odd"name`: 1}} }))
 		DeferCleanup(s.Close)
 		return s.URL + "/metrics"
 	}
 	result := func(first time.Duration, c code.Code, status int) gateway.Result {
 		return gateway.Result{
 			Route: "r", Pool: "chat", Team: `north "east"`, Class: "rank_1", Code: c, Status: status,
-			First: first, Total: 2 * first, Objective: 300 * time.Millisecond,
+			FirstByteTime: first, TotalTime: 2 * first, Objective: 300 * time.Millisecond,
 		}
 	}
 	run := func(args ...string) (int, string, string) {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -72,7 +72,7 @@
 	Store   gateway.Store
 	Decoder gateway.Decoder
 	Wire    interface {
-		gateway.Wire
+		gateway.HeaderCodec
 		gatewayhttp.Decoder
 	}
 }
@@ -92,10 +92,10 @@
 	}
 	g.links = links
 	up := upstream.New(upstream.DefaultSettings(), time.Now, m.Dialed)
-	use := &linkUse{digests: links, link: s.Gateway.LinkBytes, log: log, metrics: m}
+	use := &linkUse{digests: links, link: s.Gateway.LinkBytesPerSecond, log: log, metrics: m}
 	peers := &gatewayPeers{Datagrams: links, Copier: peer.NewCopier(gatewayPeerTimeout, use.fetched.Wrap)}
 	g.control = gateway.NewControl(s.Gateway, p.Store, p.Decoder, peers, up, log, time.Now)
-	relay := gateway.NewRelay(g.control, p.Wire, up, m, log, time.Now)
+	relay := gateway.NewProxy(g.control, p.Wire, up, m, log, time.Now)
 	front := gatewayhttp.New(relay, g.control, p.Wire, time.Now, m.Refused)
 	if err := g.listen(front, m, use); err != nil {
 		stop()
@@ -116,7 +116,7 @@
 }
 
 func (g *Gateway) receive(ctx context.Context) {
-	err := g.links.Receive(func(from string, m *peerv1.Digest) { g.control.Digest(ctx, from, m) })
+	err := g.links.Receive(func(from string, m *peerv1.Digest) { g.control.ReceiveDigest(ctx, from, m) })
 	if err != nil {
 		g.failed <- err
 	}
@@ -128,7 +128,7 @@
 	if !ok {
 		return nil, code.New(code.BadProtocol, "unexpected message")
 	}
-	return g.control.Copy(ctx, req)
+	return g.control.ServeCopy(ctx, req)
 }
 
 func (g *Gateway) listen(front *gatewayhttp.Server, m *metrics.Gateway, use *linkUse) error {
@@ -166,7 +166,7 @@
 		g.log.Line(eventlog.ReloadRejected).Err(err).Msg("")
 		return
 	}
-	g.control.Reload(s.Gateway)
+	g.control.ApplySettings(s.Gateway)
 	g.log.Line(eventlog.Reloaded).Float64("retry_ratio", s.Gateway.RetryRatio).Float64("retry_slack", s.Gateway.RetrySlack).
 		Float64("load_multiple", s.Gateway.LoadMultiple).Msg("")
 }
@@ -181,19 +181,19 @@
 func (g *Gateway) Shutdown(ctx context.Context) {
 	began := time.Now()
 	g.log.Line(eventlog.Stopping).Msg("")
-	g.control.Leave(ctx)
+	g.control.BeginShutdown(ctx)
 	sleep(ctx, balancerLag)
 	by := began.Add(g.settings.Grace - graceMargin)
 	graceful, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
-	g.control.FinishBy(by)
-	for g.control.Early() > 0 && graceful.Err() == nil {
+	g.control.SetShutdownDeadline(by)
+	for g.control.OpenEarlyRequests() > 0 && graceful.Err() == nil {
 		sleep(graceful, drainPoll)
 	}
 	if err := g.callers.End(graceful, g.servers[0]); err != nil {
 		g.log.Line(eventlog.RequestsCut).Err(err).Msg("")
 	}
-	if err := g.control.Unlist(graceful); err != nil {
+	if err := g.control.Unregister(graceful); err != nil {
 		g.log.Line(eventlog.ListFailed).Err(err).Msg("")
 	}
 	g.stop()
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -61,7 +61,7 @@
 		u.metrics.PeerBytes(one.kind, one.n)
 	}
 	s := u.status()
-	line := u.log.Line(eventlog.LinkUse).Int("peers", s.Peers).Int("heard", s.Heard).Str("feeder", s.Feeder).Dur("fed_ago", s.FedAge).
+	line := u.log.Line(eventlog.LinkUse).Int("peers", s.LivePeers).Int("heard", s.DirectPeers).Str("feeder", s.Feeder).Dur("fed_ago", s.FeedAge).
 		Int64("unsent", u.digests.Lost()).Int64("digests_in", d.digestsIn).Int64("digests_out", d.digestsOut).
 		Int64("copies_in", d.copiesIn).Int64("copies_out", d.copiesOut)
 	if u.link > 0 {
--- a/internal/daemon/link_test.go
+++ b/internal/daemon/link_test.go
@@ -30,9 +30,9 @@
 		m := metrics.NewGateway(time.Now)
 		u := &linkUse{digests: here, link: 1000, log: eventlog.New(zerolog.New(&log), func() time.Time { return now }), metrics: m,
 			status: func() gateway.Status {
-				return gateway.Status{Peers: 194, Heard: 3, Feeder: "10.0.0.9:1", FedAge: 80 * time.Millisecond}
+				return gateway.Status{LivePeers: 194, DirectPeers: 3, Feeder: "10.0.0.9:1", FeedAge: 80 * time.Millisecond}
 			}}
-		here.Send([]string{"127.0.0.1:9", "127.0.0.1:9"}, &peerv1.Digest{Known: [][]byte{{1, 2, 3}}}, nil)
+		here.SendDigest([]string{"127.0.0.1:9", "127.0.0.1:9"}, &peerv1.Digest{Known: [][]byte{{1, 2, 3}}}, nil)
 		var out int64
 		Eventually(func() int64 { _, out = here.Bytes(); return out }).Should(Equal(int64(2*(28+5))), "two digests with their headers")
 		u.served.BytesOut.Add(2500)
