--- a/internal/app/gateway/answer.go
+++ b/internal/app/gateway/answer.go
@@ -14,50 +14,51 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// maxWhole is the largest answer that is read whole before any of it goes on.
-const maxWhole = 16 << 20
-
-// relayWhole passes an answer on once all of it has arrived: a body shorter than
-// announced must not reach the caller as a whole one.
-func (t *try) relayWhole(answer *upstream.Answer, reply Reply) attempt.Action {
-	x := t.run
-	body, err := io.ReadAll(io.LimitReader(answer, maxWhole+1))
+// maxBufferedBody is the largest answer, in bytes, that is buffered before it is sent.
+const maxBufferedBody = 16 << 20
+
+// relayBuffered sends an answer after reading all of it. A truncated body must not reach the caller
+// as a complete one.
+func (t *targetAttempt) relayBuffered(answer *upstream.Answer, reply Reply) attempt.Action {
+	x := t.request
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBody+1))
 	switch {
 	case x.ctx.Err() != nil && err != nil:
-		return t.ended()
+		return t.endByContext()
 	case err != nil:
-		t.broken("truncated", err)
-	case len(body) > maxWhole:
+		t.failBroken("truncated", err)
+	case len(body) > maxBufferedBody:
 		t.fail("too_large", nil)
 	case !reply.Sealed && answer.Status < http.StatusMultipleChoices:
 		t.fail("not_sealed", nil)
-	case promises(answer.Status):
+	case impliesNotExecuted(answer.Status):
 		t.fail("false_promise", nil)
 	case answer.Status >= http.StatusInternalServerError:
-		return t.errored(answer, body)
+		return t.handleTargetError(answer, body)
 	default:
 		t.outcome = placement.Answered
-		t.firstEvent(true)
-		t.ran(answer, reply.Sealed)
-		return t.pass(answer, body)
+		t.recordFirstEvent(true)
+		t.recordExecuted(answer, reply.Sealed)
+		return t.passAnswer(answer, body)
 	}
 	return x.machine.Step(attempt.Broken{Attempt: t.number})
 }
 
-// ran tells that the target has run the request and goes on. An answer without a length ends with its connection, as one does whose
-// target has ended: it clears nobody, and the target is asked.
-func (t *try) ran(answer *upstream.Answer, sealed bool) {
+// recordExecuted records that the target executed the request and is still running. An answer
+// without a length ends with the connection, exactly as it does when the process exits. Such an
+// answer does not clear the request of suspicion; the target is probed instead.
+func (t *targetAttempt) recordExecuted(answer *upstream.Answer, sealed bool) {
 	switch {
 	case !answer.Framed:
-		t.blame(io.EOF)
+		t.checkTargetExit(io.EOF)
 	case sealed:
-		t.run.relay.view.guard.ran(t.run.relay.now(), t.run.fingerprint)
+		t.request.proxy.traffic.poisonGuard.recordExecuted(t.request.proxy.now(), t.request.fingerprint)
 	}
 }
 
-// promises reports whether callers take a status as the promise that the request
-// has not run. A target's own answer with such a status makes none.
-func promises(status int) bool {
+// impliesNotExecuted reports whether callers understand a status as a guarantee that the request
+// was not executed. A target that executed the request must not use such a status.
+func impliesNotExecuted(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -65,39 +66,39 @@
 	return false
 }
 
-// errored is a target's own failure. A request that may run again goes to another
-// target; the answer is kept for the case that none takes it.
-func (t *try) errored(answer *upstream.Answer, body []byte) attempt.Action {
+// handleTargetError handles a 5xx answer from a target. An idempotent request is retried at another
+// target; the answer is kept in case no target succeeds.
+func (t *targetAttempt) handleTargetError(answer *upstream.Answer, body []byte) attempt.Action {
 	t.outcome, t.failure = placement.Errored, "target_error"
-	x := t.run
+	x := t.request
 	if !x.match.route.Repeatable() {
-		return t.pass(answer, body)
+		return t.passAnswer(answer, body)
 	}
-	x.kept = &kept{status: answer.Status, header: answer.Header, body: body}
+	x.targetError = &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	return x.machine.Step(attempt.Broken{Attempt: t.number})
 }
 
-func (t *try) pass(answer *upstream.Answer, body []byte) attempt.Action {
-	x := t.run
+func (t *targetAttempt) passAnswer(answer *upstream.Answer, body []byte) attempt.Action {
+	x := t.request
 	x.machine.Step(attempt.Part{Attempt: t.number, Echo: t.number})
-	x.whole(answer.Status, answer.Header, body)
+	x.sendAnswer(answer.Status, answer.Header, body)
 	return x.machine.Step(attempt.End{Attempt: t.number, Echo: t.number, Total: 1})
 }
 
-// streamState is how far the caller has a stream.
-type streamState struct {
-	last   string // id of the last event passed on
-	events int    // passed on, over all attempts
+// streamProgress records how much of a stream the caller has received.
+type streamProgress struct {
+	lastEventID string // ID of the last event sent
+	events      int    // events sent, over all attempts
 }
 
-// streamBuffer is how much of a stream is read at once.
-const streamBuffer = 8 << 10
+// streamReadSize is the size of the buffer for reading a stream, in bytes.
+const streamReadSize = 8 << 10
 
-// relayStream passes whole events on as they arrive. A target may stop in the
-// middle of one; the part would spoil the event that another target sends again.
-func (t *try) relayStream(answer *upstream.Answer) attempt.Action {
+// relayStream sends complete events as they arrive. An incomplete event is held back: if the target
+// stops in the middle of it, another target sends the whole event again.
+func (t *targetAttempt) relayStream(answer *upstream.Answer) attempt.Action {
 	var pending []byte
-	chunk := make([]byte, streamBuffer)
+	chunk := make([]byte, streamReadSize)
 	for {
 		n, err := answer.Read(chunk)
 		if n > 0 {
@@ -107,139 +108,139 @@
 			if action.Kind == attempt.Finish {
 				return action
 			}
-			t.listen()
+			t.resetSilenceTimer()
 			pending = append(pending[:0], rest...)
 		}
 		if err != nil {
-			return t.streamEnded(answer, pending, err)
+			return t.endStream(answer, pending, err)
 		}
 	}
 }
 
-// eventEnd ends an event of a text/event-stream.
+// eventEnd is the separator that ends an event in a text/event-stream.
 var eventEnd = []byte("\n\n")
 
-// passEvents passes the whole events in data on and returns what is left over.
-func (t *try) passEvents(answer *upstream.Answer, data []byte) ([]byte, attempt.Action) {
-	x := t.run
-	whole := 0
+// passEvents sends the complete events in data and returns the rest.
+func (t *targetAttempt) passEvents(answer *upstream.Answer, data []byte) ([]byte, attempt.Action) {
+	x := t.request
+	completeBytes := 0
 	for {
-		n := bytes.Index(data[whole:], eventEnd)
+		n := bytes.Index(data[completeBytes:], eventEnd)
 		if n < 0 {
 			break
 		}
-		whole += n + len(eventEnd)
+		completeBytes += n + len(eventEnd)
 		x.machine.Step(attempt.Part{Attempt: t.number, Echo: t.number, Offset: x.stream.events})
 		x.stream.events++
 		t.events++
 	}
-	if whole == 0 {
+	if completeBytes == 0 {
 		return data, attempt.Action{}
 	}
-	t.firstEvent(true)
-	if t.firstAt.IsZero() {
-		t.firstAt = x.relay.now()
+	t.recordFirstEvent(true)
+	if t.firstEventAt.IsZero() {
+		t.firstEventAt = x.proxy.now()
 		t.answering.Store(true)
 	}
-	if id, ok := lastID(data[:whole]); ok {
-		x.stream.last = id
+	if id, ok := findLastEventID(data[:completeBytes]); ok {
+		x.stream.lastEventID = id
 	}
-	if x.first.IsZero() {
-		x.first, x.status = x.relay.now(), answer.Status
-		x.out.SendHeader(answer.Status, answer.Header, -1)
+	if x.firstByteAt.IsZero() {
+		x.firstByteAt, x.status = x.proxy.now(), answer.Status
+		x.responder.SendHeader(answer.Status, answer.Header, -1)
 	}
-	if err := x.out.Write(data[:whole]); err != nil {
+	if err := x.responder.Write(data[:completeBytes]); err != nil {
 		return nil, x.machine.Step(attempt.CallerLeft{})
 	}
-	return data[whole:], attempt.Action{}
+	return data[completeBytes:], attempt.Action{}
 }
 
-// lastID returns the id of the last event that has one.
-func lastID(events []byte) (string, bool) {
-	at := bytes.LastIndex(events, []byte("id:"))
-	for at > 0 && events[at-1] != '\n' {
-		at = bytes.LastIndex(events[:at], []byte("id:"))
+// findLastEventID returns the ID of the last event that has one.
+func findLastEventID(events []byte) (string, bool) {
+	start := bytes.LastIndex(events, []byte("id:"))
+	for start > 0 && events[start-1] != '\n' {
+		start = bytes.LastIndex(events[:start], []byte("id:"))
 	}
-	if at < 0 {
+	if start < 0 {
 		return "", false
 	}
-	line, _, _ := bytes.Cut(events[at+len("id:"):], []byte("\n"))
+	line, _, _ := bytes.Cut(events[start+len("id:"):], []byte("\n"))
 	return string(bytes.TrimSpace(line)), true
 }
 
-func (t *try) streamEnded(answer *upstream.Answer, pending []byte, err error) attempt.Action {
-	x := t.run
+func (t *targetAttempt) endStream(answer *upstream.Answer, pending []byte, err error) attempt.Action {
+	x := t.request
 	switch {
 	case errors.Is(err, io.EOF) && (answer.Framed || len(pending) == 0):
-		// Without a length the end of the connection is the end of the answer; one
-		// that is cut off ends with a reset, or in the middle of an event.
+		// An answer without a length ends with the connection. A broken one ends with a reset or in
+		// the middle of an event.
 		t.outcome = placement.Answered
-		t.ran(answer, true)
-		if x.first.IsZero() {
-			x.whole(answer.Status, answer.Header, pending)
+		t.recordExecuted(answer, true)
+		if x.firstByteAt.IsZero() {
+			x.sendAnswer(answer.Status, answer.Header, pending)
 		} else if len(pending) > 0 {
-			_ = x.out.Write(pending) // a caller that left shows in its context
+			_ = x.responder.Write(pending) // a write error also cancels the caller's context
 		}
 		return x.machine.Step(attempt.End{Attempt: t.number, Echo: t.number, Total: x.stream.events})
 	case x.ctx.Err() != nil:
-		return t.ended()
+		return t.endByContext()
 	}
-	t.broken("stream_cut", err)
+	t.failBroken("stream_cut", err)
 	return x.machine.Step(attempt.Broken{Attempt: t.number})
 }
 
-// The patience with a silent target, as multiples of what the route aims at. A
-// request that may run again goes elsewhere while there is time left for it to be
-// answered; any other goes on waiting, but no more are sent there.
+// A silent target is given a multiple of the route's objective. An idempotent request is then
+// retried while enough time remains. Any other request keeps waiting, but the target's silence is
+// recorded for placement.
 const (
-	patienceFirst = 2.0
-	patienceGap   = 3.0
-	// patienceLeast covers the spread of a healthy target's work.
-	patienceLeast = 250 * time.Millisecond
-	// patienceMost ends a stream's attempt before its caller leaves, which is after
-	// two seconds without an event at the earliest.
-	patienceMost = 1200 * time.Millisecond
+	firstByteTimeoutFactor = 2.0
+	eventGapTimeoutFactor  = 3.0
+	// minSilenceTimeout covers the normal variation in a healthy target's response time.
+	minSilenceTimeout = 250 * time.Millisecond
+	// maxSilenceTimeout ends a stream attempt before its caller gives up. Callers give up after at
+	// least 2 s without an event.
+	maxSilenceTimeout = 1200 * time.Millisecond
 )
 
-func patience(aim time.Duration, multiple float64) time.Duration {
-	return min(max(time.Duration(float64(aim)*multiple), patienceLeast), patienceMost)
+func silenceTimeout(objective time.Duration, factor float64) time.Duration {
+	return min(max(time.Duration(float64(objective)*factor), minSilenceTimeout), maxSilenceTimeout)
 }
 
-// watchFirst starts to watch for the first byte of the answer.
-func (t *try) watchFirst() {
-	wait := patience(t.run.match.route.Objective, patienceFirst)
-	t.silence.Until(t.began.Add(wait))
-	t.timer = time.AfterFunc(wait, t.fired)
+// startSilenceTimer starts the timeout for the first byte of the answer.
+func (t *targetAttempt) startSilenceTimer() {
+	wait := silenceTimeout(t.request.match.route.Objective, firstByteTimeoutFactor)
+	t.silence.Until(t.startedAt.Add(wait))
+	t.timer = time.AfterFunc(wait, t.onSilenceTimer)
 }
 
-// listen starts to watch for the next part of a stream. While a part is passed on to
-// the caller nobody listens, and the target's silence does not count.
-func (t *try) listen() {
-	wait := patience(t.run.match.route.GapObjective, patienceGap)
+// resetSilenceTimer starts the timeout for the next part of a stream. The timer is stopped while a
+// part is written to the caller, so that a slow caller is not taken for a silent target.
+func (t *targetAttempt) resetSilenceTimer() {
+	wait := silenceTimeout(t.request.match.route.GapObjective, eventGapTimeoutFactor)
 	t.mu.Lock()
-	t.silence.Until(t.run.relay.now().Add(wait))
+	t.silence.Until(t.request.proxy.now().Add(wait))
 	t.mu.Unlock()
 	t.timer.Reset(wait)
 }
 
-// fired runs when the timer ends.
-func (t *try) fired() {
-	x := t.run
+// onSilenceTimer runs when the silence timer expires.
+func (t *targetAttempt) onSilenceTimer() {
+	x := t.request
 	t.mu.Lock()
-	silent := t.silence.Silent(x.relay.now())
+	silent := t.silence.Silent(x.proxy.now())
 	if !silent {
-		t.silence.Until(x.relay.now().Add(patienceLeast))
+		t.silence.Until(x.proxy.now().Add(minSilenceTimeout))
 	}
 	t.mu.Unlock()
 	if !silent {
-		t.timer.Reset(patienceLeast) // this process was paused: look again
+		t.timer.Reset(minSilenceTimeout) // this process stalled: check again later
 		return
 	}
 	t.mu.Lock()
 	t.silenceCounted = true
 	t.mu.Unlock()
-	if x.relay.view.silent(x.relay.now(), t.choice.Target.UID) {
-		x.note(eventlog.TargetSuspended).Str("target", t.choice.Target.ID).Str("why", "silent").Msg("")
+	if x.proxy.traffic.recordSilence(x.proxy.now(), t.choice.Target.UID) {
+		x.logLine(eventlog.TargetSuspended).Str("target", t.choice.Target.ID).Str("why", "silent").Msg("")
 	}
 	if x.match.route.Repeatable() && x.match.route.MaxAttempts > t.number {
 		t.cancel(errSilent)
--- a/internal/app/gateway/bench_test.go
+++ b/internal/app/gateway/bench_test.go
@@ -16,14 +16,14 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// entries decodes rows of JSON, as targets write them.
-type entries struct{}
+// jsonDecoder decodes JSON rows in the format of the platform's targets.
+type jsonDecoder struct{}
 
-func (entries) EvacuatedDataCentres([]replica.Row) []string { return nil }
+func (jsonDecoder) EvacuatedDataCentres([]replica.Row) []string { return nil }
 
-func (entries) DesiredState([]replica.Row) (*route.State, error) { return nil, nil }
+func (jsonDecoder) DesiredState([]replica.Row) (*route.State, error) { return nil, nil }
 
-func (entries) Targets(rows []replica.Row) (map[string][]placement.Target, []RejectedEntry) {
+func (jsonDecoder) Targets(rows []replica.Row) (map[string][]placement.Target, []RejectedEntry) {
 	out := make(map[string][]placement.Target)
 	for _, r := range rows {
 		var fields map[string]json.RawMessage
@@ -34,60 +34,61 @@
 	return out, nil
 }
 
-// noStore never answers.
-type noStore struct{ Store }
+// silentStore never answers.
+type silentStore struct{ Store }
 
-func (noStore) ReadTable(ctx context.Context, _ fleet.Table, _ int) (uint64, []replica.Row, error) {
+func (silentStore) ReadTable(ctx context.Context, _ fleet.Table, _ int) (uint64, []replica.Row, error) {
 	<-ctx.Done()
 	return 0, nil, ctx.Err()
 }
 
-func (noStore) AwaitChanges(ctx context.Context, _ fleet.Table, _ uint64, _ time.Duration) (uint64, []replica.Row, error) {
+func (silentStore) AwaitChanges(ctx context.Context, _ fleet.Table, _ uint64, _ time.Duration) (uint64, []replica.Row, error) {
 	<-ctx.Done()
 	return 0, nil, ctx.Err()
 }
 
-type noPeers struct{}
+type unreachablePeers struct{}
 
-func (noPeers) SendDigest([]string, *peerv1.Digest, []*peerv1.Report) {}
-func (noPeers) RequestCopy(context.Context, string, *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+func (unreachablePeers) SendDigest([]string, *peerv1.Digest, []*peerv1.Report) {}
+func (unreachablePeers) RequestCopy(context.Context, string, *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	return nil, context.Canceled
 }
 
-type noTargets struct{}
+type unreachableTargets struct{}
 
-func (noTargets) Do(context.Context, upstream.Request) (*upstream.Answer, error) {
+func (unreachableTargets) Do(context.Context, upstream.Request) (*upstream.Answer, error) {
 	return nil, upstream.ErrNotSent
 }
-func (noTargets) Prune(func(uint64) bool) {}
+func (unreachableTargets) Prune(func(uint64) bool) {}
 
 func targetRow(i int, version uint64) replica.Row {
 	value := fmt.Sprintf(`{"Service":"p","Address":"10.1.%d.%d:80","Zone":"a","Version":"v1","Slots":16,"State":"ready","ColdRemainingMs":0,"Seq":%d}`, i/250, i%250, version)
 	return replica.Row{Key: fmt.Sprintf("i-%07d", i), Value: []byte(value), Version: version}
 }
 
-// crowd returns a Control that knows n targets.
-func crowd(n int) (*Control, time.Time) {
+// newControlWithTargets returns a Control that has a list of n targets.
+func newControlWithTargets(n int) (*Control, time.Time) {
 	now := time.Now()
 	c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: true, MaxApplyDelay: 2 * time.Second, MaxDepartureDelay: 2 * time.Second, LoadMultiple: 2, RetryWindow: 10 * time.Second},
-		noStore{}, entries{}, noPeers{}, noTargets{}, eventlog.Nop(), time.Now)
-	for t := range c.followCtx {
-		c.followCtx[t], c.stopFollow[t] = context.WithCancel(context.Background())
+		silentStore{}, jsonDecoder{}, unreachablePeers{}, unreachableTargets{}, eventlog.Nop(), time.Now)
+	for t := range c.readCtx {
+		c.readCtx[t], c.cancelRead[t] = context.WithCancel(context.Background())
 	}
 	rows := make([]replica.Row, n)
 	for i := range rows {
 		rows[i] = targetRow(i, uint64(i+1))
 	}
 	c.core.Step(now, fleet.WholeRead{Table: fleet.Targets, Position: uint64(n), Rows: rows})
-	c.changed(now, fleet.Changed{Table: fleet.Targets, Version: uint64(n), Source: "store"})
+	c.applyTable(now, fleet.Changed{Table: fleet.Targets, Version: uint64(n), Source: "store"})
 	return c, now
 }
 
-// BenchmarkIdleTick measures what a router does ten times a second with no request, by the number of targets.
+// BenchmarkIdleTick measures a tick without requests by the number of targets. There are ten ticks
+// a second.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		b.Run(fmt.Sprint(n, " targets"), func(b *testing.B) {
-			c, now := crowd(n)
+			c, now := newControlWithTargets(n)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -98,18 +99,18 @@
 	}
 }
 
-// BenchmarkTargetChanged measures one entry of the list that changes, by the number of targets.
+// BenchmarkTargetChanged measures the update of one target entry by the number of targets.
 func BenchmarkTargetChanged(b *testing.B) {
 	for _, n := range []int{300, 3000} {
 		b.Run(fmt.Sprint(n, " targets"), func(b *testing.B) {
-			c, now := crowd(n)
+			c, now := newControlWithTargets(n)
 			version := uint64(n)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				version++
 				c.core.Step(now, fleet.FollowRead{Table: fleet.Targets, Position: version, Rows: []replica.Row{targetRow(i%n, version)}})
-				c.changed(now, fleet.Changed{Table: fleet.Targets, Version: version, Source: "store"})
+				c.applyTable(now, fleet.Changed{Table: fleet.Targets, Version: version, Source: "store"})
 			}
 		})
 	}
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -18,20 +18,21 @@
 )
 
 const (
-	// goneShare is the part of LeftWithin for which a target is used after it left the
-	// list. The rest is for the spread of the news.
-	goneShare = 0.35
-	// lapsedBackWithin is how long after the store's return entries that lapsed while it was away are back, and for how
-	// long such targets are used at the most.
-	lapsedBackWithin = 2500 * time.Millisecond
-	// callTimeout bounds the calls that do not wait for changes.
-	callTimeout = 2 * time.Second
+	// removedGraceShare is the fraction of MaxDepartureDelay for which a target remains in use
+	// after its removal from the target list. The rest of the delay is left for the departure to
+	// reach all routers.
+	removedGraceShare = 0.35
+	// lapsedGrace is how long after a store outage entries may take to return if they expired
+	// during the outage. It is also the longest time for which their targets remain in use.
+	lapsedGrace = 2500 * time.Millisecond
+	// storeCallTimeout bounds calls to the store that do not wait for changes.
+	storeCallTimeout = 2 * time.Second
 )
 
-// Control owns the control state. Its methods are safe for concurrent use.
+// Control owns the control state of a router. Its methods are safe for concurrent use.
 type Control struct {
 	settings Settings
-	view     *view
+	traffic  *trafficState
 	store    Store
 	decoder  Decoder
 	peers    Peers
@@ -42,33 +43,33 @@
 	inbox   chan func(now time.Time)
 	stopped chan struct{}
 
-	// Owned by the control goroutine.
-	ctx        context.Context // of Run
-	core       *fleet.Core
-	roster     *placement.Roster
-	list       *decodedList
-	copies     *copies
-	entries    *entryLog
-	departures departures
-	stopFollow [fleet.Tables]context.CancelFunc
-	followCtx  [fleet.Tables]context.Context
-	version    uint64 // of the desired state in force
-	routers    int    // the most that were alive at once
-	startedAt  time.Time
-	listRead   atomic.Bool // the store's list of routers has been read
-	fleet      []string    // the other routers as placement knows them, nil if it knows none yet
-	inForceAt  time.Time
-	evacuated  int // data centres that are to get nothing
-	targetsAt  time.Time
-
-	poisonFresh bool          // others told something of requests under which targets end that is to be told on
-	keepWake    chan struct{} // something may be to be kept in the store
+	// The fields below are owned by the control goroutine.
+	ctx              context.Context // passed to Run
+	core             *fleet.Core
+	roster           *placement.Roster
+	targets          *targetCache
+	copyServer       *copyServer
+	rejections       *rejectionLog
+	departures       departureQueue
+	cancelRead       [fleet.Tables]context.CancelFunc
+	readCtx          [fleet.Tables]context.Context
+	desiredVersion   uint64 // version of the applied desired state
+	maxAlive         int    // largest number of routers alive at once
+	startedAt        time.Time
+	routerListRead   atomic.Bool // the store's router list has been read
+	otherRouters     []string    // other routers known to placement; nil if not known yet
+	appliedAt        time.Time
+	evacuatedCount   int // number of evacuated data centres
+	targetsChangedAt time.Time
+
+	poisonReportPending bool          // poison reports from other routers must be forwarded
+	suspectsChanged     chan struct{} // wakes syncSuspects after a change
 }
 
-// inboxSize is how many events may wait. Senders block when it is full.
+// inboxSize is the capacity of the control goroutine's inbox. Senders block when it is full.
 const inboxSize = 256
 
-// NewControl returns a Control that Run has still to start.
+// NewControl returns a Control. Run starts it.
 func NewControl(s Settings, store Store, decoder Decoder, peers Peers, up Upstream, log *eventlog.Log, now func() time.Time) *Control {
 	incarnation := rand.Uint64()
 	board := placement.DefaultSettings(s.DataCentre)
@@ -77,38 +78,38 @@
 	return &Control{
 		startedAt: now(),
 		settings:  s, store: store, decoder: decoder, peers: peers, upstream: up, log: log, now: now,
-		view: &view{
-			board:   placement.New(board, rand.New(rand.NewPCG(incarnation, 1))),
-			gates:   make(map[string]*admission.Gate),
-			budgets: make(map[string]*retry.Window), span: s.RetryWindow,
-			limits:   retry.Limits{Ratio: s.RetryRatio, Slack: s.RetrySlack, Routers: sharing(s.FirstStart)},
-			attempts: newUnderWay(), guard: newGuard(s.Address, s.FirstStart),
+		traffic: &trafficState{
+			board:        placement.New(board, rand.New(rand.NewPCG(incarnation, 1))),
+			gates:        make(map[string]*admission.Gate),
+			retryBudgets: make(map[string]*retry.Window), retryWindow: s.RetryWindow,
+			retryLimits:  retry.Limits{Ratio: s.RetryRatio, Slack: s.RetrySlack, Routers: initialSlackSharers(s.FirstStart)},
+			openAttempts: newAttemptRegistry(), poisonGuard: newPoisonGuard(s.Address, s.FirstStart),
 		},
-		keepWake: make(chan struct{}, 1),
-		inbox:    make(chan func(time.Time), inboxSize), stopped: make(chan struct{}),
+		suspectsChanged: make(chan struct{}, 1),
+		inbox:           make(chan func(time.Time), inboxSize), stopped: make(chan struct{}),
 		core: fleet.New(now(), fleet.Settings{
 			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), StartsFirst: s.ReadStoreAtStart,
 			DataCentre: s.DataCentre, Strength: s.Strength, InForceWithin: s.MaxApplyDelay, LeftWithin: s.MaxDepartureDelay,
 		}),
-		copies:  newCopies(fleet.NewServeBudget(now(), s.LinkBytesPerSecond)),
-		roster:  placement.NewRoster(),
-		list:    newDecodedList(decoder),
-		entries: newEntryLog(log),
+		copyServer: newCopyServer(fleet.NewServeBudget(now(), s.LinkBytesPerSecond)),
+		roster:     placement.NewRoster(),
+		targets:    newTargetCache(decoder),
+		rejections: newRejectionLog(log),
 	}
 }
 
-// Run owns the control state until ctx ends.
+// Run processes events until ctx ends.
 func (c *Control) Run(ctx context.Context) {
 	defer close(c.stopped)
-	for t := range c.followCtx {
-		c.followCtx[t], c.stopFollow[t] = context.WithCancel(ctx)
-		defer func() { c.stopFollow[t]() }()
+	for t := range c.readCtx {
+		c.readCtx[t], c.cancelRead[t] = context.WithCancel(ctx)
+		defer func() { c.cancelRead[t]() }()
 	}
 	c.ctx = ctx
-	go c.keepListed(ctx)
-	go c.keepSuspects(ctx)
+	go c.maintainRegistration(ctx)
+	go c.syncSuspects(ctx)
 	if len(c.settings.Seeds) > 0 {
-		c.step(ctx, c.now(), fleet.Found{Addresses: addresses(c.settings.Seeds)})
+		c.handleEvent(ctx, c.now(), fleet.Found{Addresses: toFleetAddresses(c.settings.Seeds)})
 	}
 	ticker := time.NewTicker(fleet.TickInterval)
 	defer ticker.Stop()
@@ -119,206 +120,213 @@
 			return
 		case <-ticker.C:
 			c.tick(ctx, c.now())
-		case do := <-c.inbox:
-			do(c.now())
+		case task := <-c.inbox:
+			task(c.now())
 		}
 	}
 }
 
 func (c *Control) tick(ctx context.Context, now time.Time) {
-	c.tickGuard(now)
-	tell := c.view.toTell(now)
-	tell.News = c.news(now)
-	c.step(ctx, now, tell)
-	c.view.mu.Lock()
-	c.view.board.Expire(now)
-	c.view.mu.Unlock()
-	if c.roster.Expire(now, c.keep(now)) {
+	c.tickPoisonGuard(now)
+	content := c.traffic.digestContent(now)
+	content.News = c.takeReports(now)
+	c.handleEvent(ctx, now, content)
+	c.traffic.mu.Lock()
+	c.traffic.board.Expire(now)
+	c.traffic.mu.Unlock()
+	if c.roster.Expire(now, c.removedGracePeriods(now)) {
 		c.publishTargets(now)
 	}
-	c.askEnded(ctx, now)
-	c.updateFleet(now)
+	c.probeExitedTargets(ctx, now)
+	c.updateOtherRouters(now)
 	c.upstream.Prune(c.roster.Has)
-	c.shareSlack(now)
+	c.updateSlackSharers(now)
 }
 
-// keep returns for how long targets are used that left the list.
-func (c *Control) keep(now time.Time) placement.Keep {
-	k := placement.Keep{Gone: time.Duration(goneShare * float64(c.settings.MaxDepartureDelay))}
-	away := c.core.StoreAway(now)
-	if away {
+// removedGracePeriods returns how long targets remain in use after their removal from the target
+// list.
+func (c *Control) removedGracePeriods(now time.Time) placement.Keep {
+	k := placement.Keep{Gone: time.Duration(removedGraceShare * float64(c.settings.MaxDepartureDelay))}
+	outage := c.core.StoreAway(now)
+	if outage {
 		since, until := c.core.Outage()
-		k.Lapsed, k.Since, k.Until = lapsedBackWithin, since, until.Add(lapsedBackWithin)
+		k.Lapsed, k.Since, k.Until = lapsedGrace, since, until.Add(lapsedGrace)
 	}
 	if ablate.Off(ablate.GoneGrace) {
 		k = placement.Keep{}
 	}
-	c.view.goneGrace.Store(int64(max(k.Gone, k.Lapsed)))
-	c.view.storeAway.Store(away)
+	c.traffic.removedGrace.Store(int64(max(k.Gone, k.Lapsed)))
+	c.traffic.storeOutage.Store(outage)
 	return k
 }
 
-// sharing returns how many routers share the slack of repeats when this one starts: none of it is used before it is known that nobody has.
-func sharing(firstStart bool) int {
+// initialSlackSharers returns the number of routers that share the retry slack when this router
+// starts. It is 0, so that no slack is used, unless the whole fleet starts for the first time. An
+// earlier process may have used the slack a moment ago.
+func initialSlackSharers(firstStart bool) int {
 	if firstStart {
 		return 1
 	}
 	return 0
 }
 
-// shareSlack tells traffic among how many routers the slack of repeats is shared. Those that are listed but not heard may run all the
-// same; those that were heard once may be cut off.
-func (c *Control) shareSlack(now time.Time) {
-	c.routers = max(c.routers, c.core.Alive(now)+1)
-	if !c.settings.FirstStart && (c.fleet == nil || now.Sub(c.startedAt) < retry.SlackAfter(c.settings.RetryWindow)) {
+// updateSlackSharers sets the number of routers that share the retry slack. Registered routers that
+// are not heard count, since they may be running. Routers that were alive earlier count too, since
+// they may be partitioned.
+func (c *Control) updateSlackSharers(now time.Time) {
+	c.maxAlive = max(c.maxAlive, c.core.Alive(now)+1)
+	if !c.settings.FirstStart && (c.otherRouters == nil || now.Sub(c.startedAt) < retry.SlackAfter(c.settings.RetryWindow)) {
 		return
 	}
-	n := max(c.routers, len(c.fleet)+1)
-	c.view.mu.Lock()
-	defer c.view.mu.Unlock()
-	c.view.limits.Routers = n
+	n := max(c.maxAlive, len(c.otherRouters)+1)
+	c.traffic.mu.Lock()
+	defer c.traffic.mu.Unlock()
+	c.traffic.retryLimits.Routers = n
 }
 
-// updateFleet tells placement which routers there are, once this one has had the time to learn it. One that hears nobody goes by the
-// store's list: it may be the only router, or cut off from all others, of which each would take itself for the only one.
-func (c *Control) updateFleet(now time.Time) {
-	if now.Sub(c.startedAt) < warmup.Hold || (c.fleet == nil && !c.listRead.Load() && c.core.Alive(now) == 0) {
+// updateOtherRouters passes the known routers to placement after the warm-up hold time. A router
+// that hears no other waits until it has read the store's router list. Otherwise partitioned
+// routers would each assume that they are the only one.
+func (c *Control) updateOtherRouters(now time.Time) {
+	if now.Sub(c.startedAt) < warmup.Hold || (c.otherRouters == nil && !c.routerListRead.Load() && c.core.Alive(now) == 0) {
 		return
 	}
-	if known := texts(c.core.Others()); c.fleet == nil || !slices.Equal(known, c.fleet) {
-		c.fleet = known
-		c.view.setFleet(warmup.NewFleet(c.settings.Address, known))
+	if known := addressStrings(c.core.Others()); c.otherRouters == nil || !slices.Equal(known, c.otherRouters) {
+		c.otherRouters = known
+		c.traffic.setRouters(warmup.NewFleet(c.settings.Address, known))
 	}
 }
 
-// post hands an event to the control goroutine.
-func (c *Control) post(ctx context.Context, ev fleet.Event) {
-	c.do(func(now time.Time) { c.step(ctx, now, ev) })
+// postEvent queues an event for the control goroutine.
+func (c *Control) postEvent(ctx context.Context, ev fleet.Event) {
+	c.submit(func(now time.Time) { c.handleEvent(ctx, now, ev) })
 }
 
-func (c *Control) do(f func(now time.Time)) {
+func (c *Control) submit(f func(now time.Time)) {
 	select {
 	case c.inbox <- f:
 	case <-c.stopped:
 	}
 }
 
-func (c *Control) step(ctx context.Context, now time.Time, ev fleet.Event) {
+func (c *Control) handleEvent(ctx context.Context, now time.Time, ev fleet.Event) {
 	for _, a := range c.core.Step(now, ev) {
-		c.act(ctx, now, a)
+		c.execute(ctx, now, a)
 	}
-	c.updateBehind(now)
-	if c.departures.fresh || c.poisonFresh {
-		c.step(ctx, now, fleet.Learned{News: c.news(now)})
+	c.updateStaleness(now)
+	if c.departures.hasUnsent || c.poisonReportPending {
+		c.handleEvent(ctx, now, fleet.Learned{News: c.takeReports(now)})
 	}
 }
 
-// news returns what is to be told at once.
-func (c *Control) news(now time.Time) fleet.News {
-	c.poisonFresh = false
-	n := c.view.guard.news(now)
-	n.Departures = c.departures.take()
+// takeReports returns the reports to send in the next digest.
+func (c *Control) takeReports(now time.Time) fleet.News {
+	c.poisonReportPending = false
+	n := c.traffic.poisonGuard.takeReport(now)
+	n.Departures = c.departures.takeBatch()
 	return n
 }
 
-// tellDeparture passes on at once what traffic has learned of a target.
-func (c *Control) tellDeparture(d placement.Departure) {
-	c.do(func(now time.Time) {
+// reportDeparture sends a departure detected by request traffic to the other routers at once.
+func (c *Control) reportDeparture(d placement.Departure) {
+	c.submit(func(now time.Time) {
 		c.departures.add([]placement.Departure{d})
-		c.step(c.ctx, now, fleet.Learned{News: c.news(now)})
+		c.handleEvent(c.ctx, now, fleet.Learned{News: c.takeReports(now)})
 	})
 }
 
-func (c *Control) act(ctx context.Context, now time.Time, a fleet.Action) {
+func (c *Control) execute(ctx context.Context, now time.Time, a fleet.Action) {
 	switch a := a.(type) {
 	case fleet.SendDigest:
-		c.peers.SendDigest(texts(a.To), a.Digest, a.Yours)
+		c.peers.SendDigest(addressStrings(a.To), a.Digest, a.Yours)
 	case fleet.Follow:
-		go c.follow(ctx, c.followCtx[a.Table], a)
+		go c.awaitChanges(ctx, c.readCtx[a.Table], a)
 	case fleet.ReadWhole:
-		go c.readWhole(ctx, c.followCtx[a.Table], a.Table, a.Most)
+		go c.readTable(ctx, c.readCtx[a.Table], a.Table, a.Most)
 	case fleet.StopFollowing:
-		c.stopFollow[a.Table]()
-		c.followCtx[a.Table], c.stopFollow[a.Table] = context.WithCancel(ctx)
+		c.cancelRead[a.Table]()
+		c.readCtx[a.Table], c.cancelRead[a.Table] = context.WithCancel(ctx)
 	case fleet.CopyFrom:
-		go c.copyFrom(ctx, a)
+		go c.requestCopy(ctx, a)
 	case fleet.Changed:
-		c.changed(now, a)
+		c.applyTable(now, a)
 	case fleet.LoadsHeard:
-		c.heard(now, a)
+		c.applyLoadReport(now, a)
 	case fleet.LoadsForgotten:
-		c.view.forget(a.Sources)
+		c.traffic.forgetLoads(a.Sources)
 	case fleet.SuspectsKnown:
-		c.view.guard.learned()
+		c.traffic.poisonGuard.markSuspectsKnown()
 	case fleet.RoleChanged:
 		c.log.Line(eventlog.RoleChanged).Bool("relay", a.Relay).Str("feeder", string(a.Feeder)).Msg("")
 	case fleet.PeerUp:
 		c.log.Line(eventlog.PeerUp).Str("peer", string(a.Peer)).Bool("restarted", a.Restarted).Msg("")
 	case fleet.PeerDown:
-		c.view.forget([]uint32{a.Source})
+		c.traffic.forgetLoads([]uint32{a.Source})
 		c.log.Line(eventlog.PeerDown).Str("peer", string(a.Peer)).Dur("silent", a.Silent).Msg("")
 	case fleet.StoreChanged:
 		c.log.Line(eventlog.StoreChanged).Bool("reading", a.Reading).Bool("reachable", a.Reachable).Msg("")
 	}
 }
 
-// heard takes in what others told of requests.
-func (c *Control) heard(now time.Time, a fleet.LoadsHeard) {
+// applyLoadReport applies loads, outcomes, departures and poison reports from another router.
+func (c *Control) applyLoadReport(now time.Time, a fleet.LoadsHeard) {
 	var ejected []string
-	c.view.mu.Lock()
+	c.traffic.mu.Lock()
 	if !a.Partial {
-		ejected = c.view.board.Heard(now, a.Source, a.Loads, a.Outcomes)
-		c.view.updated = now
+		ejected = c.traffic.board.Heard(now, a.Source, a.Loads, a.Outcomes)
+		c.traffic.loadsReportedAt = now
 	}
-	c.view.board.HeardRead(now, a.Prompts)
-	c.view.mu.Unlock()
-	c.heardDepartures(now, a.Departures)
+	c.traffic.board.HeardRead(now, a.Prompts)
+	c.traffic.mu.Unlock()
+	c.applyDepartures(now, a.Departures)
 	if !a.Poison.Empty() {
-		c.poisonFresh = c.view.guard.heard(now, a.Poison) || c.poisonFresh
+		c.poisonReportPending = c.traffic.poisonGuard.mergeReport(now, a.Poison) || c.poisonReportPending
 	}
 	for _, id := range ejected {
 		c.log.Line(eventlog.TargetSuspended).Str("target", id).Str("why", "outlier").Msg("")
 	}
 }
 
-// Ready reports whether the balancer should send new connections here.
+// Ready reports whether the load balancer should send new connections to this router.
 func (c *Control) Ready() bool {
-	return c.view.ready.Load() && !c.view.leaving.Load() && !c.view.stale.Load()
+	return c.traffic.ready.Load() && !c.traffic.shuttingDown.Load() && !c.traffic.stale.Load()
 }
 
-// ShuttingDown reports whether the router is stopping.
-func (c *Control) ShuttingDown() bool { return c.view.leaving.Load() }
+// ShuttingDown reports whether the router is shutting down.
+func (c *Control) ShuttingDown() bool { return c.traffic.shuttingDown.Load() }
 
-// BeginShutdown makes the router unready for good, as the first step of a graceful shutdown.
+// BeginShutdown makes the router permanently unready. It is the first step of a graceful shutdown.
 func (c *Control) BeginShutdown(ctx context.Context) {
-	c.view.leaving.Store(true)
-	c.post(ctx, fleet.Leave{})
+	c.traffic.shuttingDown.Store(true)
+	c.postEvent(ctx, fleet.Leave{})
 }
 
-// SetShutdownDeadline begins the last phase of a graceful shutdown: only requests that end by a
-// time are begun from now on.
-func (c *Control) SetShutdownDeadline(by time.Time) { c.view.finishing.Store(&by) }
+// SetShutdownDeadline starts the last phase of a graceful shutdown. New requests are accepted only
+// if their deadline is not after by.
+func (c *Control) SetShutdownDeadline(by time.Time) { c.traffic.shutdownDeadline.Store(&by) }
 
-// OpenEarlyRequests returns the number of open requests that came before FinishBy.
-func (c *Control) OpenEarlyRequests() int64 { return c.view.early.Load() }
+// OpenEarlyRequests returns the number of open requests that were accepted before
+// SetShutdownDeadline was called.
+func (c *Control) OpenEarlyRequests() int64 { return c.traffic.earlyRequests.Load() }
 
-// ApplySettings puts the bounds of new settings in force.
+// ApplySettings applies the retry and load limits in s. All other settings need a restart.
 func (c *Control) ApplySettings(s Settings) {
-	c.view.mu.Lock()
-	defer c.view.mu.Unlock()
-	c.view.limits.Ratio, c.view.limits.Slack = s.RetryRatio, s.RetrySlack
-	c.view.board.SetBound(s.LoadMultiple, s.LoadSlack, s.ColdMultiple, s.ColdSlack)
+	c.traffic.mu.Lock()
+	defer c.traffic.mu.Unlock()
+	c.traffic.retryLimits.Ratio, c.traffic.retryLimits.Slack = s.RetryRatio, s.RetrySlack
+	c.traffic.board.SetBound(s.LoadMultiple, s.LoadSlack, s.ColdMultiple, s.ColdSlack)
 }
 
-// ReceiveDigest takes in another router's digest.
+// ReceiveDigest processes a digest from another router.
 func (c *Control) ReceiveDigest(ctx context.Context, from string, d *peerv1.Digest) {
-	c.post(ctx, fleet.DigestIn{From: fleet.Address(from), Digest: d})
+	c.postEvent(ctx, fleet.DigestIn{From: fleet.Address(from), Digest: d})
 }
 
-// query runs f on the control goroutine and waits for it.
-func (c *Control) query(f func(now time.Time)) {
+// submitAndWait runs f on the control goroutine. It returns when f has finished or the control
+// goroutine has stopped.
+func (c *Control) submitAndWait(f func(now time.Time)) {
 	done := make(chan struct{})
-	c.do(func(now time.Time) {
+	c.submit(func(now time.Time) {
 		f(now)
 		close(done)
 	})
@@ -328,7 +336,7 @@
 	}
 }
 
-func addresses(in []string) []fleet.Address {
+func toFleetAddresses(in []string) []fleet.Address {
 	out := make([]fleet.Address, len(in))
 	for i, a := range in {
 		out[i] = fleet.Address(a)
@@ -336,7 +344,7 @@
 	return out
 }
 
-func texts(in []fleet.Address) []string {
+func addressStrings(in []fleet.Address) []string {
 	out := make([]string, len(in))
 	for i, a := range in {
 		out[i] = string(a)
--- a/internal/app/gateway/copies.go
+++ b/internal/app/gateway/copies.go
@@ -16,25 +16,28 @@
 )
 
 const (
-	// packFrom is the size from which a copy is compressed. A list of a few changes fits in one packet as it is.
-	packFrom = 4 << 10
-	// unpackedMost bounds what a packed copy may hold: a desired state of 31,000 teams has about 6 MB.
-	unpackedMost = 32 << 20
+	// minPackBytes is the size from which a copy is compressed. A list of a few changes fits into
+	// one packet uncompressed.
+	minPackBytes = 4 << 10
+	// maxUnpackedBytes bounds the uncompressed size of a copy. A desired state with 31,000 teams
+	// has about 6 MB.
+	maxUnpackedBytes = 32 << 20
 )
 
-// copies answers other routers' copy requests. A large copy is packed once for all that ask for it: packed for each,
-// a change of many routes would keep a small router busy with that alone while its requests wait.
-type copies struct {
+// copyServer answers copy requests from other routers. A large copy is compressed once and the
+// result reused. Compressing it for every request would use all of a small router's CPU after a
+// change of many routes, while callers wait.
+type copyServer struct {
 	mu     sync.Mutex
 	budget *fleet.ServeBudget
-	packed map[uint32]packedCopy // the last one of each table
+	packed map[uint32]packedCopy // the last packed copy of each table
 }
 
-// copyKey names the content of a copy: the rows that changed between two versions of a table.
+// copyKey identifies the content of a copy: the rows that changed between two versions of a table.
 type copyKey struct {
-	version, first uint64
-	whole          bool
-	rows           int
+	version, firstRowVersion uint64
+	whole                    bool
+	rows                     int
 }
 
 type packedCopy struct {
@@ -42,18 +45,18 @@
 	reply *peerv1.CopyResponse
 }
 
-func newCopies(budget *fleet.ServeBudget) *copies {
-	return &copies{budget: budget, packed: make(map[uint32]packedCopy)}
+func newCopyServer(budget *fleet.ServeBudget) *copyServer {
+	return &copyServer{budget: budget, packed: make(map[uint32]packedCopy)}
 }
 
-// ServeCopy answers another router's copy request.
+// ServeCopy answers a copy request from another router.
 func (c *Control) ServeCopy(ctx context.Context, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	type answer struct {
 		reply   *peerv1.CopyResponse
 		holders []fleet.Address
 	}
 	reply := make(chan answer, 1)
-	c.do(func(now time.Time) {
+	c.submit(func(now time.Time) {
 		reply <- answer{c.core.Copy(req), c.core.Holders(now, fleet.Table(req.GetTable()), fleet.Address(req.GetAsker()))}
 	})
 	select {
@@ -61,7 +64,7 @@
 		if !req.GetReadsPacked() {
 			return a.reply, nil
 		}
-		return c.copies.answer(c.now(), req.GetTable(), a.reply, a.holders)
+		return c.copyServer.prepareReply(c.now(), req.GetTable(), a.reply, a.holders)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-c.stopped:
@@ -69,11 +72,12 @@
 	}
 }
 
-// answer packs a reply if it is large, and replaces it by a refusal if the link has no room for it.
-func (c *copies) answer(now time.Time, table uint32, r *peerv1.CopyResponse, holders []fleet.Address) (*peerv1.CopyResponse, error) {
+// prepareReply compresses a large reply. It returns a busy reply with the other holders of the copy
+// if the link budget is exhausted.
+func (c *copyServer) prepareReply(now time.Time, table uint32, r *peerv1.CopyResponse, holders []fleet.Address) (*peerv1.CopyResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if proto.Size(r) >= packFrom {
+	if proto.Size(r) >= minPackBytes {
 		packed, err := c.pack(table, r)
 		if err != nil {
 			return nil, err
@@ -86,8 +90,8 @@
 	return r, nil
 }
 
-func (c *copies) pack(table uint32, r *peerv1.CopyResponse) (*peerv1.CopyResponse, error) {
-	key := copyKey{version: r.GetVersion(), whole: r.GetWhole(), rows: len(r.GetRows()), first: r.GetRows()[0].GetVersion()}
+func (c *copyServer) pack(table uint32, r *peerv1.CopyResponse) (*peerv1.CopyResponse, error) {
+	key := copyKey{version: r.GetVersion(), whole: r.GetWhole(), rows: len(r.GetRows()), firstRowVersion: r.GetRows()[0].GetVersion()}
 	if last, ok := c.packed[table]; ok && last.key == key {
 		return last.reply, nil
 	}
@@ -111,8 +115,8 @@
 	return reply, nil
 }
 
-// unpack returns a reply with its rows. A packed one that can't be read is an error, and so is one that
-// would take more memory than a router can spare.
+// unpack returns a reply with its rows uncompressed. It fails if the packed data is invalid or
+// larger than maxUnpackedBytes.
 func unpack(r *peerv1.CopyResponse) (*peerv1.CopyResponse, error) {
 	if len(r.GetPacked()) == 0 {
 		return r, nil
@@ -121,12 +125,12 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack copy")
 	}
-	data, err := io.ReadAll(io.LimitReader(z, unpackedMost+1))
+	data, err := io.ReadAll(io.LimitReader(z, maxUnpackedBytes+1))
 	switch {
 	case err != nil:
 		return nil, errors.Wrap(err, "unpack copy")
-	case len(data) > unpackedMost:
-		return nil, errors.Newf("unpack copy: more than %d bytes", unpackedMost)
+	case len(data) > maxUnpackedBytes:
+		return nil, errors.Newf("unpack copy: content is larger than %d bytes", maxUnpackedBytes)
 	}
 	var rows peerv1.CopyResponse
 	if err := proto.Unmarshal(data, &rows); err != nil {
--- a/internal/app/gateway/decoded.go
+++ b/internal/app/gateway/decoded.go
@@ -7,28 +7,29 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/replica"
 )
 
-// decodedList keeps what the rows of the list of targets say. A change is of one row mostly; to decode all of them for it, or to
-// copy what they say, takes a router milliseconds for each thousand targets. It is not safe for concurrent use.
-type decodedList struct {
-	decoder Decoder
-	rows    map[string]*decodedRow // by key
-	updates uint64
+// targetCache holds the decoded rows of the target list. Usually one row changes at a time;
+// decoding or copying the whole list for each change takes milliseconds per thousand targets. It is
+// not safe for concurrent use.
+type targetCache struct {
+	decoder     Decoder
+	rows        map[string]*cachedRow // by row key
+	updateCount uint64
 }
 
-type decodedRow struct {
-	version  uint64
-	pool     string
-	target   placement.Target
-	rejected *RejectedEntry // instead of a target
-	listed   uint64         // the update that had the row last
+type cachedRow struct {
+	version    uint64
+	pool       string
+	target     placement.Target
+	rejected   *RejectedEntry // set if the row has no valid target
+	lastUpdate uint64         // last update that contained the row
 }
 
-func newDecodedList(d Decoder) *decodedList {
-	return &decodedList{decoder: d, rows: make(map[string]*decodedRow)}
+func newTargetCache(d Decoder) *targetCache {
+	return &targetCache{decoder: d, rows: make(map[string]*cachedRow)}
 }
 
-// update decodes the rows that have changed, and returns what all of them say.
-func (l *decodedList) update(rows []replica.Row) (pools map[string][]placement.Target, rejected []RejectedEntry) {
+// update decodes the changed rows and returns the content of all rows.
+func (l *targetCache) update(rows []replica.Row) (pools map[string][]placement.Target, rejected []RejectedEntry) {
 	var changed []replica.Row
 	for _, r := range rows {
 		if known, ok := l.rows[r.Key]; !ok || known.version != r.Version {
@@ -36,31 +37,31 @@
 		}
 	}
 	l.decode(changed)
-	l.updates++
+	l.updateCount++
 	pools = make(map[string][]placement.Target)
 	for _, r := range rows {
 		d, ok := l.rows[r.Key]
 		if !ok {
 			continue
 		}
-		d.listed = l.updates
+		d.lastUpdate = l.updateCount
 		if d.rejected != nil {
 			rejected = append(rejected, *d.rejected)
 		} else {
 			pools[d.pool] = append(pools[d.pool], d.target)
 		}
 	}
-	maps.DeleteFunc(l.rows, func(_ string, d *decodedRow) bool { return d.listed != l.updates })
+	maps.DeleteFunc(l.rows, func(_ string, d *cachedRow) bool { return d.lastUpdate != l.updateCount })
 	return pools, rejected
 }
 
-// has reports whether the list has an entry.
-func (l *decodedList) has(key string) bool {
+// has reports whether the list contains a key.
+func (l *targetCache) has(key string) bool {
 	_, ok := l.rows[key]
 	return ok
 }
 
-func (l *decodedList) decode(changed []replica.Row) {
+func (l *targetCache) decode(changed []replica.Row) {
 	pools, rejected := l.decoder.Targets(changed)
 	versions := make(map[string]uint64, len(changed))
 	for _, r := range changed {
@@ -69,10 +70,10 @@
 	}
 	for pool, targets := range pools {
 		for _, t := range targets {
-			l.rows[t.ID] = &decodedRow{version: versions[t.ID], pool: pool, target: t}
+			l.rows[t.ID] = &cachedRow{version: versions[t.ID], pool: pool, target: t}
 		}
 	}
 	for _, e := range rejected {
-		l.rows[e.Key] = &decodedRow{version: e.RowVersion, rejected: &e}
+		l.rows[e.Key] = &cachedRow{version: e.RowVersion, rejected: &e}
 	}
 }
--- a/internal/app/gateway/decoded_test.go
+++ b/internal/app/gateway/decoded_test.go
@@ -14,31 +14,31 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-// strict rejects what is no JSON, and counts what it decodes.
-type strict struct {
-	entries
+// strictDecoder rejects invalid JSON and counts the rows that it decodes.
+type strictDecoder struct {
+	jsonDecoder
 	decoded *int
 }
 
-func (s strict) Targets(rows []replica.Row) (map[string][]placement.Target, []RejectedEntry) {
+func (s strictDecoder) Targets(rows []replica.Row) (map[string][]placement.Target, []RejectedEntry) {
 	*s.decoded += len(rows)
-	pools, _ := s.entries.Targets(rows)
+	pools, _ := s.jsonDecoder.Targets(rows)
 	var rejected []RejectedEntry
 	for _, r := range rows {
 		if !json.Valid(r.Value) {
-			rejected = append(rejected, RejectedEntry{Key: r.Key, RowVersion: r.Version, Err: code.New(code.BadTargetEntry, "no JSON")})
+			rejected = append(rejected, RejectedEntry{Key: r.Key, RowVersion: r.Version, Err: code.New(code.BadTargetEntry, "value is not JSON")})
 		}
 	}
 	return pools, rejected
 }
 
-var _ = Describe("a decoded list of targets", func() {
-	// Symptom would be a target that is believed by an entry that it has replaced, or that is gone. Cause would be an entry
-	// that was kept decoded.
-	It("says what decoding all of it anew says, whatever changes", func() {
+var _ = Describe("the cache of decoded targets", func() {
+	// Guards against using a target entry that was replaced or removed because its decoded form was
+	// kept.
+	It("has the same content as a complete decode after any changes", func() {
 		testkit.Check("200", func(t *rapid.T) {
-			kept, anew := 0, 0
-			l := newDecodedList(strict{decoded: &kept})
+			cachedDecodes, fullDecodes := 0, 0
+			l := newTargetCache(strictDecoder{decoded: &cachedDecodes})
 			list := make(map[string]replica.Row)
 			changes := 0
 			for version := uint64(1); version <= uint64(rapid.IntRange(1, 40).Draw(t, "steps")); version++ {
@@ -59,29 +59,29 @@
 					rows = append(rows, r)
 				}
 				pools, rejected := l.update(rows)
-				want, wantRejected := strict{decoded: &anew}.Targets(rows)
-				if fail := matches(pools["p"], want["p"], rejected, wantRejected); fail != "" {
-					t.Fatalf("%s", fail)
+				want, wantRejected := strictDecoder{decoded: &fullDecodes}.Targets(rows)
+				if diff := mismatch(pools["p"], want["p"], rejected, wantRejected); diff != "" {
+					t.Fatalf("%s", diff)
 				}
 				for _, r := range rows {
 					if !l.has(r.Key) {
-						t.Fatalf("%s is not there", r.Key)
+						t.Fatalf("%s is missing", r.Key)
 					}
 				}
 			}
-			if kept > changes {
-				t.Fatalf("decoded %d rows for %d changes", kept, changes)
+			if cachedDecodes > changes {
+				t.Fatalf("decoded %d rows for %d changes", cachedDecodes, changes)
 			}
 		})
 	})
 })
 
-func matches(got, want []placement.Target, rejected, wantRejected []RejectedEntry) string {
+func mismatch(got, want []placement.Target, rejected, wantRejected []RejectedEntry) string {
 	if ok, _ := ConsistOf(want).Match(got); !ok && len(want)+len(got) > 0 {
-		return fmt.Sprint("targets: ", got, " for ", want)
+		return fmt.Sprint("targets: got ", got, ", want ", want)
 	}
 	if ok, _ := ConsistOf(wantRejected).Match(rejected); !ok && len(rejected)+len(wantRejected) > 0 {
-		return fmt.Sprint("rejected: ", rejected, " for ", wantRejected)
+		return fmt.Sprint("rejected: got ", rejected, ", want ", wantRejected)
 	}
 	return ""
 }
--- a/internal/app/gateway/departures.go
+++ b/internal/app/gateway/departures.go
@@ -8,74 +8,75 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// The news of a leaving target also travels in digests. A copy of the list is a call to a router that may be busy
-// with large copies, on links that may be full, and is tried again after its timeout; meanwhile this router would
-// send new work to a target that leaves, and nothing at this router would show it. A digest comes from every
-// router that knows, and each is enough.
+// Digests carry departures in addition to the target list. A copy of the list comes from a router
+// that may be busy, over links that may be full, and is retried only after a timeout. Meanwhile
+// this router would keep sending requests to leaving targets without noticing. Digests come from
+// every router that knows of a departure, and any of them is enough.
 
 const (
-	// departureTold is in how many digests a router tells a departure: with three in ten lost, one of each router
-	// arrives in 97 of 100 cases.
-	departureTold = 3
-	// departuresPerDigest bounds what one digest tells, at 19 bytes each. The rest follows with the next.
-	departuresPerDigest = 24
+	// digestsPerDeparture is the number of consecutive digests that contain a departure. With 30%
+	// packet loss, at least one of a router's three arrives in 97% of cases.
+	digestsPerDeparture = 3
+	// maxDeparturesPerDigest bounds the departures in one digest, at 19 bytes each. The rest
+	// follows in the next digests.
+	maxDeparturesPerDigest = 24
 )
 
-// departures are those that this router has still to tell. Its zero value has none.
-type departures struct {
-	waiting []toldDeparture
-	fresh   bool // some have never been told: they go out at once, and again with the next digests
+// departureQueue holds the departures that this router has still to send. The zero value is empty.
+type departureQueue struct {
+	pending   []queuedDeparture
+	hasUnsent bool // contains departures never sent yet, which must be sent at once
 }
 
-type toldDeparture struct {
+type queuedDeparture struct {
 	placement.Departure
-	left int // how many digests are still to tell it
+	remainingDigests int // number of digests still to contain the departure
 }
 
-func (d *departures) add(news []placement.Departure) {
-	d.fresh = d.fresh || len(news) > 0
-	for _, n := range news {
-		d.waiting = append(d.waiting, toldDeparture{n, departureTold})
+func (d *departureQueue) add(added []placement.Departure) {
+	d.hasUnsent = d.hasUnsent || len(added) > 0
+	for _, n := range added {
+		d.pending = append(d.pending, queuedDeparture{n, digestsPerDeparture})
 	}
 }
 
-// take returns what the next digest tells.
-func (d *departures) take() []placement.Departure {
-	d.fresh = false
-	if len(d.waiting) == 0 {
+// takeBatch returns the departures for the next digest.
+func (d *departureQueue) takeBatch() []placement.Departure {
+	d.hasUnsent = false
+	if len(d.pending) == 0 {
 		return nil
 	}
-	n := min(len(d.waiting), departuresPerDigest)
+	n := min(len(d.pending), maxDeparturesPerDigest)
 	out := make([]placement.Departure, n)
-	var again []toldDeparture
-	for i, t := range d.waiting[:n] {
+	var unfinished []queuedDeparture
+	for i, t := range d.pending[:n] {
 		out[i] = t.Departure
-		if t.left--; t.left > 0 {
-			again = append(again, t)
+		if t.remainingDigests--; t.remainingDigests > 0 {
+			unfinished = append(unfinished, t)
 		}
 	}
-	d.waiting = append(d.waiting[n:], again...)
+	d.pending = append(d.pending[n:], unfinished...)
 	return out
 }
 
-// heardDepartures takes in what another router tells. What is news is told on: the router that told it may
-// reach few others.
-func (c *Control) heardDepartures(now time.Time, told []placement.Departure) {
-	news, ids := c.roster.Depart(now, slices.DeleteFunc(slices.Clone(told), func(d placement.Departure) bool { return d.Said || d.Ended }))
-	for _, d := range told {
-		if (d.Said && c.view.saysLeaving(now, d.Target)) || (d.Ended && c.view.targetEnded(now, d.Target)) {
-			news = append(news, d)
-			c.log.Line(eventlog.TargetLeft).Str("target", c.view.targetID(d.Target)).Bool("said", d.Said).Bool("ended", d.Ended).Msg("")
+// applyDepartures applies departures reported by another router and forwards those that are new to
+// this router. The sender may reach only few other routers.
+func (c *Control) applyDepartures(now time.Time, reported []placement.Departure) {
+	added, removedIDs := c.roster.Depart(now, slices.DeleteFunc(slices.Clone(reported), func(d placement.Departure) bool { return d.Said || d.Ended }))
+	for _, d := range reported {
+		if (d.Said && c.traffic.markLeaving(now, d.Target)) || (d.Ended && c.traffic.markExited(now, d.Target)) {
+			added = append(added, d)
+			c.log.Line(eventlog.TargetLeft).Str("target", c.traffic.targetID(d.Target)).Bool("said", d.Said).Bool("ended", d.Ended).Msg("")
 		}
 	}
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
-	c.departures.add(news)
-	if len(ids) > 0 {
+	c.departures.add(added)
+	if len(removedIDs) > 0 {
 		c.publishTargets(now)
 	}
-	for _, id := range ids {
+	for _, id := range removedIDs {
 		c.log.Line(eventlog.TargetLeft).Str("target", id).Msg("")
 	}
 }
--- a/internal/app/gateway/entrylog.go
+++ b/internal/app/gateway/entrylog.go
@@ -4,36 +4,36 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// entryLog tells of each version of an entry that can't be trusted once: the whole list is
-// decoded again with every change of any entry, and a line each time would leave no room for
-// the first one of another entry. It is not safe for concurrent use.
-type entryLog struct {
-	log  *eventlog.Log
-	told map[string]uint64 // the row's version by its key, of those rejected now
+// rejectionLog logs each invalid version of a target entry once. Every change of any entry produces
+// the complete list of invalid entries; logging all of them each time would use up the event's rate
+// limit and suppress the first message about another entry. It is not safe for concurrent use.
+type rejectionLog struct {
+	log            *eventlog.Log
+	loggedVersions map[string]uint64 // row version by key, for the entries rejected now
 }
 
-func newEntryLog(log *eventlog.Log) *entryLog {
-	return &entryLog{log: log, told: make(map[string]uint64)}
+func newRejectionLog(log *eventlog.Log) *rejectionLog {
+	return &rejectionLog{log: log, loggedVersions: make(map[string]uint64)}
 }
 
-// rejected takes in all entries that are rejected now.
-func (l *entryLog) rejected(entries []RejectedEntry, source string) {
-	now := make(map[string]uint64, len(entries))
+// update logs new rejections and replaces the set of rejected entries.
+func (l *rejectionLog) update(entries []RejectedEntry, source string) {
+	current := make(map[string]uint64, len(entries))
 	for _, e := range entries {
-		now[e.Key] = e.RowVersion
-		if told, ok := l.told[e.Key]; ok && told == e.RowVersion {
+		current[e.Key] = e.RowVersion
+		if logged, ok := l.loggedVersions[e.Key]; ok && logged == e.RowVersion {
 			continue
 		}
 		l.log.Line(eventlog.TargetRejected).Str("target", e.Key).Uint64("row", e.RowVersion).Str("source", source).
 			Int("code", int(e.Err.Code)).Err(e.Err).Msg("")
 	}
-	l.told = now
+	l.loggedVersions = current
 }
 
-// keys returns the ids of the entries that are rejected now.
-func (l *entryLog) keys() []string {
-	out := make([]string, 0, len(l.told))
-	for key := range l.told {
+// keys returns the IDs of the rejected entries.
+func (l *rejectionLog) keys() []string {
+	out := make([]string, 0, len(l.loggedVersions))
+	for key := range l.loggedVersions {
 		out = append(out, key)
 	}
 	return out
--- a/internal/app/gateway/inforce.go
+++ b/internal/app/gateway/inforce.go
@@ -11,63 +11,64 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// maxLeftTold bounds the targets that a line names of those that leave with a list.
-const maxLeftTold = 16
+// maxLoggedLeaving bounds the leaving targets that one log line names.
+const maxLoggedLeaving = 16
 
-// changed puts new content of a table in force. What can't be decoded leaves the
-// last good content in force.
-func (c *Control) changed(now time.Time, a fleet.Changed) {
+// applyTable applies new content of a table. If the content can't be decoded, the last valid
+// content remains applied.
+func (c *Control) applyTable(now time.Time, a fleet.Changed) {
 	rows, _ := c.core.Rows(a.Table)
 	if a.Table == fleet.Desired {
-		c.evacuate(now, rows, a)
+		c.applyEvacuations(now, rows, a)
 		state, err := c.decoder.DesiredState(rows)
 		switch {
 		case err != nil:
 			c.log.Line(eventlog.DesiredStateRejected).Uint64("row", a.Version).Str("source", a.Source).Err(err).Msg("")
 		case state != nil:
-			c.putInForce(now, state, a)
+			c.applyDesiredState(now, state, a)
 		}
 		return
 	}
-	c.targetsAt = now
-	left := c.putTargetsInForce(now, rows, a.Version, a.Source)
-	c.view.targetsRow.Store(a.Version)
+	c.targetsChangedAt = now
+	leaving := c.applyTargets(now, rows, a.Version, a.Source)
+	c.traffic.targetsRowVersion.Store(a.Version)
 	c.log.Line(eventlog.TargetsChanged).Uint64("row", a.Version).Str("source", a.Source).Int("rows", len(rows)).
-		Strs("left", left[:min(len(left), maxLeftTold)]).Msg("")
+		Strs("left", leaving[:min(len(leaving), maxLoggedLeaving)]).Msg("")
 }
 
-// evacuate puts orders to evacuate data centres in force. They count whether the desired state beside them can be decoded or not.
-func (c *Control) evacuate(now time.Time, rows []replica.Row, a fleet.Changed) {
+// applyEvacuations applies evacuation orders. They are applied even if the desired state in the
+// same table can't be decoded.
+func (c *Control) applyEvacuations(now time.Time, rows []replica.Row, a fleet.Changed) {
 	dataCentres := c.decoder.EvacuatedDataCentres(rows)
-	for _, ch := range c.view.evacuate(now, dataCentres) {
+	for _, ch := range c.traffic.setEvacuated(now, dataCentres) {
 		c.log.Line(eventlog.Evacuation).Str("data_centre", ch.DataCentre).Bool("evacuated", ch.Evacuated).Uint64("row", a.Version).
 			Str("source", a.Source).Msg("")
 	}
-	c.evacuated = len(dataCentres)
+	c.evacuatedCount = len(dataCentres)
 }
 
-// putInForce swaps the routing table. Versions only rise within one process, by
-// whichever way a state comes.
-func (c *Control) putInForce(now time.Time, state *route.State, a fleet.Changed) {
-	if state.Version <= c.version {
+// applyDesiredState replaces the routing table. It ignores versions that are not newer than the
+// applied one, whichever source they come from.
+func (c *Control) applyDesiredState(now time.Time, state *route.State, a fleet.Changed) {
+	if state.Version <= c.desiredVersion {
 		return
 	}
-	c.version = state.Version
+	c.desiredVersion = state.Version
 	table := route.Build(state)
-	c.view.table.Store(table)
-	c.view.mu.Lock()
-	c.view.board.SetLimits(limitsOf(table))
-	c.view.mu.Unlock()
-	c.inForceAt = now
+	c.traffic.table.Store(table)
+	c.traffic.mu.Lock()
+	c.traffic.board.SetLimits(poolLimits(table))
+	c.traffic.mu.Unlock()
+	c.appliedAt = now
 	if rows, version := c.core.Rows(fleet.Targets); len(rows) > 0 {
-		c.putTargetsInForce(now, rows, version, a.Source)
+		c.applyTargets(now, rows, version, a.Source)
 	}
 	c.updateReady()
 	c.log.Line(eventlog.DesiredState).Uint64("version", state.Version).Uint64("row", a.Version).
 		Str("source", a.Source).Int("routes", len(state.Routes)).Msg("")
 }
 
-func limitsOf(table *route.Table) map[string]placement.PoolLimits {
+func poolLimits(table *route.Table) map[string]placement.PoolLimits {
 	out := make(map[string]placement.PoolLimits)
 	for name, p := range table.Pools() {
 		out[name] = placement.PoolLimits{Connections: p.MaxConnections, ColdPerSecond: p.ColdPerSecond, ColdFor: p.ColdFor}
@@ -75,29 +76,28 @@
 	return out
 }
 
-// updateReady makes the router ready once it knows the desired state and the list
-// of targets. From then on it stays ready without the store: what it knows is kept
-// up by the other routers, and refusing would help nobody.
+// updateReady makes the router ready when it has the desired state and the target list. It then
+// remains ready during a store outage: other routers keep its tables up to date.
 func (c *Control) updateReady() {
-	ready := c.view.table.Load() != nil && c.core.Known(fleet.Targets)
-	if ready != c.view.ready.Load() {
-		c.view.ready.Store(ready)
-		c.log.Line(eventlog.ReadyChanged).Bool("ready", ready).Uint64("version", c.version).Msg("")
+	ready := c.traffic.table.Load() != nil && c.core.Known(fleet.Targets)
+	if ready != c.traffic.ready.Load() {
+		c.traffic.ready.Store(ready)
+		c.log.Line(eventlog.ReadyChanged).Bool("ready", ready).Uint64("version", c.desiredVersion).Msg("")
 	}
 }
 
-// staleShare is the part of InForceWithin after which a router that can't get a desired state which
-// others have serves nobody by its older one. A change reaches a router in milliseconds; the
-// rest of the time is for the requests that it has begun.
-const staleShare = 0.75
+// staleAfterShare is the fraction of MaxApplyDelay after which a router stops serving if others
+// have a newer desired state that it can't get. A change normally arrives within milliseconds; the
+// rest of the delay is left for requests that have already started.
+const staleAfterShare = 0.75
 
-// updateBehind notes whether others have a newer desired state than this router.
-func (c *Control) updateBehind(now time.Time) {
-	c.view.behind.Store(c.core.Behind())
+// updateStaleness records whether other routers have a newer desired state.
+func (c *Control) updateStaleness(now time.Time) {
+	c.traffic.outdated.Store(c.core.Behind())
 	since := c.core.Outdated(now)
-	stale := !ablate.Off(ablate.Outdated) && since >= time.Duration(staleShare*float64(c.settings.MaxApplyDelay))
-	if stale != c.view.stale.Load() {
-		c.view.stale.Store(stale)
-		c.log.Line(eventlog.StaleChanged).Bool("stale", stale).Uint64("version", c.version).Dur("behind", since).Msg("")
+	stale := !ablate.Off(ablate.Outdated) && since >= time.Duration(staleAfterShare*float64(c.settings.MaxApplyDelay))
+	if stale != c.traffic.stale.Load() {
+		c.traffic.stale.Store(stale)
+		c.log.Line(eventlog.StaleChanged).Bool("stale", stale).Uint64("version", c.desiredVersion).Dur("behind", since).Msg("")
 	}
 }
--- a/internal/app/gateway/keep.go
+++ b/internal/app/gateway/keep.go
@@ -8,149 +8,152 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// keptPerCall bounds the suspects that one call writes, and those that it drops.
-const keptPerCall = 50
+// maxSuspectsPerCall bounds the suspects that one store call writes, and those that it deletes.
+const maxSuspectsPerCall = 50
 
-// keeper keeps in the store which requests are suspected. Routers tell each other, so the store is read only after all of
-// them were lost at once: without it each suspect would end three more targets then. One router, its home, writes it.
-type keeper struct {
-	control *Control
-	kept    map[poison.Fingerprint]int // levels, as this router wrote or read them
-	retryAt time.Time
-	retry   time.Duration
+// suspectSync keeps a copy of the suspected requests in the store. Routers normally get them from
+// each other. The copy is read only after all routers were lost at once; without it, each suspect
+// would make three more targets exit. Only the suspect's home router writes it.
+type suspectSync struct {
+	control       *Control
+	storedLevels  map[poison.Fingerprint]int // levels in the store as last written or read by this router
+	retryAt       time.Time
+	retryInterval time.Duration
 }
 
 const (
-	// learnPause is how often a router that has started looks whether it knows whom the others suspect.
-	learnPause = 400 * time.Millisecond
-	// keepPause is how often it looks while there are suspects: one whose home has ended has another one.
-	keepPause = 2 * time.Second
+	// loadInterval is how often a starting router checks whether it knows the fleet's suspects.
+	loadInterval = 400 * time.Millisecond
+	// saveInterval is how often a router checks the stored suspects while there are any. A suspect
+	// gets a new home when its home router stops.
+	saveInterval = 2 * time.Second
 )
 
-// keepSuspects runs until ctx ends.
-func (c *Control) keepSuspects(ctx context.Context) {
-	k := &keeper{control: c, kept: make(map[poison.Fingerprint]int), retry: keepPause}
+// syncSuspects synchronises suspects with the store until ctx ends.
+func (c *Control) syncSuspects(ctx context.Context) {
+	k := &suspectSync{control: c, storedLevels: make(map[poison.Fingerprint]int), retryInterval: saveInterval}
 	for k.wait(ctx) {
-		k.look(ctx)
+		k.sync(ctx)
 	}
 }
 
-// wait waits until there may be something to do, and reports whether ctx still runs.
-func (k *keeper) wait(ctx context.Context) bool {
-	guard := k.control.view.guard
+// wait blocks until there may be work to do and reports whether ctx is still active.
+func (k *suspectSync) wait(ctx context.Context) bool {
+	guard := k.control.traffic.poisonGuard
 	var due <-chan time.Time
 	switch {
-	case !guard.isKnown():
-		due = time.After(learnPause)
-	case guard.suspects.Load() > 0 || len(k.kept) > 0:
-		due = time.After(keepPause)
+	case !guard.hasReceivedSuspects():
+		due = time.After(loadInterval)
+	case guard.suspectCount.Load() > 0 || len(k.storedLevels) > 0:
+		due = time.After(saveInterval)
 	}
 	select {
 	case <-due:
-	case <-k.control.keepWake:
+	case <-k.control.suspectsChanged:
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-func (k *keeper) look(ctx context.Context) {
+func (k *suspectSync) sync(ctx context.Context) {
 	c := k.control
 	now := c.now()
 	if now.Before(k.retryAt) {
 		return
 	}
 	var err error
-	if !c.view.guard.isKnown() {
-		reads := false
-		c.query(func(time.Time) { reads = c.core.Reading() })
-		if !reads {
-			return // whoever reads the store tells the others
+	if !c.traffic.poisonGuard.hasReceivedSuspects() {
+		isReader := false
+		c.submitAndWait(func(time.Time) { isReader = c.core.Reading() })
+		if !isReader {
+			return // the store reader sends the suspects to the others
 		}
 		err = k.load(ctx)
 	} else {
-		err = k.write(ctx, now)
+		err = k.save(ctx, now)
 	}
 	if err != nil {
 		c.log.Line(eventlog.KeepFailed).Err(err).Msg("")
-		k.retryAt = now.Add(k.retry)
-		k.retry = min(2*k.retry, listRetryMax)
+		k.retryAt = now.Add(k.retryInterval)
+		k.retryInterval = min(2*k.retryInterval, maxStoreRetryInterval)
 		return
 	}
-	k.retry = keepPause
+	k.retryInterval = saveInterval
 }
 
-// load takes in what an earlier fleet kept.
-func (k *keeper) load(ctx context.Context) error {
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+// load reads the suspects that earlier routers stored.
+func (k *suspectSync) load(ctx context.Context) error {
+	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	kept, err := k.control.store.LoadSuspects(call)
+	stored, err := k.control.store.LoadSuspects(callCtx)
 	if err != nil {
 		return err
 	}
-	for _, s := range kept {
-		k.kept[s.Request] = s.Level
+	for _, s := range stored {
+		k.storedLevels[s.Request] = s.Level
 	}
-	k.control.view.guard.restore(k.control.now(), kept)
+	k.control.traffic.poisonGuard.restore(k.control.now(), stored)
 	return nil
 }
 
-// write brings the store in line with what this router has to keep there.
-func (k *keeper) write(ctx context.Context, now time.Time) error {
-	put, held := k.control.view.guard.toKeep(now, k.kept)
+// save writes the changes of this router's suspects to the store.
+func (k *suspectSync) save(ctx context.Context, now time.Time) error {
+	put, refused := k.control.traffic.poisonGuard.suspectsToSave(now, k.storedLevels)
 	var drop []poison.Fingerprint
-	for f := range k.kept {
-		if !held[f] {
+	for f := range k.storedLevels {
+		if !refused[f] {
 			drop = append(drop, f)
 		}
 	}
 	if len(put)+len(drop) == 0 {
 		return nil
 	}
-	put, drop = put[:min(len(put), keptPerCall)], drop[:min(len(drop), keptPerCall)] // the rest follows
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	put, drop = put[:min(len(put), maxSuspectsPerCall)], drop[:min(len(drop), maxSuspectsPerCall)] // the next call writes the rest
+	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	if err := k.control.store.SaveSuspects(call, put, drop); err != nil {
+	if err := k.control.store.SaveSuspects(callCtx, put, drop); err != nil {
 		return err
 	}
 	for _, s := range put {
-		k.kept[s.Request] = s.Level
+		k.storedLevels[s.Request] = s.Level
 	}
 	for _, f := range drop {
-		delete(k.kept, f)
+		delete(k.storedLevels, f)
 	}
 	return nil
 }
 
-// isKnown reports whether this router knows whom the others suspect.
-func (g *guard) isKnown() bool {
+// hasSuspects reports whether this router has received the fleet's suspects.
+func (g *poisonGuard) hasReceivedSuspects() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.known
+	return g.suspectsKnown
 }
 
-// restore takes in what the store has kept.
-func (g *guard) restore(now time.Time, kept []poison.Suspect) {
+// restore adds the suspects read from the store.
+func (g *poisonGuard) restore(now time.Time, stored []poison.Suspect) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.detector.Restore(now, kept)
-	g.known = true
-	g.count()
+	g.detector.Restore(now, stored)
+	g.suspectsKnown = true
+	g.updateSuspectCount()
 }
 
-// toKeep returns the suspects that this router has to write, and all that are refused. kept are the levels that it wrote.
-func (g *guard) toKeep(now time.Time, kept map[poison.Fingerprint]int) (put []poison.Suspect, held map[poison.Fingerprint]bool) {
+// suspectsToSave returns the suspects that this router must write, and the fingerprints of all
+// refused requests. stored has the levels in the store.
+func (g *poisonGuard) suspectsToSave(now time.Time, stored map[poison.Fingerprint]int) (put []poison.Suspect, refused map[poison.Fingerprint]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	held = make(map[poison.Fingerprint]bool)
+	refused = make(map[poison.Fingerprint]bool)
 	for _, s := range g.detector.All(now) {
 		if s.Level == 0 {
 			continue
 		}
-		held[s.Request] = true
-		if kept[s.Request] != s.Level && s.Request.Home(g.self, g.others) {
+		refused[s.Request] = true
+		if stored[s.Request] != s.Level && s.Request.Home(g.self, g.aliveRouters) {
 			put = append(put, s)
 		}
 	}
-	return put, held
+	return put, refused
 }
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -25,8 +25,9 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// listStore has one desired state and a list of targets that changes; values are states of targets.
-type listStore struct {
+// targetListStore is a store with one desired state and a target list that changes. The value of a
+// row is the state of the target.
+type targetListStore struct {
 	gateway.Store
 	mu      sync.Mutex
 	version uint64
@@ -35,12 +36,12 @@
 	changed chan struct{}
 }
 
-func newListStore() *listStore {
-	return &listStore{version: 3, rows: make(map[string]replica.Row), changed: make(chan struct{})}
+func newListStore() *targetListStore {
+	return &targetListStore{version: 3, rows: make(map[string]replica.Row), changed: make(chan struct{})}
 }
 
-// put writes an entry, or removes it if its state is empty.
-func (s *listStore) put(id, state string) {
+// put writes an entry, or removes it if state is empty.
+func (s *targetListStore) put(id, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -54,7 +55,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *listStore) ReadTable(_ context.Context, t fleet.Table, _ int) (uint64, []replica.Row, error) {
+func (s *targetListStore) ReadTable(_ context.Context, t fleet.Table, _ int) (uint64, []replica.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t == fleet.Desired {
@@ -67,8 +68,8 @@
 	return s.version, out, nil
 }
 
-func (s *listStore) AwaitChanges(ctx context.Context, t fleet.Table, after uint64, wait time.Duration) (uint64, []replica.Row, error) {
-	over := time.After(wait)
+func (s *targetListStore) AwaitChanges(ctx context.Context, t fleet.Table, after uint64, wait time.Duration) (uint64, []replica.Row, error) {
+	timeout := time.After(wait)
 	for {
 		s.mu.Lock()
 		var out []replica.Row
@@ -84,7 +85,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over:
+		case <-timeout:
 			return version, nil, nil
 		case <-ctx.Done():
 			return 0, nil, ctx.Err()
@@ -92,29 +93,29 @@
 	}
 }
 
-func (*listStore) RegisterRouters(context.Context, []string) error     { return nil }
-func (*listStore) RegisteredRouters(context.Context) ([]string, error) { return nil, nil }
+func (*targetListStore) RegisterRouters(context.Context, []string) error     { return nil }
+func (*targetListStore) RegisteredRouters(context.Context) ([]string, error) { return nil, nil }
 
-// refusing is a store that turns a router away.
-type refusing struct{ gateway.Store }
+// refusingStore is a store that refuses all reads.
+type refusingStore struct{ gateway.Store }
 
-func (refusing) ReadTable(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
+func (refusingStore) ReadTable(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
 	return 0, nil, errors.New("refused")
 }
 
-func (refusing) AwaitChanges(context.Context, fleet.Table, uint64, time.Duration) (uint64, []replica.Row, error) {
+func (refusingStore) AwaitChanges(context.Context, fleet.Table, uint64, time.Duration) (uint64, []replica.Row, error) {
 	return 0, nil, errors.New("refused")
 }
 
-func (refusing) RegisterRouters(context.Context, []string) error { return nil }
-func (refusing) RegisteredRouters(context.Context) ([]string, error) {
+func (refusingStore) RegisterRouters(context.Context, []string) error { return nil }
+func (refusingStore) RegisteredRouters(context.Context) ([]string, error) {
 	return nil, errors.New("refused")
 }
 
-// states decodes a list whose values are states.
-type states struct{ versions }
+// stateDecoder decodes a target list whose values are target states.
+type stateDecoder struct{ versionDecoder }
 
-func (states) Targets(rows []replica.Row) (map[string][]placement.Target, []gateway.RejectedEntry) {
+func (stateDecoder) Targets(rows []replica.Row) (map[string][]placement.Target, []gateway.RejectedEntry) {
 	out := make(map[string][]placement.Target)
 	for _, r := range rows {
 		out["p"] = append(out["p"], placement.Target{
@@ -124,16 +125,17 @@
 	return out, nil
 }
 
-// network carries digests between routers of one process at once, and copies unless its links are full of them.
-type network struct {
+// meshPeers delivers digests between routers of one process. It also delivers copies, unless the
+// links are full.
+type meshPeers struct {
 	from string
 	mesh *mesh
 }
 
 type mesh struct {
-	mu      sync.Mutex
-	routers map[string]*gateway.Control
-	full    atomic.Bool
+	mu        sync.Mutex
+	routers   map[string]*gateway.Control
+	linksFull atomic.Bool
 }
 
 func (m *mesh) router(address string) *gateway.Control {
@@ -142,7 +144,7 @@
 	return m.routers[address]
 }
 
-func (n *network) SendDigest(to []string, d *peerv1.Digest, yours []*peerv1.Report) {
+func (n *meshPeers) SendDigest(to []string, d *peerv1.Digest, yours []*peerv1.Report) {
 	for i, a := range to {
 		copied := proto.Clone(d).(*peerv1.Digest)
 		if i < len(yours) {
@@ -154,32 +156,32 @@
 	}
 }
 
-func (n *network) RequestCopy(ctx context.Context, to string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+func (n *meshPeers) RequestCopy(ctx context.Context, to string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	c := n.mesh.router(to)
-	if c == nil || n.mesh.full.Load() {
+	if c == nil || n.mesh.linksFull.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	return c.ServeCopy(ctx, req)
 }
 
-// recorder counts the attempts at each target; none succeeds.
-type recorder struct {
+// attemptRecorder counts the attempts at each target and fails all of them.
+type attemptRecorder struct {
 	mu   sync.Mutex
 	sent map[uint64]int
 }
 
-func (r *recorder) Do(_ context.Context, q upstream.Request) (*upstream.Answer, error) {
+func (r *attemptRecorder) Do(_ context.Context, q upstream.Request) (*upstream.Answer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sent[q.Target]++
 	return nil, errors.New("no answer")
 }
 
-func (*recorder) Prune(func(uint64) bool) {}
+func (*attemptRecorder) Prune(func(uint64) bool) {}
 
-// take returns the attempts at a target since the last time.
-func (r *recorder) take(id string) int {
+// takeCount returns the number of attempts at a target and resets all counts.
+func (r *attemptRecorder) takeCount(id string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := r.sent[placement.UID(id, 0)]
@@ -187,32 +189,33 @@
 	return n
 }
 
-type plainWire struct{}
-
-func (plainWire) PrepareHeader(*gateway.Call, gateway.Attempt) http.Header { return http.Header{} }
-func (plainWire) MatchesCall(*gateway.Call, http.Header) bool             { return true }
-func (plainWire) StripRouterHeaders(http.Header)                              {}
-func (plainWire) DecodeReply(int, http.Header) gateway.Reply               { return gateway.Reply{} }
-
-type nobody struct{}
+type emptyHeaderCodec struct{}
 
-func (nobody) SendHeader(int, http.Header, int64)   {}
-func (nobody) Write([]byte) error              { return nil }
-func (nobody) SendError(code.Code, time.Duration) {}
-func (nobody) Abort()                            {}
-func (nobody) RecordResult(gateway.Result)          {}
-func (nobody) CountSignal(string)                     {}
-
-var _ = Describe("a router that can't copy the list of targets", func() {
-	const bound = time.Second
-
-	// Symptom: a target gets requests three seconds after the store has its word that it leaves, from one router, while all
-	// others leave it alone. Sequence: that router's link is full; it hears from the others that there is a newer
-	// list, and no copy of it arrives. Cause: some tens of bytes that every target depends on travelled in the same way as
-	// whole tables, and behind them.
-	// Evidence: a played day; the list of 14.01 s was in force at the others by 14.1 s, there at 16.58 s, after copies had failed
-	// one after another; a request placed at 16.45 s by the older list reached the target at 17.10 s, 3.09 s after its word.
-	It("leaves a target alone that others know to be leaving, and one that left the list", func() {
+func (emptyHeaderCodec) PrepareHeader(*gateway.Call, gateway.Attempt) http.Header {
+	return http.Header{}
+}
+func (emptyHeaderCodec) MatchesCall(*gateway.Call, http.Header) bool { return true }
+func (emptyHeaderCodec) StripRouterHeaders(http.Header)              {}
+func (emptyHeaderCodec) DecodeReply(int, http.Header) gateway.Reply  { return gateway.Reply{} }
+
+type discardResponder struct{}
+
+func (discardResponder) SendHeader(int, http.Header, int64) {}
+func (discardResponder) Write([]byte) error                 { return nil }
+func (discardResponder) SendError(code.Code, time.Duration) {}
+func (discardResponder) Abort()                             {}
+func (discardResponder) RecordResult(gateway.Result)        {}
+func (discardResponder) CountSignal(string)                 {}
+
+var _ = Describe("a router that can't copy the target list", func() {
+	const maxDelay = time.Second
+
+	// Guards against requests to a leaving target long after it announced its shutdown. A router
+	// with a full link knew from other routers that there was a newer target list, but its copies
+	// of the list timed out one after another. A request reached the target 3.09 s after the
+	// announcement; the other routers had applied the list within 0.1 s. Departures of some tens of
+	// bytes were sent only within whole tables, and queued behind them.
+	It("sends nothing to a target that others know to be leaving or removed from the list", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		store := newListStore()
@@ -220,12 +223,12 @@
 			store.put(fmt.Sprint("t", i), "ready")
 		}
 		m := &mesh{routers: make(map[string]*gateway.Control)}
-		sent := &recorder{sent: make(map[uint64]int)}
+		sent := &attemptRecorder{sent: make(map[uint64]int)}
 		start := func(address string, s gateway.Store) *gateway.Control {
 			c := gateway.NewControl(gateway.Settings{
 				Name: address, Address: address, Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, ReadStoreAtStart: true,
-				MaxApplyDelay: bound, MaxDepartureDelay: bound, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
-			}, s, states{}, &network{from: address, mesh: m}, sent, eventlog.Nop(), time.Now)
+				MaxApplyDelay: maxDelay, MaxDepartureDelay: maxDelay, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
+			}, s, stateDecoder{}, &meshPeers{from: address, mesh: m}, sent, eventlog.Nop(), time.Now)
 			m.mu.Lock()
 			m.routers[address] = c
 			m.mu.Unlock()
@@ -233,40 +236,40 @@
 			return c
 		}
 		start("10.0.0.1:1", store)
-		cut := start("10.0.0.2:1", refusing{})
-		Eventually(cut.Ready, 3*time.Second).Should(BeTrue())
-		relay := gateway.NewProxy(cut, plainWire{}, sent, nobody{}, eventlog.Nop(), time.Now)
+		congested := start("10.0.0.2:1", refusingStore{})
+		Eventually(congested.Ready, 3*time.Second).Should(BeTrue())
+		relay := gateway.NewProxy(congested, emptyHeaderCodec{}, sent, discardResponder{}, eventlog.Nop(), time.Now)
 		requests := func() {
 			for i := range 30 {
 				match, got := relay.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
 				Expect(got).To(Equal(code.OK))
-				relay.Serve(ctx, match, nil, nobody{})
+				relay.Serve(ctx, match, nil, discardResponder{})
 			}
 		}
 		requests()
-		Expect(sent.take("t0")).To(BeNumerically(">", 0))
+		Expect(sent.takeCount("t0")).To(BeNumerically(">", 0))
 
-		m.full.Store(true)
+		m.linksFull.Store(true)
 		store.put("t0", "draining")
-		time.Sleep(bound)
+		time.Sleep(maxDelay)
 		requests()
-		Expect(sent.take("t0")).To(BeZero(), "it said that it leaves")
+		Expect(sent.takeCount("t0")).To(BeZero(), "the target is leaving")
 		store.put("t1", "")
-		time.Sleep(bound)
+		time.Sleep(maxDelay)
 		requests()
-		Expect(sent.take("t1")).To(BeZero(), "it is not listed any more")
+		Expect(sent.takeCount("t1")).To(BeZero(), "the target was removed from the list")
 
-		m.full.Store(false)
+		m.linksFull.Store(false)
 		store.put("t0", "ready")
-		Eventually(func() int { requests(); return sent.take("t0") }, 3*time.Second).Should(BeNumerically(">", 0), "the newest list decides")
+		Eventually(func() int { requests(); return sent.takeCount("t0") }, 3*time.Second).Should(BeNumerically(">", 0), "the newest list is applied")
 	})
 })
 
-// largeStore has a desired state of 100 KB.
+// largeStore is a store with a desired state of 100 KB.
 type largeStore struct{ frozenStore }
 
 func (largeStore) ReadTable(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
-	noise := make([]byte, 100_000) // does not get smaller
+	noise := make([]byte, 100_000) // incompressible
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range noise {
 		noise[i] = byte(random.Uint32())
@@ -275,29 +278,28 @@
 }
 
 var _ = Describe("a copy request", func() {
-	// Symptom would be a desired state that no router of an earlier release ever has, while it takes itself to be as new.
-	// Sequence: half of a fleet runs the earlier release, which knows neither packed nor busy replies. Cause would be
-	// to send it one: it reads no rows and a newer version.
-	It("is answered in plain rows unless the asker reads packed replies", func() {
+	// Guards against packed or busy replies to routers of an earlier release, which can't read
+	// them. Such a router would read a newer version without rows and consider itself up to date.
+	It("is answered with uncompressed rows unless the requester reads packed replies", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:1", ReadStoreAtStart: true, MaxApplyDelay: time.Second, LinkBytesPerSecond: 1000},
-			largeStore{}, versions{}, &fullLink{}, noUpstream{}, eventlog.Nop(), time.Now)
+			largeStore{}, versionDecoder{}, &fullLinkPeers{}, failingUpstream{}, eventlog.Nop(), time.Now)
 		go c.Run(ctx)
 		Eventually(c.Ready, time.Second).Should(BeTrue())
-		ask := func(packed bool) *peerv1.CopyResponse {
+		requestCopy := func(packed bool) *peerv1.CopyResponse {
 			r, err := c.ServeCopy(ctx, &peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(fleet.Desired), ReadsPacked: packed})
 			Expect(err).NotTo(HaveOccurred())
 			return r
 		}
-		Expect(ask(true).GetPacked()).NotTo(BeEmpty())
-		Expect(ask(true).GetBusy()).To(BeTrue(), "a link of 1 KB a second")
-		Expect(ask(false).GetRows()[0].GetValue()).To(HaveLen(100_000))
+		Expect(requestCopy(true).GetPacked()).NotTo(BeEmpty())
+		Expect(requestCopy(true).GetBusy()).To(BeTrue(), "the link carries 1 KB/s")
+		Expect(requestCopy(false).GetRows()[0].GetValue()).To(HaveLen(100_000))
 	})
 })
 
-func (*listStore) LoadSuspects(context.Context) ([]poison.Suspect, error) { return nil, nil }
+func (*targetListStore) LoadSuspects(context.Context) ([]poison.Suspect, error) { return nil, nil }
 
-func (refusing) LoadSuspects(context.Context) ([]poison.Suspect, error) {
+func (refusingStore) LoadSuspects(context.Context) ([]poison.Suspect, error) {
 	return nil, errors.New("refused")
 }
--- a/internal/app/gateway/listing.go
+++ b/internal/app/gateway/listing.go
@@ -12,115 +12,116 @@
 )
 
 const (
-	// listPause is the pause between looks whether there is something to do at the store's list.
-	// A router that starts has heard of the others by then, or is alone.
-	listPause = 2 * time.Second
-	// listRetryMax bounds the pause after failed writes, which doubles: calls to the store are
-	// paid for, refused ones too.
-	listRetryMax = 16 * time.Second
-	// sweepInterval is how often the first reader looks through the list. Two sweeps in a row
-	// without a sign of a router end its entry, so an entry outlives its VM by ten minutes.
+	// registrationInterval is the mean interval between checks of the store's router list. A
+	// starting router has heard from other routers by the first check, unless it is the only one.
+	registrationInterval = 2 * time.Second
+	// maxStoreRetryInterval bounds the interval between retries of failed calls, which doubles each
+	// time. Store calls cost money even if they fail.
+	maxStoreRetryInterval = 16 * time.Second
+	// sweepInterval is how often the first store reader looks for stale entries. An entry is
+	// deleted after two sweeps without a sign of its router, so it outlives its VM by about ten
+	// minutes.
 	sweepInterval = 5 * time.Minute
 )
 
-// listing keeps the store's list of routers. Every router is in it from its start to its stop, so
-// that one that starts with out-of-date seeds finds somebody, whoever has ended meanwhile. The first relay of a data
-// centre writes its routers' entries together: one call where each router made one.
-type listing struct {
-	control *Control
-	listed  map[fleet.Address]bool // by this router
-	retryAt time.Time
-	retry   time.Duration
-	sweptAt time.Time
-	sweep   fleet.Sweep
+// registration maintains the store's router list. Every router is listed while it runs, so that a
+// router with out-of-date seeds still finds the fleet. The first relay of a data centre registers
+// all its routers together, which replaces one store call per router by a single call.
+type registration struct {
+	control       *Control
+	registered    map[fleet.Address]bool // routers registered by this router
+	retryAt       time.Time
+	retryInterval time.Duration
+	sweptAt       time.Time
+	sweep         fleet.Sweep
 }
 
-// keepListed runs until ctx ends.
-func (c *Control) keepListed(ctx context.Context) {
-	l := &listing{control: c, retry: listPause, sweptAt: c.now(), listed: make(map[fleet.Address]bool)}
-	for pause(ctx, listPause) {
-		l.look(ctx)
+// maintainRegistration updates the router list until ctx ends.
+func (c *Control) maintainRegistration(ctx context.Context) {
+	l := &registration{control: c, retryInterval: registrationInterval, sweptAt: c.now(), registered: make(map[fleet.Address]bool)}
+	for sleepWithJitter(ctx, registrationInterval) {
+		l.update(ctx)
 	}
 }
 
-func (l *listing) look(ctx context.Context) {
+func (l *registration) update(ctx context.Context) {
 	c := l.control
 	var alone, first bool
 	var local []fleet.Address
-	c.query(func(now time.Time) {
+	c.submitAndWait(func(now time.Time) {
 		alone, first = c.core.Alive(now) == 0, c.core.First()
 		local = c.core.Local(now)
 	})
 	now := c.now()
-	if missing := l.missing(local); len(missing) > 0 && !now.Before(l.retryAt) {
-		l.list(ctx, now, missing)
+	if missing := l.unregistered(local); len(missing) > 0 && !now.Before(l.retryAt) {
+		l.register(ctx, now, missing)
 	}
 	switch {
 	case alone:
-		_, _ = l.find(ctx) // logged there; the next look tries again
+		_, _ = l.readRouterList(ctx) // readRouterList logs the error; the next update retries
 	case first && now.Sub(l.sweptAt) >= sweepInterval:
 		l.sweptAt = now
-		l.removeStale(ctx)
+		l.removeStaleRouters(ctx)
 	}
 }
 
-// missing returns the routers that are to be listed. Those that have gone since take their entries out themselves, or
-// the sweep does; if they come back they are listed again.
-func (l *listing) missing(local []fleet.Address) []fleet.Address {
-	maps.DeleteFunc(l.listed, func(a fleet.Address, _ bool) bool { return !slices.Contains(local, a) })
-	return slices.DeleteFunc(slices.Clone(local), func(a fleet.Address) bool { return l.listed[a] })
+// unregistered returns the local routers that must be registered. Routers that stop delete their
+// own entries, or the sweep does; if they return they are registered again.
+func (l *registration) unregistered(local []fleet.Address) []fleet.Address {
+	maps.DeleteFunc(l.registered, func(a fleet.Address, _ bool) bool { return !slices.Contains(local, a) })
+	return slices.DeleteFunc(slices.Clone(local), func(a fleet.Address) bool { return l.registered[a] })
 }
 
-// list writes entries. Those of earlier processes at the same addresses will do.
-func (l *listing) list(ctx context.Context, now time.Time, missing []fleet.Address) {
+// register adds entries to the router list. Entries left by earlier processes at the same addresses
+// remain valid.
+func (l *registration) register(ctx context.Context, now time.Time, missing []fleet.Address) {
 	c := l.control
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	if err := c.store.RegisterRouters(call, texts(missing)); err != nil {
+	if err := c.store.RegisterRouters(callCtx, addressStrings(missing)); err != nil {
 		c.log.Line(eventlog.ListFailed).Int("routers", len(missing)).Err(err).Msg("")
-		l.retryAt = now.Add(l.retry)
-		l.retry = min(2*l.retry, listRetryMax)
+		l.retryAt = now.Add(l.retryInterval)
+		l.retryInterval = min(2*l.retryInterval, maxStoreRetryInterval)
 		return
 	}
-	l.retry = listPause
+	l.retryInterval = registrationInterval
 	for _, a := range missing {
-		l.listed[a] = true
+		l.registered[a] = true
 	}
 }
 
-// find reads who is listed, and tells the core.
-func (l *listing) find(ctx context.Context) ([]fleet.Address, error) {
+// readRouterList reads the router list and passes it to the core.
+func (l *registration) readRouterList(ctx context.Context) ([]fleet.Address, error) {
 	c := l.control
-	call, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	listed, err := c.store.RegisteredRouters(call)
+	stored, err := c.store.RegisteredRouters(callCtx)
 	if err != nil {
 		c.log.Line(eventlog.ListFailed).Err(err).Msg("")
 		return nil, err
 	}
-	// Others take an entry out if they have heard nothing of its router for long.
-	maps.DeleteFunc(l.listed, func(a fleet.Address, _ bool) bool { return !slices.Contains(listed, string(a)) })
-	found := addresses(listed)
-	c.post(ctx, fleet.Found{Addresses: found})
-	c.listRead.Store(true)
+	// Other routers delete entries of routers that they have not heard of for long.
+	maps.DeleteFunc(l.registered, func(a fleet.Address, _ bool) bool { return !slices.Contains(stored, string(a)) })
+	found := toFleetAddresses(stored)
+	c.postEvent(ctx, fleet.Found{Addresses: found})
+	c.routerListRead.Store(true)
 	return found, nil
 }
 
-// removeStale takes routers out of the list that nobody has heard of for long. A VM that is
-// lost for good can't do it, and the list would grow for ever. Those that are cut off from this
-// one learn of it from the list as well: two halves of a fleet that had forgotten each other
-// meet again.
-func (l *listing) removeStale(ctx context.Context) {
+// removeStaleRouters deletes routers from which nothing has been heard for long. A VM that is lost
+// can't delete its own entry, and the list would grow for ever. Reading the list also lets the two
+// sides of a partition find each other again after they have forgotten one another.
+func (l *registration) removeStaleRouters(ctx context.Context) {
 	c := l.control
 	heard := make(map[fleet.Address]bool)
-	c.query(func(time.Time) { heard = c.core.Heard() })
-	found, err := l.find(ctx)
+	c.submitAndWait(func(time.Time) { heard = c.core.Heard() })
+	found, err := l.readRouterList(ctx)
 	if err != nil {
 		return
 	}
 	for _, a := range l.sweep.Stale(found, heard) {
-		call, cancel := context.WithTimeout(ctx, callTimeout)
-		err := c.store.UnregisterRouter(call, string(a))
+		callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
+		err := c.store.UnregisterRouter(callCtx, string(a))
 		cancel()
 		if err != nil {
 			c.log.Line(eventlog.ListFailed).Str("peer", string(a)).Err(err).Msg("")
@@ -130,13 +131,13 @@
 	}
 }
 
-// Unregister takes this router out of the store's list.
+// Unregister deletes this router from the store's router list.
 func (c *Control) Unregister(ctx context.Context) error {
 	return c.store.UnregisterRouter(ctx, c.settings.Address)
 }
 
-// pause waits for about d and reports whether ctx still runs.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleepWithJitter waits between 0.5 and 1.5 times d. It returns false if ctx ends first.
+func sleepWithJitter(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(time.Duration(float64(d) * (0.5 + rand.Float64())))
 	defer timer.Stop()
 	select {
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -18,51 +18,52 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// guard keeps requests from targets that would end under them. Traffic tells it what became of attempts and asks it
-// before each send; the control goroutine tells it what others know. It is safe for concurrent use.
-type guard struct {
+// poisonGuard blocks requests that are suspected of making their targets exit. Requests report the
+// outcome of attempts to it and ask it before every send; the control goroutine passes it the
+// reports of other routers. It is safe for concurrent use.
+type poisonGuard struct {
 	self string
-	// suspects is how many requests are refused: with none of them traffic takes no lock to ask.
-	suspects atomic.Int64
+	// suspectCount is the number of refused requests. While it is 0, admit takes no lock.
+	suspectCount atomic.Int64
 
-	mu       sync.Mutex
-	detector *poison.Detector
-	others   []string // routers that are alive
-	known    bool     // this router has learned whom the others suspect
+	mu            sync.Mutex
+	detector      *poison.Detector
+	aliveRouters  []string // other routers that are alive
+	suspectsKnown bool     // this router has received the fleet's suspects
 
-	inquiries map[uint64]*inquiry // by the lifetime of the target
+	probes map[uint64]*exitProbe // by target lifetime
 }
 
-func newGuard(self string, known bool) *guard {
-	return &guard{self: self, known: known, detector: poison.NewDetector(), inquiries: make(map[uint64]*inquiry)}
+func newPoisonGuard(self string, suspectsKnown bool) *poisonGuard {
+	return &poisonGuard{self: self, suspectsKnown: suspectsKnown, detector: poison.NewDetector(), probes: make(map[uint64]*exitProbe)}
 }
 
-// admit decides whether a request may be sent.
-func (g *guard) admit(now time.Time, f poison.Fingerprint) poison.Verdict {
-	if g.suspects.Load() == 0 || ablate.Off(ablate.Poison) {
+// admit decides whether a request may be sent to a target.
+func (g *poisonGuard) admit(now time.Time, f poison.Fingerprint) poison.Verdict {
+	if g.suspectCount.Load() == 0 || ablate.Off(ablate.Poison) {
 		return poison.Verdict{}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.detector.Admit(now, f, func() bool { return f.Home(g.self, g.others) })
+	return g.detector.Admit(now, f, func() bool { return f.Home(g.self, g.aliveRouters) })
 }
 
-// ran takes in that a target answered a request.
-func (g *guard) ran(now time.Time, f poison.Fingerprint) {
+// recordExecuted records that a target answered a request.
+func (g *poisonGuard) recordExecuted(now time.Time, f poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.detector.Ran(now, f)
-	g.count()
+	g.updateSuspectCount()
 }
 
-func (g *guard) trialOver(now time.Time, f poison.Fingerprint) {
+func (g *poisonGuard) endTrial(now time.Time, f poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.detector.TrialOver(now, f)
 }
 
-// ended takes in that a target ended under requests.
-func (g *guard) ended(now time.Time, target uint64, requests []poison.Fingerprint) {
+// recordExit records that a target exited while it executed requests.
+func (g *poisonGuard) recordExit(now time.Time, target uint64, requests []poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, f := range requests {
@@ -70,144 +71,147 @@
 	}
 }
 
-// heard takes in what another router tells, and reports whether that is to be told on.
-func (g *guard) heard(now time.Time, n poison.News) (fresh bool) {
+// mergeReport merges another router's poison report and reports whether it must be forwarded.
+func (g *poisonGuard) mergeReport(now time.Time, n poison.News) (fresh bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.detector.Heard(now, n)
-	g.count()
+	g.updateSuspectCount()
 	return g.detector.Fresh()
 }
 
-// news returns what is to be told now.
-func (g *guard) news(now time.Time) fleet.News {
+// takeReport returns the poison report to send now.
+func (g *poisonGuard) takeReport(now time.Time) fleet.News {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return fleet.News{Poison: g.detector.TakeNews(now), Held: g.detector.All(now), HeldKnown: g.known}
+	return fleet.News{Poison: g.detector.TakeNews(now), Held: g.detector.All(now), HeldKnown: g.suspectsKnown}
 }
 
-// tick lets time pass, with the routers that are alive.
-func (g *guard) tick(now time.Time, others []string) []poison.Change {
+// tick expires probes and suspects, and sets the routers that are alive.
+func (g *poisonGuard) tick(now time.Time, others []string) []poison.Change {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.others = others
-	for target, i := range g.inquiries {
-		if i.over(now) {
-			delete(g.inquiries, target)
+	g.aliveRouters = others
+	for target, p := range g.probes {
+		if p.isExpired(now) {
+			delete(g.probes, target)
 		}
 	}
 	changes := g.detector.Tick(now)
-	g.count()
+	g.updateSuspectCount()
 	return changes
 }
 
-func (g *guard) count() { g.suspects.Store(int64(g.detector.Suspects())) }
+func (g *poisonGuard) updateSuspectCount() { g.suspectCount.Store(int64(g.detector.Suspects())) }
 
-// learned notes that this router knows whom the others suspect.
-func (g *guard) learned() {
+// markSuspectsKnown records that this router has received the fleet's suspects.
+func (g *poisonGuard) markSuspectsKnown() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.known = true
+	g.suspectsKnown = true
 }
 
-// inquiry is the question whether a target has ended, after a connection to it broke.
-type inquiry struct {
-	requests []poison.Fingerprint // whose attempts broke meanwhile
-	answered time.Time            // zero while it is asked
-	ended    bool
+// exitProbe checks whether a target has exited after a connection to it was reset.
+type exitProbe struct {
+	requests   []poison.Fingerprint // whose attempts failed during the probe
+	answeredAt time.Time            // zero until the probe has finished
+	exited     bool
 }
 
 const (
-	// inquiryTimeout is how long a target may take to accept or refuse a connection.
-	inquiryTimeout = 300 * time.Millisecond
-	// endedLasts and runsLasts are for how long the answer holds: a lifetime does not come back, but a target that runs may
-	// end a moment later.
-	endedLasts = 5 * time.Second
-	runsLasts  = 50 * time.Millisecond
+	// probeTimeout bounds how long a target may take to accept or refuse a connection.
+	probeTimeout = 300 * time.Millisecond
+	// exitedProbeTTL and runningProbeTTL are how long a probe's result is valid. A lifetime that
+	// has ended does not return, but a running target may exit at any time.
+	exitedProbeTTL  = 5 * time.Second
+	runningProbeTTL = 50 * time.Millisecond
 )
 
-func (i *inquiry) over(now time.Time) bool {
-	if i.answered.IsZero() {
+func (p *exitProbe) isExpired(now time.Time) bool {
+	if p.answeredAt.IsZero() {
 		return false
 	}
-	lasts := runsLasts
-	if i.ended {
-		lasts = endedLasts
+	ttl := runningProbeTTL
+	if p.exited {
+		ttl = exitedProbeTTL
 	}
-	return now.Sub(i.answered) >= lasts
+	return now.Sub(p.answeredAt) >= ttl
 }
 
-// inquire notes that a request's attempt at a target broke. ask says that the target is to be asked now; known that it has ended.
-func (g *guard) inquire(now time.Time, target uint64, f poison.Fingerprint) (ask, known bool) {
+// beginProbe records that a request's attempt at a target failed. probe is true if the target must
+// be probed now, exited if it is known to have exited.
+func (g *poisonGuard) beginProbe(now time.Time, target uint64, f poison.Fingerprint) (probe, exited bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	i, ok := g.inquiries[target]
+	p, ok := g.probes[target]
 	switch {
-	case !ok || i.over(now):
-		g.inquiries[target] = &inquiry{requests: []poison.Fingerprint{f}}
+	case !ok || p.isExpired(now):
+		g.probes[target] = &exitProbe{requests: []poison.Fingerprint{f}}
 		return true, false
-	case i.answered.IsZero():
-		i.requests = append(i.requests, f)
+	case p.answeredAt.IsZero():
+		p.requests = append(p.requests, f)
 	}
-	return false, i.ended
+	return false, p.exited
 }
 
-// answered ends an inquiry and returns the requests whose attempts broke.
-func (g *guard) answered(now time.Time, target uint64, ended bool) []poison.Fingerprint {
+// finishProbe records a probe's result and returns the requests whose attempts failed meanwhile.
+func (g *poisonGuard) finishProbe(now time.Time, target uint64, exited bool) []poison.Fingerprint {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	i := g.inquiries[target]
-	i.answered, i.ended = now, ended
-	requests := i.requests
-	i.requests = nil
+	p := g.probes[target]
+	p.answeredAt, p.exited = now, exited
+	requests := p.requests
+	p.requests = nil
 	return requests
 }
 
-// onset is how long after its first event a stream still counts as one that may have ended its target: such a request ends
-// it as it begins to run.
-const onset = time.Second
+// exitBlameWindow is how long after a stream's first event the request is still suspected if its
+// target exits. A request that makes targets exit does so soon after it starts to execute.
+const exitBlameWindow = time.Second
 
-// blame asks whether the target has ended, if the attempt's connection broke as connections to a process that ends do:
-// other targets break some answers off and go on, and a cut or a lost VM resets nothing. A target that
-// said that it leaves ends for that reason.
-func (t *try) blame(err error) {
-	r, f := t.run.relay, t.run.fingerprint
+// checkTargetExit probes the target if the attempt's connection was reset, as happens when a
+// process exits. Targets also reset connections and keep running, hence the probe. A network
+// partition or a lost VM causes no reset. A target that has announced its shutdown is not probed,
+// since it exits for that reason.
+func (t *targetAttempt) checkTargetExit(err error) {
+	r, f := t.request.proxy, t.request.fingerprint
 	now := r.now()
-	if !resetByPeer(err) || (!t.firstAt.IsZero() && now.Sub(t.firstAt) > onset) || r.view.targetLeaves(t.choice.Target.UID) {
+	if !isConnectionReset(err) || (!t.firstEventAt.IsZero() && now.Sub(t.firstEventAt) > exitBlameWindow) || r.traffic.isLeavingOrRemoved(t.choice.Target.UID) {
 		return
 	}
-	ask, known := r.view.guard.inquire(now, t.choice.Target.UID, f)
+	probe, exited := r.traffic.poisonGuard.beginProbe(now, t.choice.Target.UID, f)
 	switch {
-	case known:
-		r.ended(t.choice.Target, []poison.Fingerprint{f})
-	case ask:
-		go r.inquire(t.choice.Target)
+	case exited:
+		r.handleTargetExit(t.choice.Target, []poison.Fingerprint{f})
+	case probe:
+		go r.probeTarget(t.choice.Target)
 	}
 }
 
-// refused takes in that a target's port has refused a connection. No process listens there any more: all routers are told, or each
-// would meet it for itself.
-func (t *try) refused(err error) {
-	if r := t.run.relay; errors.Is(err, syscall.ECONNREFUSED) && !r.view.targetLeaves(t.choice.Target.UID) {
-		r.ended(t.choice.Target, nil)
+// checkRefusedConnection reports the target as exited if its port refused the connection. No
+// process listens there any more. The other routers are told, so that they need not find out with
+// requests of their own.
+func (t *targetAttempt) checkRefusedConnection(err error) {
+	if r := t.request.proxy; errors.Is(err, syscall.ECONNREFUSED) && !r.traffic.isLeavingOrRemoved(t.choice.Target.UID) {
+		r.handleTargetExit(t.choice.Target, nil)
 	}
 }
 
-func resetByPeer(err error) bool {
+func isConnectionReset(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// inquire opens a connection: a process that has ended refuses it.
-func (r *Proxy) inquire(target placement.Target) {
-	ended := errors.Is(knock(context.Background(), target.Address), syscall.ECONNREFUSED)
-	if requests := r.view.guard.answered(r.now(), target.UID, ended); ended {
-		r.ended(target, requests)
+// probeTarget probes the target's port. The port of an exited process refuses connections.
+func (r *Proxy) probeTarget(target placement.Target) {
+	exited := errors.Is(probePort(context.Background(), target.Address), syscall.ECONNREFUSED)
+	if requests := r.traffic.poisonGuard.finishProbe(r.now(), target.UID, exited); exited {
+		r.handleTargetExit(target, requests)
 	}
 }
 
-// knock opens a connection and closes it. No request is sent.
-func knock(ctx context.Context, address string) error {
-	dialer := net.Dialer{Timeout: inquiryTimeout}
+// probePort opens a connection and closes it without sending a request.
+func probePort(ctx context.Context, address string) error {
+	dialer := net.Dialer{Timeout: probeTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
@@ -215,36 +219,37 @@
 	return c.Close()
 }
 
-// askEnded asks targets that have ended, as far as is known, before their rest is over: a request in place of the question would
-// be refused, and its caller would wait for another target.
-func (c *Control) askEnded(ctx context.Context, now time.Time) {
-	for _, t := range c.view.endedToAsk(now) {
+// probeExitedTargets probes targets that are believed to have exited, shortly before they would get
+// requests again. Without the probe, a request would find out that the connection is refused, and
+// its caller would wait for another target.
+func (c *Control) probeExitedTargets(ctx context.Context, now time.Time) {
+	for _, t := range c.traffic.exitedTargetsToProbe(now) {
 		go func() {
-			err := knock(ctx, t.Address)
-			c.view.endedAnswer(c.now(), t.UID, err == nil)
+			err := probePort(ctx, t.Address)
+			c.traffic.recordProbe(c.now(), t.UID, err == nil)
 		}()
 	}
 }
 
-func (r *Proxy) ended(target placement.Target, requests []poison.Fingerprint) {
+func (r *Proxy) handleTargetExit(target placement.Target, requests []poison.Fingerprint) {
 	r.log.Line(eventlog.TargetEnded).Str("target", target.ID).Int("requests", len(requests)).Msg("")
-	r.view.guard.ended(r.now(), target.UID, requests)
-	if r.view.targetEnded(r.now(), target.UID) {
-		r.depart(placement.Departure{Target: target.UID, Ended: true})
+	r.traffic.poisonGuard.recordExit(r.now(), target.UID, requests)
+	if r.traffic.markExited(r.now(), target.UID) {
+		r.reportDeparture(placement.Departure{Target: target.UID, Ended: true})
 	}
 }
 
-// tickGuard lets time pass for the guard, and tells an operator what changes.
-func (c *Control) tickGuard(now time.Time) {
-	for _, ch := range c.view.guard.tick(now, texts(c.core.AliveAddresses(now))) {
+// tickPoisonGuard advances the guard's time and logs changes of suspects.
+func (c *Control) tickPoisonGuard(now time.Time) {
+	for _, ch := range c.traffic.poisonGuard.tick(now, addressStrings(c.core.AliveAddresses(now))) {
 		cancelled := 0
 		if ch.Kind == poison.Suspected {
-			cancelled = c.view.attempts.suspected(ch.Request)
+			cancelled = c.traffic.openAttempts.cancelSuspected(ch.Request)
 		}
 		c.log.Line(eventlog.PoisonChanged).Stringer("fingerprint", ch.Request).Str("change", string(ch.Kind)).Int("ends", ch.Ends).
 			Int("level", ch.Level).Dur("wait", ch.Wait).Int("attempts", cancelled).Msg("")
 		select {
-		case c.keepWake <- struct{}{}:
+		case c.suspectsChanged <- struct{}{}:
 		default:
 		}
 	}
--- a/internal/app/gateway/ports.go
+++ b/internal/app/gateway/ports.go
@@ -1,6 +1,6 @@
-// Package gateway carries plain HTTP requests of callers to targets on a platform
-// that keeps the desired state and the list of targets in its store. One goroutine
-// owns the control state; the goroutines of requests carry traffic.
+// Package gateway forwards HTTP requests from callers to targets on a platform that stores the
+// desired state and the target list. One goroutine owns the control state; request goroutines carry
+// the traffic.
 package gateway
 
 import (
@@ -20,133 +20,141 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/route"
 )
 
-// ErrHistoryLost: the store no longer has the changes after a position.
-var ErrHistoryLost = errors.New("history no longer available")
+// ErrHistoryLost is returned when the store no longer has the changes after a position.
+var ErrHistoryLost = errors.New("change history is no longer available")
 
-// ErrTooLarge: a table has more rows than were asked for.
+// ErrTooLarge is returned when a table has more rows than maxRows.
 var ErrTooLarge = errors.New("table too large")
 
-// Store reads the platform's tables. Implementations are safe for concurrent use.
+// Store accesses the platform's tables. Implementations are safe for concurrent use.
 type Store interface {
-	// ReadTable returns a table and the position from which to follow it. It fails with ErrTooLarge if the table has more rows than
-	// most, unless that is 0.
-	ReadTable(ctx context.Context, t fleet.Table, most int) (position uint64, rows []replica.Row, err error)
-	// AwaitChanges waits for changes after a position and returns them with the next
-	// position, without rows if there was none within wait. It fails with
-	// ErrHistoryLost if the changes are no longer to be had.
+	// ReadTable returns all rows of a table and the position from which to follow changes. It fails
+	// with ErrTooLarge if the table has more than maxRows rows; 0 means no limit.
+	ReadTable(ctx context.Context, t fleet.Table, maxRows int) (position uint64, rows []replica.Row, err error)
+	// AwaitChanges waits for changes after a position. It returns them with the next position, or
+	// no rows if nothing changed within wait. It fails with ErrHistoryLost if the changes are no
+	// longer available.
 	AwaitChanges(ctx context.Context, t fleet.Table, after uint64, wait time.Duration) (position uint64, rows []replica.Row, err error)
-	// RegisterRouters lists routers' addresses; those that are listed already stay as they are.
+	// RegisterRouters adds router addresses to the store's router list. Entries that exist are left
+	// unchanged.
 	RegisterRouters(ctx context.Context, addresses []string) error
-	// RegisteredRouters returns the addresses of all routers that are listed.
+	// RegisteredRouters returns the addresses of all registered routers.
 	RegisteredRouters(ctx context.Context) ([]string, error)
-	// LoadSuspects returns the requests that are kept as suspected, with their levels and generations.
+	// LoadSuspects returns the stored suspected requests with their levels and generations.
 	LoadSuspects(ctx context.Context) ([]poison.Suspect, error)
-	// SaveSuspects writes suspects and drops others, all or none; a hundred at the most.
+	// SaveSuspects writes the suspects in put and deletes those in drop in one transaction, which
+	// may contain at most 100 changes.
 	SaveSuspects(ctx context.Context, put []poison.Suspect, drop []poison.Fingerprint) error
-	// UnregisterRouter takes a router's address out of the list.
+	// UnregisterRouter deletes a router's address from the store's router list.
 	UnregisterRouter(ctx context.Context, address string) error
 }
 
 // Decoder decodes rows of the platform's tables.
 type Decoder interface {
-	// DesiredState returns the newest desired state, nil if there is none yet.
+	// DesiredState returns the newest desired state, or nil if none has been written.
 	DesiredState(rows []replica.Row) (*route.State, error)
-	// EvacuatedDataCentres returns the data centres that are to get nothing, by rows of the same table as the desired state.
+	// EvacuatedDataCentres returns the data centres that must not get requests. The rows are those
+	// of the table that also holds the desired state.
 	EvacuatedDataCentres(rows []replica.Row) []string
-	// Targets returns the targets by pool, and the rows that name none.
+	// Targets returns the targets by pool, and the rows that could not be decoded.
 	Targets(rows []replica.Row) (map[string][]placement.Target, []RejectedEntry)
 }
 
-// RejectedEntry is a row of the list of targets that can't be trusted.
+// RejectedEntry is an invalid row of the target list.
 type RejectedEntry struct {
-	Key     string
-	RowVersion uint64      // of the row
-	Err     *code.Error // names the field
+	Key        string
+	RowVersion uint64      // version of the row
+	Err        *code.Error // names the invalid field
 }
 
-// Peers reaches other routers.
+// Peers sends messages to other routers.
 type Peers interface {
-	// SendDigest sends a digest to each address, with what is to be added for it in the place of the address; yours may be
-	// nil. It does not wait, and nothing is sent again.
+	// SendDigest sends m to every address without waiting and without retransmission. If yours is
+	// not nil, yours[i] is added to the digest for to[i].
 	SendDigest(to []string, m *peerv1.Digest, yours []*peerv1.Report)
+	// RequestCopy requests a table copy from the router at address.
 	RequestCopy(ctx context.Context, address string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error)
 }
 
-// Upstream sends attempts.
+// Upstream sends attempts to targets.
 type Upstream interface {
+	// Do sends one attempt and returns the answer when its header has been read.
 	Do(ctx context.Context, r upstream.Request) (*upstream.Answer, error)
+	// Prune closes idle connections that are too old, and those to targets for which listed
+	// returns false.
 	Prune(listed func(target uint64) bool)
 }
 
-// Call is one caller's request, without what only concerns its connection.
+// Call is a request from a caller, without its connection-level headers.
 type Call struct {
-	ID     string
-	APIKey    string        // the caller's key; empty if it sent none
-	Timeout time.Duration // what the caller will wait; 0 if it did not say
-	// ChatHash is the hash of the longest prompt part that later requests share; 0 if none.
+	ID      string
+	APIKey  string        // API key of the caller; empty if none was sent
+	Timeout time.Duration // how long the caller waits; 0 if unknown
+	// ChatHash is the hash of the longest prompt part that later requests share; 0 if there is
+	// none.
 	ChatHash uint64
-	// PromptParts are the beginnings of the prompt that later requests share, the shortest first.
-	PromptParts []placement.Part
-	PromptTokens int // of the whole prompt; 0 if it has none
-	// LastEventID is the event after which the caller wants a stream to go on.
+	// PromptParts are the prefixes of the prompt that later requests may share, shortest first.
+	PromptParts  []placement.Part
+	PromptTokens int // tokens in the whole prompt; 0 if there is no prompt
+	// LastEventID is the ID of the event after which the caller resumes a stream.
 	LastEventID string
 	Method      string
 	Host        string
-	URI         string // path and query, as sent
+	URI         string // path and query as received
 	Path        string
-	Header      http.Header // for targets
+	Header      http.Header // headers to forward to the target
 }
 
-// Attempt is what a target is told beside the caller's request.
+// Attempt contains the values that an attempt adds to the caller's request.
 type Attempt struct {
-	Remaining       time.Duration // until the request's deadline
-	TargetID   string        // the lifetime that is meant; any other must not run it
-	Team       string
-	Priority   int    // 0 is the most urgent
-	LastEventID string // the last event that the caller has; empty if none
-	// CacheSource is the address of a target whose cached prompt parts are to be fetched;
-	// empty if none.
+	Remaining   time.Duration // time until the request's deadline
+	TargetID    string        // lifetime that may execute the request; no other may
+	Team        string
+	Priority    int    // 0 is the most urgent
+	LastEventID string // ID of the last event that the caller has; empty if none
+	// CacheSource is the address of the target from which to fetch cached prompt parts; empty if
+	// there is none.
 	CacheSource string
 }
 
-// Reply is what a target's answer says beside its content.
+// Reply contains the routing information in the header of a target's answer.
 type Reply struct {
-	// NotExecuted is the target's promise that it did not run the request.
+	// NotExecuted is true if the target guarantees that it did not execute the request.
 	NotExecuted bool
-	// WrongTarget says that another lifetime has the address.
+	// WrongTarget is true if the address now belongs to another lifetime.
 	WrongTarget bool
-	// Sealed answers carry the target's proof that they are its own.
+	// Sealed is true if the header proves that the answer was made by the target itself.
 	Sealed bool
-	// Leaving: the target says that it leaves.
+	// Leaving is true if the target announces its shutdown.
 	Leaving bool
-	// PauseDuration is for how long the target wants nothing from this router; 0 if it does not say.
+	// PauseDuration is how long this router must send no requests to the target; 0 if not given.
 	PauseDuration time.Duration
-	// ColdDuration is for how long the target says that it is cold; 0 if it does not say.
+	// ColdDuration is how long the target remains cold; 0 if not given.
 	ColdDuration time.Duration
-	// InvalidPause is what it said instead of a time; empty if nothing.
+	// InvalidPause is the value sent in place of a valid pause; empty if there is none.
 	InvalidPause string
 }
 
-// HeaderCodec speaks the platform's header names.
+// HeaderCodec translates between gateway values and the platform's HTTP headers.
 type HeaderCodec interface {
-	// PrepareHeader adds an attempt's headers to those of the call.
+	// PrepareHeader returns the header of call with the headers of the attempt added.
 	PrepareHeader(call *Call, a Attempt) http.Header
-	// MatchesCall reports whether an answer's header belongs to a request.
+	// MatchesCall reports whether an answer with header h belongs to call.
 	MatchesCall(call *Call, h http.Header) bool
-	// DecodeReply decodes an answer's header.
+	// DecodeReply decodes the status and header of an answer.
 	DecodeReply(status int, h http.Header) Reply
-	// StripRouterHeaders takes off an answer's header what a target says to routers.
+	// StripRouterHeaders deletes the headers that targets send to routers only.
 	StripRouterHeaders(h http.Header)
 }
 
-// Responder answers the caller.
+// Responder sends the answer to the caller.
 type Responder interface {
-	// SendHeader sends status and header of an answer. length is -1 if it is not known.
+	// SendHeader sends the status and header of an answer. length is -1 if unknown.
 	SendHeader(status int, header http.Header, length int64)
-	// Write sends part of the body at once.
+	// Write sends part of the body without buffering.
 	Write(p []byte) error
-	// SendError answers with a result code. retryAfter is 0 if coming back makes no sense.
+	// SendError answers with a result code. retryAfter is 0 if the caller should not retry.
 	SendError(c code.Code, retryAfter time.Duration)
-	// Abort ends an answer so that it can't be taken for a whole one.
+	// Abort terminates a partly sent answer so that the caller can't mistake it for a complete one.
 	Abort()
 }
--- a/internal/app/gateway/reads.go
+++ b/internal/app/gateway/reads.go
@@ -12,46 +12,47 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// The calls that the core asks for run on goroutines of their own; what comes of them is an event.
+// Store calls and copy requests of the core run on goroutines of their own. Their results are
+// posted as events.
 
-func (c *Control) follow(ctx, calls context.Context, a fleet.Follow) {
-	began := c.now()
-	position, rows, err := c.store.AwaitChanges(calls, a.Table, a.After, a.Wait)
+func (c *Control) awaitChanges(ctx, callCtx context.Context, a fleet.Follow) {
+	startedAt := c.now()
+	position, rows, err := c.store.AwaitChanges(callCtx, a.Table, a.After, a.Wait)
 	if err != nil {
-		c.readFailed(ctx, calls, a.Table, began, err)
+		c.reportReadFailure(ctx, callCtx, a.Table, startedAt, err)
 		return
 	}
-	c.post(ctx, fleet.FollowRead{Table: a.Table, Position: position, Rows: rows})
+	c.postEvent(ctx, fleet.FollowRead{Table: a.Table, Position: position, Rows: rows})
 }
 
-func (c *Control) readWhole(ctx, calls context.Context, t fleet.Table, most int) {
-	calls, cancel := context.WithTimeout(calls, callTimeout)
+func (c *Control) readTable(ctx, callCtx context.Context, t fleet.Table, maxRows int) {
+	callCtx, cancel := context.WithTimeout(callCtx, storeCallTimeout)
 	defer cancel()
-	began := c.now()
-	position, rows, err := c.store.ReadTable(calls, t, most)
+	startedAt := c.now()
+	position, rows, err := c.store.ReadTable(callCtx, t, maxRows)
 	if err != nil {
-		c.readFailed(ctx, calls, t, began, err)
+		c.reportReadFailure(ctx, callCtx, t, startedAt, err)
 		return
 	}
-	c.post(ctx, fleet.WholeRead{Table: t, Position: position, Rows: rows})
+	c.postEvent(ctx, fleet.WholeRead{Table: t, Position: position, Rows: rows})
 }
 
-func (c *Control) readFailed(ctx, calls context.Context, t fleet.Table, began time.Time, err error) {
-	lost := errors.Is(err, ErrHistoryLost)
-	stopped := errors.Is(calls.Err(), context.Canceled)
-	large := errors.Is(err, ErrTooLarge)
-	if !stopped && !large {
-		c.log.Line(eventlog.StoreReadFailed).Str("table", t.String()).Dur("after", c.now().Sub(began)).Err(err).Msg("")
+func (c *Control) reportReadFailure(ctx, callCtx context.Context, t fleet.Table, startedAt time.Time, err error) {
+	historyLost := errors.Is(err, ErrHistoryLost)
+	cancelled := errors.Is(callCtx.Err(), context.Canceled)
+	tooLarge := errors.Is(err, ErrTooLarge)
+	if !cancelled && !tooLarge {
+		c.log.Line(eventlog.StoreReadFailed).Str("table", t.String()).Dur("after", c.now().Sub(startedAt)).Err(err).Msg("")
 	}
-	c.post(ctx, fleet.ReadFailed{Table: t, TooLarge: large, HistoryLost: lost, Stopped: stopped})
+	c.postEvent(ctx, fleet.ReadFailed{Table: t, TooLarge: tooLarge, HistoryLost: historyLost, Stopped: cancelled})
 }
 
-func (c *Control) copyFrom(ctx context.Context, a fleet.CopyFrom) {
+func (c *Control) requestCopy(ctx context.Context, a fleet.CopyFrom) {
 	req := &peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(a.Table), After: a.After, ReadsPacked: true, Asker: c.settings.Address}
-	call, cancel := context.WithTimeout(ctx, a.Timeout)
+	callCtx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
-	began := c.now()
-	reply, err := c.peers.RequestCopy(call, string(a.Peer), req)
+	startedAt := c.now()
+	reply, err := c.peers.RequestCopy(callCtx, string(a.Peer), req)
 	size := proto.Size(reply)
 	if err == nil {
 		reply, err = unpack(reply)
@@ -62,11 +63,11 @@
 		c.log.Line(eventlog.CopyFailed).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Err(err).Msg("")
 	case reply.GetBusy():
 		c.log.Line(eventlog.CopyRefused).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Msg("")
-		c.post(ctx, fleet.Copied{From: a.Peer, Table: a.Table, Busy: true, Holders: fleet.DecodeHolders(reply.GetHolders())})
+		c.postEvent(ctx, fleet.Copied{From: a.Peer, Table: a.Table, Busy: true, Holders: fleet.DecodeHolders(reply.GetHolders())})
 		return
 	default:
 		c.log.Line(eventlog.Copied).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Uint64("row", reply.GetVersion()).
-			Bool("whole", reply.GetWhole()).Int("bytes", size).Dur("took", c.now().Sub(began)).Msg("")
+			Bool("whole", reply.GetWhole()).Int("bytes", size).Dur("took", c.now().Sub(startedAt)).Msg("")
 	}
-	c.post(ctx, fleet.Copied{From: a.Peer, Table: a.Table, Reply: reply})
+	c.postEvent(ctx, fleet.Copied{From: a.Peer, Table: a.Table, Reply: reply})
 }
--- a/internal/app/gateway/relay.go
+++ b/internal/app/gateway/relay.go
@@ -16,80 +16,79 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// Observer is told how each request ended, and what targets say of themselves.
+// Observer records the results of requests and the signals of targets.
 type Observer interface {
 	RecordResult(r Result)
-	// CountSignal counts a target's word: that it leaves, a pause, or a time that makes no sense.
+	// CountSignal counts a signal: one of SignalLeaving, SignalPause and SignalInvalid.
 	CountSignal(what string)
 }
 
-// What targets say of themselves.
+// Signals that targets send in their answers.
 const (
 	SignalLeaving = "leaving"
 	SignalPause   = "pause"
-	SignalInvalid     = "bad"
+	SignalInvalid = "bad"
 )
 
-// Result is how a request ended.
+// Result is the outcome of a request.
 type Result struct {
 	Route    string
 	Pool     string
 	Team     string // empty if the request has none
-	Class    string // of the team, see Match.class
+	Class    string // class of the team, see MatchedRequest.teamClass
 	Code     code.Code
-	Status   int // of the answer that was passed on; 0 if none
+	Status   int // status of the answer sent to the caller; 0 if none
 	Attempts int
 	Retries  int
-	// RetryDenied: one more repeat would have been made, but the budget had no room.
-	RetryDenied bool
-	FirstByteTime  time.Duration // to the first byte of the answer; 0 if none
-	TotalTime  time.Duration
-	// Objective is the time to the first byte that the route aims at; 0 if none.
+	// RetryDenied is true if the request failed because the retry budget was exhausted.
+	RetryDenied   bool
+	FirstByteTime time.Duration // time to the first byte of the answer; 0 if none
+	TotalTime     time.Duration
+	// Objective is the route's objective for the time to the first byte; 0 if none.
 	Objective time.Duration
 }
 
-// Proxy carries requests. It is safe for concurrent use.
+// Proxy forwards requests to targets. It is safe for concurrent use.
 type Proxy struct {
-	view     *view
-	wire     HeaderCodec
-	upstream Upstream
-	log      *eventlog.Log
-	now      func() time.Time
-	observer Observer
-	depart   func(placement.Departure) // passes it on at once
+	traffic         *trafficState
+	codec           HeaderCodec
+	upstream        Upstream
+	log             *eventlog.Log
+	now             func() time.Time
+	observer        Observer
+	reportDeparture func(placement.Departure) // sends a departure to the other routers at once
 }
 
-// NewProxy returns a Relay that goes by what a Control knows.
-func NewProxy(c *Control, wire HeaderCodec, up Upstream, observer Observer, log *eventlog.Log, now func() time.Time) *Proxy {
-	return &Proxy{view: c.view, wire: wire, upstream: up, observer: observer, log: log, now: now, depart: c.tellDeparture}
+// NewProxy returns a Proxy that uses the state owned by c.
+func NewProxy(c *Control, codec HeaderCodec, up Upstream, observer Observer, log *eventlog.Log, now func() time.Time) *Proxy {
+	return &Proxy{traffic: c.traffic, codec: codec, upstream: up, observer: observer, log: log, now: now, reportDeparture: c.reportDeparture}
 }
 
 const (
-	// maxUnrun is how many targets may turn a request away before its caller is
-	// told to come back: at a full or changing pool a third one rarely takes it.
-	maxUnrun = 2
-	// answerAfterDeadline is how long after the deadline a target's own answer may
-	// still arrive before the router gives its final one.
-	answerAfterDeadline = 60 * time.Millisecond
-	// defaultBudget applies to callers that do not say how long they wait, on
-	// routes without a timeout.
-	defaultBudget = 30 * time.Second
+	// maxNotExecuted is the number of targets that may refuse a request before its caller is told
+	// to retry later. In a full or changing pool a third target rarely accepts it.
+	maxNotExecuted = 2
+	// answerGrace is how long after the deadline an answer from a target is still accepted before
+	// the router sends its own.
+	answerGrace = 60 * time.Millisecond
+	// defaultTimeout applies if neither the caller nor the route sets a timeout.
+	defaultTimeout = 30 * time.Second
 )
 
-// MatchedRequest is a request whose route and team are known, so that its body is wanted.
+// MatchedRequest is a request whose route and team are known and whose body has still to be read.
 type MatchedRequest struct {
-	call  *Call
-	route *route.Route
-	team  *route.Team // nil if the request has none
-	pool  string
-	began time.Time
-	// version is that of the desired state that matched.
-	version uint64
-	// MaxBodyBytes bounds the body; 0 means unset.
+	call      *Call
+	route     *route.Route
+	team      *route.Team // nil if the request has none
+	pool      string
+	startedAt time.Time
+	// desiredVersion is the version of the desired state that matched the request.
+	desiredVersion uint64
+	// MaxBodyBytes bounds the body; 0 means no limit.
 	MaxBodyBytes int64
 }
 
-// teamName returns the team's name, empty if the request has none.
+// teamName returns the team's name, or an empty string if the request has no team.
 func (m *MatchedRequest) teamName() string {
 	if m.team == nil {
 		return ""
@@ -97,19 +96,20 @@
 	return m.team.Name
 }
 
-// fingerprint names the request's content.
+// fingerprint returns a hash that identifies the request's content.
 func (m *MatchedRequest) fingerprint(body []byte) poison.Fingerprint {
 	return poison.FingerprintOf(m.teamName(), m.call.Method, m.call.Host, m.call.Path, body)
 }
 
-// The classes of teams that have no rank of their own.
+// Classes of requests whose team has no rank of its own.
 const (
 	classNoTeam  = "no_team"
 	classDefault = "default"
 )
 
-// class groups teams by their own rank: there are too many to count each alone.
-func (m *MatchedRequest) class() string {
+// teamClass returns the class of the request's team for metrics. Teams are grouped by rank, because
+// there are too many for a metric each.
+func (m *MatchedRequest) teamClass() string {
 	switch {
 	case m.team == nil:
 		return classNoTeam
@@ -119,7 +119,7 @@
 	return "rank_" + strconv.Itoa(*m.team.Priority)
 }
 
-// rank returns how urgent the request is: its team's rank, or else the route's.
+// rank returns the request's priority: the team's if it has one, else the route's.
 func (m *MatchedRequest) rank() int {
 	if m.team != nil && m.team.Priority != nil {
 		return *m.team.Priority
@@ -127,24 +127,24 @@
 	return m.route.Priority
 }
 
-// Match finds a request's route and team. The code is OK, or why there are none.
+// Match finds the route and team of a request. If the code is not code.OK, there is no match.
 func (r *Proxy) Match(call *Call) (*MatchedRequest, code.Code) {
-	table := r.view.table.Load()
-	if table == nil || !r.view.ready.Load() {
+	table := r.traffic.table.Load()
+	if table == nil || !r.traffic.ready.Load() {
 		return nil, code.NotReady
 	}
-	if r.view.stale.Load() {
+	if r.traffic.stale.Load() {
 		return nil, code.StaleConfig
 	}
 	rt, ok := table.Match(call.Host, call.Path)
 	if !ok {
-		return nil, r.denied(code.NotFound)
+		return nil, r.denialCode(code.NotFound)
 	}
-	m := &MatchedRequest{call: call, route: rt, began: r.now(), version: table.Version, MaxBodyBytes: table.MaxBodyBytes}
+	m := &MatchedRequest{call: call, route: rt, startedAt: r.now(), desiredVersion: table.Version, MaxBodyBytes: table.MaxBodyBytes}
 	if team, ok := table.TeamByKey(call.APIKey); ok {
 		m.team = team
 	} else if table.HasTeams() && !rt.Public {
-		return nil, r.denied(code.UnknownKey)
+		return nil, r.denialCode(code.UnknownKey)
 	}
 	hash := call.ChatHash
 	if hash == 0 {
@@ -154,70 +154,72 @@
 	return m, code.OK
 }
 
-// denied returns the code for a request that the desired state in force does not allow. While others have
-// a newer one that may, its caller is told to come back instead: denials are final.
-func (r *Proxy) denied(c code.Code) code.Code {
-	if r.view.behind.Load() {
+// denialCode returns the code for a request that the applied desired state does not allow. A denial
+// is final, so if other routers have a newer state the caller is told to retry instead.
+func (r *Proxy) denialCode(c code.Code) code.Code {
+	if r.traffic.outdated.Load() {
 		return code.StaleConfig
 	}
 	return c
 }
 
-// RetryAfter returns when a caller that is refused with a code and has a time left
-// should come back, with jitter.
-func RetryAfter(c code.Code, left time.Duration) time.Duration {
-	return jittered(admission.RetryAfter(c, left))
+// RetryAfter returns when a caller should retry after a request was refused with code c with the
+// given time remaining. Jitter is added.
+func RetryAfter(c code.Code, remaining time.Duration) time.Duration {
+	return addJitter(admission.RetryAfter(c, remaining))
 }
 
-// jittered spreads a time to come back: callers refused together would return together.
-func jittered(d time.Duration) time.Duration {
+// addJitter multiplies d by a random factor between 0.5 and 1.5, so that callers refused together
+// do not retry together.
+func addJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + rand.Float64()))
 }
 
-// comesBack reports whether a code sends its caller away until some target takes requests.
-func comesBack(c code.Code) bool {
+// isWaitForTarget reports whether a code asks the caller to wait for an available target.
+func isWaitForTarget(c code.Code) bool {
 	return c == code.TargetsPaused || c == code.TargetsCold || c == code.TargetRefused || c == code.NoTarget
 }
 
-// later spreads a time before which coming back makes no sense.
-func later(d time.Duration) time.Duration {
+// addPositiveJitter multiplies d by a random factor between 1 and 1.5, for callers that must not
+// retry before d.
+func addPositiveJitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + 0.5*rand.Float64()))
 }
 
-// Serve carries a matched request to its end. ctx ends when the caller leaves.
-func (r *Proxy) Serve(ctx context.Context, m *MatchedRequest, body []byte, out Responder) {
-	budget := m.call.Timeout
-	if t := m.route.Timeout; t > 0 && (budget == 0 || t < budget) {
-		budget = t
+// Serve forwards a matched request and answers the caller. ctx ends when the caller disconnects.
+func (r *Proxy) Serve(ctx context.Context, m *MatchedRequest, body []byte, responder Responder) {
+	timeout := m.call.Timeout
+	if t := m.route.Timeout; t > 0 && (timeout == 0 || t < timeout) {
+		timeout = t
 	}
-	if budget == 0 {
-		budget = defaultBudget
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
-	x := &run{
-		relay: r, match: m, body: body, out: out, ends: m.began.Add(budget), fingerprint: m.fingerprint(body),
+	x := &openRequest{
+		proxy: r, match: m, body: body, responder: responder, deadline: m.startedAt.Add(timeout), fingerprint: m.fingerprint(body),
 		machine: attempt.New(attempt.Spec{
-			Idempotent: m.route.Repeatable(), MaxAttempts: max(m.route.MaxAttempts, 1), MaxUnrun: maxUnrun,
+			Idempotent: m.route.Repeatable(), MaxAttempts: max(m.route.MaxAttempts, 1), MaxUnrun: maxNotExecuted,
 		}),
 	}
-	if by := r.view.finishing.Load(); by != nil {
-		// Nothing that may outlast the process begins: it would be cut. Short requests
-		// still come while the balancer has too few other routers, and are served.
-		if x.ends.After(*by) {
+	if shutdownDeadline := r.traffic.shutdownDeadline.Load(); shutdownDeadline != nil {
+		// A request that may outlive the process would be cut off, so it is refused. Shorter
+		// requests still arrive while the load balancer has too few other routers, and are served.
+		if x.deadline.After(*shutdownDeadline) {
 			x.finish(code.ShuttingDown)
 			return
 		}
 	} else {
-		r.view.early.Add(1)
-		defer r.view.early.Add(-1)
+		r.traffic.earlyRequests.Add(1)
+		defer r.traffic.earlyRequests.Add(-1)
 	}
-	x.stream.last = m.call.LastEventID
+	x.stream.lastEventID = m.call.LastEventID
 	var cancel context.CancelFunc
-	x.ctx, cancel = context.WithDeadline(ctx, x.ends.Add(answerAfterDeadline))
+	x.ctx, cancel = context.WithDeadline(ctx, x.deadline.Add(answerGrace))
 	defer cancel()
-	r.view.countRequest(m.began, m.pool)
-	action := x.next()
+	r.traffic.countRequest(m.startedAt, m.pool)
+	action := x.attemptNext()
 	for action.Kind == attempt.Ask {
-		action = x.again()
+		action = x.retry()
 	}
 	x.finish(action.Code)
 }
--- a/internal/app/gateway/run.go
+++ b/internal/app/gateway/run.go
@@ -16,172 +16,172 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// run is one request under way.
-type run struct {
-	relay   *Proxy
-	match   *MatchedRequest
-	body    []byte
-	out     Responder
-	machine *attempt.Machine
-	ctx     context.Context
-	ends    time.Time // when the caller gets a final answer at the latest
+// openRequest is a request that is being forwarded.
+type openRequest struct {
+	proxy     *Proxy
+	match     *MatchedRequest
+	body      []byte
+	responder Responder
+	machine   *attempt.Machine
+	ctx       context.Context
+	deadline  time.Time // by which the caller gets a final answer
 
-	repeats int
-	denied  bool
-	// retryAfter is when there is room again, 0 if the code alone says it.
+	retries     int
+	retryDenied bool
+	// retryAfter is the time until there is capacity again; 0 if the code determines it.
 	retryAfter time.Duration
-	// notBefore is when it makes sense to come back at the earliest, 0 if nothing says so.
-	notBefore time.Duration
-	first     time.Time
-	status    int
-	// kept is a target's own failure that is passed on if no other target answers.
-	kept        *kept
-	stream      streamState
-	fingerprint poison.Fingerprint
-	trial       bool // the attempt under way is that of a suspect which is let through
+	// minRetryAfter is the minimum delay before the caller should retry; 0 if there is none.
+	minRetryAfter time.Duration
+	firstByteAt   time.Time
+	status        int
+	// targetError is a 5xx answer from a target, sent to the caller if no other target succeeds.
+	targetError  *bufferedAnswer
+	stream       streamProgress
+	fingerprint  poison.Fingerprint
+	suspectTrial bool // the current attempt is a trial of a suspected request
 }
 
-// kept is a whole answer.
-type kept struct {
+// bufferedAnswer is a complete answer.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// again sends the request to another target if the budget has room.
-func (x *run) again() attempt.Action {
-	r := x.relay
-	if full, ok := r.view.allowRepeat(r.now(), x.match.pool); !ok {
-		x.denied = true
-		x.note(eventlog.RepeatDenied).Str("pool", x.match.pool).Int("repeats", full.Repeats).Float64("allowed", full.Allowed).
-			Float64("requests", full.Requests).Float64("slack", full.Slack).Msg("")
+// retry sends the request to another target if the retry budget allows it.
+func (x *openRequest) retry() attempt.Action {
+	r := x.proxy
+	if budget, ok := r.traffic.takeRetry(r.now(), x.match.pool); !ok {
+		x.retryDenied = true
+		x.logLine(eventlog.RepeatDenied).Str("pool", x.match.pool).Int("repeats", budget.Repeats).Float64("allowed", budget.Allowed).
+			Float64("requests", budget.Requests).Float64("slack", budget.Slack).Msg("")
 		return x.machine.Step(attempt.Refused{Code: code.TargetRefused})
 	}
-	x.repeats++
-	return x.next()
+	x.retries++
+	return x.attemptNext()
 }
 
-// next places the request and makes one attempt.
-func (x *run) next() attempt.Action {
-	r := x.relay
+// attemptNext places the request and makes one attempt.
+func (x *openRequest) attemptNext() attempt.Action {
+	r := x.proxy
 	now := r.now()
-	if x.ctx.Err() != nil || !now.Before(x.ends) {
-		return x.gaveUp()
+	if x.ctx.Err() != nil || !now.Before(x.deadline) {
+		return x.endEarly()
 	}
-	suspicion := r.view.guard.admit(now, x.fingerprint)
+	suspicion := r.traffic.poisonGuard.admit(now, x.fingerprint)
 	if suspicion.Refused {
-		x.note(eventlog.PoisonRefused).Stringer("fingerprint", x.fingerprint).Dur("wait", suspicion.Wait).Msg("")
-		x.notBefore = suspicion.Wait
+		x.logLine(eventlog.PoisonRefused).Stringer("fingerprint", x.fingerprint).Dur("wait", suspicion.Wait).Msg("")
+		x.minRetryAfter = suspicion.Wait
 		return x.machine.Step(attempt.Refused{Code: code.Poison})
 	}
-	x.trial = suspicion.Trial
-	if x.trial {
-		defer func() { r.view.guard.trialOver(r.now(), x.fingerprint) }()
+	x.suspectTrial = suspicion.Trial
+	if x.suspectTrial {
+		defer func() { r.traffic.poisonGuard.endTrial(r.now(), x.fingerprint) }()
 	}
-	choice, verdict, ok := r.view.place(now, placement.Ask{
+	choice, verdict, ok := r.traffic.place(now, placement.Ask{
 		Pool: x.match.pool, Chat: x.match.call.ChatHash, Prompt: x.match.call.PromptParts, Tokens: x.match.call.PromptTokens,
 		Objective: x.match.route.Objective, Excluded: x.machine.Excluded(),
-	}, admission.Ask{Team: x.match.teamName(), Rank: x.match.rank(), RouteRank: x.match.route.Priority, Left: x.ends.Sub(now), Objective: x.match.route.Objective}, x.machine.MayHaveRun())
+	}, admission.Ask{Team: x.match.teamName(), Rank: x.match.rank(), RouteRank: x.match.route.Priority, Left: x.deadline.Sub(now), Objective: x.match.route.Objective}, x.machine.MayHaveRun())
 	switch {
 	case !ok:
-		return x.machine.Step(attempt.Refused{Code: r.view.noTarget(now, x.match.pool)})
+		return x.machine.Step(attempt.Refused{Code: r.traffic.noTargetCode(now, x.match.pool)})
 	case verdict.Code != code.OK:
-		x.note(eventlog.NotAdmitted).Str("target", choice.Target.ID).Int("open", choice.Open).
-			Dur("wait", verdict.Wait).Dur("left", x.ends.Sub(now)).Int("rank", x.match.rank()).Msg("")
+		x.logLine(eventlog.NotAdmitted).Str("target", choice.Target.ID).Int("open", choice.Open).
+			Dur("wait", verdict.Wait).Dur("left", x.deadline.Sub(now)).Int("rank", x.match.rank()).Msg("")
 		x.retryAfter = verdict.RetryAfter
 		return x.machine.Step(attempt.Refused{Code: verdict.Code})
 	}
 	action := x.machine.Step(attempt.Granted{Target: choice.Target.UID})
-	a := &try{run: x, choice: choice, number: action.Attempt, began: now, outcome: placement.Neutral}
-	x.notePlaced(a, r.view.loadsAge(now))
+	a := &targetAttempt{request: x, choice: choice, number: action.Attempt, startedAt: now, outcome: placement.Neutral}
+	x.logPlaced(a, r.traffic.loadReportAge(now))
 	action = a.make()
-	if a.failure == failureTurnedAway {
+	if a.failure == failureNotExecuted {
 		x.retryAfter = verdict.RetryAfter
 	}
-	a.firstEvent(false)
+	a.recordFirstEvent(false)
 	took := r.now().Sub(now)
-	if r.view.done(r.now(), x.match.pool, x.match.teamName(), choice.Target.UID, a.finalOutcome(), took, a.ofLoad(took)) {
-		x.note(eventlog.TargetSuspended).Str("target", choice.Target.ID).Str("why", a.failure).Msg("")
+	if r.traffic.finishAttempt(r.now(), x.match.pool, x.match.teamName(), choice.Target.UID, a.finalOutcome(), took, a.loadSignal(took)) {
+		x.logLine(eventlog.TargetSuspended).Str("target", choice.Target.ID).Str("why", a.failure).Msg("")
 	}
 	if a.failure != "" {
-		x.note(eventlog.AttemptFailed).Int("attempt", a.number).Str("target", choice.Target.ID).
+		x.logLine(eventlog.AttemptFailed).Int("attempt", a.number).Str("target", choice.Target.ID).
 			Str("why", a.failure).AnErr("error", a.err).Int("events", a.events).Dur("after", took).Msg("")
 	}
 	return action
 }
 
-// gaveUp ends the request because its caller left or its deadline came.
-func (x *run) gaveUp() attempt.Action {
+// endEarly ends the request because its caller disconnected or its deadline passed.
+func (x *openRequest) endEarly() attempt.Action {
 	if errors.Is(context.Cause(x.ctx), context.Canceled) {
 		return x.machine.Step(attempt.CallerLeft{})
 	}
 	return x.machine.Step(attempt.DeadlineCame{})
 }
 
-func (x *run) finish(c code.Code) {
-	r := x.relay
+func (x *openRequest) finish(c code.Code) {
+	r := x.proxy
 	switch {
 	case c == code.OK:
-	case x.first.IsZero() && x.kept != nil:
-		// A target's own failure is the better answer: it is the caller's to read.
-		x.whole(x.kept.status, x.kept.header, x.kept.body)
-	case x.first.IsZero():
-		if wait := r.view.resumes(r.now(), x.match.pool); wait > 0 && x.notBefore == 0 && comesBack(c) {
-			x.notBefore = wait
+	case x.firstByteAt.IsZero() && x.targetError != nil:
+		// The target's own error tells the caller more than a result code.
+		x.sendAnswer(x.targetError.status, x.targetError.header, x.targetError.body)
+	case x.firstByteAt.IsZero():
+		if wait := r.traffic.availableAfter(r.now(), x.match.pool); wait > 0 && x.minRetryAfter == 0 && isWaitForTarget(c) {
+			x.minRetryAfter = wait
 		}
-		after := x.retryAfter
-		if after == 0 {
-			after = admission.RetryAfter(c, x.ends.Sub(r.now()))
+		retryAfter := x.retryAfter
+		if retryAfter == 0 {
+			retryAfter = admission.RetryAfter(c, x.deadline.Sub(r.now()))
 		}
-		if x.notBefore > 0 {
-			x.out.SendError(c, later(x.notBefore))
+		if x.minRetryAfter > 0 {
+			x.responder.SendError(c, addPositiveJitter(x.minRetryAfter))
 		} else {
-			x.out.SendError(c, jittered(after))
+			x.responder.SendError(c, addJitter(retryAfter))
 		}
 	default:
-		x.out.Abort()
+		x.responder.Abort()
 	}
 	now := r.now()
 	res := Result{
-		Route: x.match.route.Name, Pool: x.match.pool, Team: x.match.teamName(), Class: x.match.class(),
+		Route: x.match.route.Name, Pool: x.match.pool, Team: x.match.teamName(), Class: x.match.teamClass(),
 		Code: c, Status: x.status, Objective: x.match.route.Objective,
-		Attempts: x.machine.Attempts(), Retries: x.repeats, RetryDenied: x.denied, TotalTime: now.Sub(x.match.began),
+		Attempts: x.machine.Attempts(), Retries: x.retries, RetryDenied: x.retryDenied, TotalTime: now.Sub(x.match.startedAt),
 	}
-	if !x.first.IsZero() {
-		res.FirstByteTime = x.first.Sub(x.match.began)
+	if !x.firstByteAt.IsZero() {
+		res.FirstByteTime = x.firstByteAt.Sub(x.match.startedAt)
 	}
 	r.observer.RecordResult(res)
 	kind := eventlog.Finished
 	if c != code.OK {
 		kind = eventlog.Failed
 	}
-	x.note(kind).Int("code", int(c)).Str("name", c.Lookup().Name).Str("ran", c.Lookup().Ran.String()).
+	x.logLine(kind).Int("code", int(c)).Str("name", c.Lookup().Name).Str("ran", c.Lookup().Ran.String()).
 		Int("status", x.status).Int("attempts", res.Attempts).Dur("first", res.FirstByteTime).Dur("total", res.TotalTime).
-		Dur("budget", x.ends.Sub(x.match.began)).Msg("")
+		Dur("budget", x.deadline.Sub(x.match.startedAt)).Msg("")
 }
 
-// whole passes a whole answer on.
-func (x *run) whole(status int, header http.Header, body []byte) {
-	x.first, x.status = x.relay.now(), status
-	x.out.SendHeader(status, header, int64(len(body)))
-	_ = x.out.Write(body) // a caller that left shows in its context
+// sendAnswer sends a complete answer to the caller.
+func (x *openRequest) sendAnswer(status int, header http.Header, body []byte) {
+	x.firstByteAt, x.status = x.proxy.now(), status
+	x.responder.SendHeader(status, header, int64(len(body)))
+	_ = x.responder.Write(body) // a write error also cancels the caller's context
 }
 
-// note begins a log line about the request.
-func (x *run) note(k eventlog.Kind) *zerolog.Event {
-	return x.relay.log.Line(k).Str("request", x.match.call.ID).Str("route", x.match.route.Name)
+// logLine returns a log event with the request's ID and route.
+func (x *openRequest) logLine(k eventlog.Kind) *zerolog.Event {
+	return x.proxy.log.Line(k).Str("request", x.match.call.ID).Str("route", x.match.route.Name)
 }
 
-// notePlaced logs where an attempt goes and what decided.
-func (x *run) notePlaced(a *try, loadsAge time.Duration) {
+// logPlaced logs the target of an attempt and the reasons for the choice.
+func (x *openRequest) logPlaced(a *targetAttempt, loadReportAge time.Duration) {
 	c := a.choice
-	line := x.note(eventlog.Placed)
-	if gone := c.Target.Gone; !gone.IsZero() {
-		line.Dur("gone", a.began.Sub(gone)).Dur("grace", time.Duration(x.relay.view.goneGrace.Load())).Bool("store_away", x.relay.view.storeAway.Load())
+	line := x.logLine(eventlog.Placed)
+	if removedAt := c.Target.Gone; !removedAt.IsZero() {
+		line.Dur("gone", a.startedAt.Sub(removedAt)).Dur("grace", time.Duration(x.proxy.traffic.removedGrace.Load())).Bool("store_away", x.proxy.traffic.storeOutage.Load())
 	}
 	line.Int("attempt", a.number).Str("pool", x.match.pool).Str("team", x.match.teamName()).
 		Stringer("fingerprint", x.fingerprint).Str("target", c.Target.ID).Str("rule", string(c.Rule)).Int("open", c.Open).Float64("bound", c.Bound).
-		Str("source", c.Source).Dur("loads_age", loadsAge).Uint64("version", x.match.version).
-		Uint64("targets_row", x.relay.view.targetsRow.Load()).
-		Str("resume_from", x.stream.last).Bool("trial", x.trial).Msg("")
+		Str("source", c.Source).Dur("loads_age", loadReportAge).Uint64("version", x.match.desiredVersion).
+		Uint64("targets_row", x.proxy.traffic.targetsRowVersion.Load()).
+		Str("resume_from", x.stream.lastEventID).Bool("trial", x.suspectTrial).Msg("")
 }
--- a/internal/app/gateway/settings.go
+++ b/internal/app/gateway/settings.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// Settings of a gateway.
+// Settings configures a gateway.
 type Settings struct {
 	Name       string
 	DataCentre string
-	// Strength is how much the VM bears, see fleet.Settings.
+	// Strength is the relative capacity of the VM, see fleet.Settings.
 	Strength uint32
-	Address  string   // where other routers reach this one, as IP:PORT
-	Seeds    []string // addresses at which routers may run
-	// ReadStoreAtStart is false for routers that start together with others that read the
-	// store and pass on what they read.
+	Address  string   // address for other routers, as IP:PORT
+	Seeds    []string // addresses at which other routers may run
+	// ReadStoreAtStart is true for routers that read the store as soon as they start. Of routers
+	// that start together, the others receive the tables from these.
 	ReadStoreAtStart bool
-	// FirstStart: the whole system starts for the first time, so nothing that it has learned is kept anywhere.
+	// FirstStart is true if the whole fleet starts for the first time, so that no earlier state
+	// exists.
 	FirstStart bool
-	// MaxApplyDelay is the time in which a desired state has to be in force, LeftWithin
-	// that in which a leaving target has to be left alone.
-	MaxApplyDelay time.Duration
-	MaxDepartureDelay    time.Duration
-	// RetryRatio, RetrySlack and RetryWindow are the fleet's budget of repeats.
+	// MaxApplyDelay is the time within which a desired state must be applied. MaxDepartureDelay is
+	// the time after which a leaving target must get no more requests.
+	MaxApplyDelay     time.Duration
+	MaxDepartureDelay time.Duration
+	// RetryRatio, RetrySlack and RetryWindow define the retry budget of the fleet.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
-	// LoadMultiple and LoadSlack bound what a target holds, see placement.Settings.
+	// LoadMultiple and LoadSlack bound the open requests of a target, see placement.Settings.
 	LoadMultiple float64
 	LoadSlack    float64
-	// ColdMultiple and ColdSlack bound what a cold target gets, see placement.Settings.
+	// ColdMultiple and ColdSlack bound the requests to a cold target, see placement.Settings.
 	ColdMultiple float64
 	ColdSlack    float64
-	// LinkBytesPerSecond is what the VM's link carries a second, each way; 0 if it is not known.
+	// LinkBytesPerSecond is the bandwidth of the VM's link in each direction; 0 if unknown.
 	LinkBytesPerSecond int64
 }
--- a/internal/app/gateway/stale_test.go
+++ b/internal/app/gateway/stale_test.go
@@ -26,7 +26,7 @@
 
 func TestSuite(t *testing.T) { testkit.Run(t, "gateway") }
 
-// frozenStore has one state for ever, as a store does that is cut off after the first read.
+// frozenStore always returns the same state, like a store that is unreachable after the first read.
 type frozenStore struct{ gateway.Store }
 
 func (frozenStore) ReadTable(context.Context, fleet.Table, int) (uint64, []replica.Row, error) {
@@ -41,27 +41,27 @@
 func (frozenStore) RegisterRouters(context.Context, []string) error     { return nil }
 func (frozenStore) RegisteredRouters(context.Context) ([]string, error) { return nil, nil }
 
-// versions decodes a row into a state whose version is the row's, with a route named /old/.
-type versions struct{}
+// versionDecoder decodes a row to a desired state that has the row's version and a route for /old/.
+type versionDecoder struct{}
 
-func (versions) EvacuatedDataCentres([]replica.Row) []string { return nil }
+func (versionDecoder) EvacuatedDataCentres([]replica.Row) []string { return nil }
 
-func (versions) DesiredState(rows []replica.Row) (*route.State, error) {
+func (versionDecoder) DesiredState(rows []replica.Row) (*route.State, error) {
 	s := &route.State{Version: rows[0].Version, Pools: []route.Pool{{Name: "p"}}}
 	s.Routes = []route.Route{{Name: "old", Host: "h", Prefix: "/old/", Public: true, Split: []route.Share{{Pool: "p", Weight: 1}}}}
 	return s, nil
 }
 
-func (versions) Targets([]replica.Row) (map[string][]placement.Target, []gateway.RejectedEntry) {
+func (versionDecoder) Targets([]replica.Row) (map[string][]placement.Target, []gateway.RejectedEntry) {
 	return nil, nil
 }
 
-// fullLink passes no copy on while it is full.
-type fullLink struct{ full atomic.Bool }
+// fullLinkPeers delivers no copies while the link is full.
+type fullLinkPeers struct{ full atomic.Bool }
 
-func (*fullLink) SendDigest([]string, *peerv1.Digest, []*peerv1.Report) {}
+func (*fullLinkPeers) SendDigest([]string, *peerv1.Digest, []*peerv1.Report) {}
 
-func (l *fullLink) RequestCopy(ctx context.Context, _ string, _ *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+func (l *fullLinkPeers) RequestCopy(ctx context.Context, _ string, _ *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	if l.full.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -69,48 +69,48 @@
 	return &peerv1.CopyResponse{Version: 9, Whole: true, Rows: []*peerv1.Row{{Key: "config", Version: 9}}}, nil
 }
 
-type noUpstream struct{}
+type failingUpstream struct{}
 
-func (noUpstream) Do(context.Context, upstream.Request) (*upstream.Answer, error) {
+func (failingUpstream) Do(context.Context, upstream.Request) (*upstream.Answer, error) {
 	return nil, errors.New("no target")
 }
-func (noUpstream) Prune(func(uint64) bool) {}
+func (failingUpstream) Prune(func(uint64) bool) {}
 
-var _ = Describe("a router that can't get a desired state that others have", func() {
-	const inForce = 800 * time.Millisecond
+var _ = Describe("a router that can't copy a newer desired state", func() {
+	const maxApplyDelay = 800 * time.Millisecond
 
-	// Symptom: a router answers 404 for a route that was added seconds ago. Sequence: its link is full;
-	// it hears from the others that there is a newer state, and no copy arrives. Cause: it went by
-	// the older state for as long as that lasted.
-	It("denies nothing by its older one, and after a time serves nobody until it has the newer one", func() {
+	// Guards against 404 answers for a route that was added seconds ago. A router with a full link
+	// knew from other routers that there was a newer state, but received no copy of it. It used the
+	// older state for as long as that lasted.
+	It("denies no request by its older state, and later serves none until it has the newer state", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		link := &fullLink{}
+		link := &fullLinkPeers{}
 		link.full.Store(true)
-		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:7340", ReadStoreAtStart: true, MaxApplyDelay: inForce},
-			frozenStore{}, versions{}, link, noUpstream{}, eventlog.Nop(), time.Now)
-		relay := gateway.NewProxy(c, nil, noUpstream{}, nil, eventlog.Nop(), time.Now)
+		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:7340", ReadStoreAtStart: true, MaxApplyDelay: maxApplyDelay},
+			frozenStore{}, versionDecoder{}, link, failingUpstream{}, eventlog.Nop(), time.Now)
+		relay := gateway.NewProxy(c, nil, failingUpstream{}, nil, eventlog.Nop(), time.Now)
 		match := func(path string) code.Code {
 			_, got := relay.Match(&gateway.Call{ID: "1", Host: "h", Path: path, Header: http.Header{}})
 			return got
 		}
 		go c.Run(ctx)
 		Eventually(c.Ready, time.Second).Should(BeTrue())
-		Expect(match("/new/")).To(Equal(code.NotFound), "nobody tells of a newer state")
+		Expect(match("/new/")).To(Equal(code.NotFound), "no router reports a newer state")
 		sequence := uint64(0)
-		tell := func() {
+		sendDigest := func() {
 			sequence++
 			c.ReceiveDigest(ctx, "10.0.0.2:7340", &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 1, Sequence: sequence, Versions: []uint64{9, 3}})
 		}
-		tell()
+		sendDigest()
 		Eventually(func() code.Code { return match("/new/") }, 200*time.Millisecond, time.Millisecond).Should(Equal(code.StaleConfig))
-		Expect(match("/old/")).To(Equal(code.OK), "the newer state may allow it as well")
+		Expect(match("/old/")).To(Equal(code.OK), "the older state allows it")
 		Expect(c.Ready()).To(BeTrue())
-		Eventually(func() code.Code { tell(); return match("/old/") }, inForce, 20*time.Millisecond).Should(Equal(code.StaleConfig))
+		Eventually(func() code.Code { sendDigest(); return match("/old/") }, maxApplyDelay, 20*time.Millisecond).Should(Equal(code.StaleConfig))
 		Expect(c.Ready()).To(BeFalse())
 		link.full.Store(false)
-		Eventually(func() code.Code { tell(); return match("/old/") }, 3*time.Second, 20*time.Millisecond).Should(Equal(code.OK))
-		Expect(match("/new/")).To(Equal(code.NotFound), "by the newer state")
+		Eventually(func() code.Code { sendDigest(); return match("/old/") }, 3*time.Second, 20*time.Millisecond).Should(Equal(code.OK))
+		Expect(match("/new/")).To(Equal(code.NotFound), "the newer state does not have the route")
 		Expect(c.Ready()).To(BeTrue())
 	})
 })
--- a/internal/app/gateway/status.go
+++ b/internal/app/gateway/status.go
@@ -6,31 +6,31 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/fleet"
 )
 
-// Status is what a router tells of itself in its metrics.
+// Status is the state that a router reports in its metrics.
 type Status struct {
-	Ready      bool
-	StoreReader    bool // the store
-	DesiredVersion    uint64
-	DesiredAge time.Duration // since the desired state came in force
-	TargetsAge time.Duration // since the list of targets changed
-	LivePeers      int           // other routers alive
-	DirectPeers      int           // those of them that this router hears itself
-	IsRelay      bool          // of its data centre
-	Feeder     string        // the relay that feeds this router; empty if there is none
-	FeedAge     time.Duration // since it did so last; 0 for relays and before the first time
-	EvacuatedDataCentres  int           // data centres that are to get nothing
-	ColdTargets       int           // targets that are cold
-	Suspects   int           // requests that are refused because targets ended under them
-	OpenRequests     map[string]int
+	Ready                bool
+	StoreReader          bool // this router reads the store
+	DesiredVersion       uint64
+	DesiredAge           time.Duration // time since the desired state was applied
+	TargetsAge           time.Duration // time since the target list changed
+	LivePeers            int           // other routers alive
+	DirectPeers          int           // live peers heard directly
+	IsRelay              bool          // this router is a relay of its data centre
+	Feeder               string        // address of the relay that feeds this router; empty if none
+	FeedAge              time.Duration // time since the feeder last sent; 0 for relays and before the first time
+	EvacuatedDataCentres int           // number of evacuated data centres
+	ColdTargets          int           // number of cold targets
+	Suspects             int           // number of refused requests that are suspected of making targets exit
+	OpenRequests         map[string]int
 }
 
-// Status returns the router's status.
+// Status returns the router's current status.
 func (c *Control) Status() Status {
 	var s Status
-	c.query(func(now time.Time) {
+	c.submitAndWait(func(now time.Time) {
 		s = Status{
-			Ready: c.Ready(), StoreReader: c.core.Reading(), DesiredVersion: c.version,
-			EvacuatedDataCentres: c.evacuated, DesiredAge: now.Sub(c.inForceAt), TargetsAge: now.Sub(c.targetsAt), LivePeers: c.core.Alive(now), DirectPeers: c.core.Direct(now),
+			Ready: c.Ready(), StoreReader: c.core.Reading(), DesiredVersion: c.desiredVersion,
+			EvacuatedDataCentres: c.evacuatedCount, DesiredAge: now.Sub(c.appliedAt), TargetsAge: now.Sub(c.targetsChangedAt), LivePeers: c.core.Alive(now), DirectPeers: c.core.Direct(now),
 		}
 		var feeder fleet.Address
 		s.IsRelay, feeder = c.core.Role()
@@ -39,10 +39,10 @@
 			s.FeedAge = now.Sub(at)
 		}
 	})
-	s.Suspects = int(c.view.guard.suspects.Load())
-	c.view.mu.Lock()
-	defer c.view.mu.Unlock()
-	s.ColdTargets = c.view.board.Cold(c.now())
-	s.OpenRequests = c.view.board.OpenAt()
+	s.Suspects = int(c.traffic.poisonGuard.suspectCount.Load())
+	c.traffic.mu.Lock()
+	defer c.traffic.mu.Unlock()
+	s.ColdTargets = c.traffic.board.Cold(c.now())
+	s.OpenRequests = c.traffic.board.OpenAt()
 	return s
 }
--- a/internal/app/gateway/targets.go
+++ b/internal/app/gateway/targets.go
@@ -9,28 +9,28 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// putTargetsInForce takes in the list of targets as of a version and returns the ids of those that got new work until
-// now and are leaving, or gone from the list.
-func (c *Control) putTargetsInForce(now time.Time, rows []replica.Row, version uint64, source string) (left []string) {
-	targets, rejected := c.list.update(rows)
-	rejected = append(rejected, c.unnamed(targets)...)
-	c.entries.rejected(rejected, source)
+// applyTargets applies a version of the target list. It returns the IDs of the targets that stop
+// getting new requests because they are leaving or were removed from the list.
+func (c *Control) applyTargets(now time.Time, rows []replica.Row, version uint64, source string) (leaving []string) {
+	targets, rejected := c.targets.update(rows)
+	rejected = append(rejected, c.rejectUnknownPools(targets)...)
+	c.rejections.update(rejected, source)
 	staying := c.roster.Staying()
-	ended := c.roster.Update(now, version, targets, c.entries.keys())
-	news, left := c.roster.Departures(staying, c.list.has)
-	c.departures.add(news)
+	restarted := c.roster.Update(now, version, targets, c.rejections.keys())
+	departures, leaving := c.roster.Departures(staying, c.targets.has)
+	c.departures.add(departures)
 	c.publishTargets(now)
-	for _, t := range ended {
-		n := c.view.attempts.restarted(t.UID)
+	for _, t := range restarted {
+		n := c.traffic.openAttempts.cancelRestarted(t.UID)
 		c.log.Line(eventlog.TargetRestarted).Str("target", t.ID).Int64("started", t.Started).Int("attempts", n).Msg("")
 	}
-	return left
+	return leaving
 }
 
-// unnamed takes the pools that the desired state in force does not name off the targets and returns
-// their entries as rejected. A later desired state may name them.
-func (c *Control) unnamed(targets map[string][]placement.Target) []RejectedEntry {
-	table := c.view.table.Load()
+// rejectUnknownPools deletes the pools that the applied desired state does not contain from
+// targets. It returns their entries as rejected. A later desired state may contain these pools.
+func (c *Control) rejectUnknownPools(targets map[string][]placement.Target) []RejectedEntry {
+	table := c.traffic.table.Load()
 	if table == nil {
 		return nil
 	}
@@ -49,8 +49,8 @@
 }
 
 func (c *Control) publishTargets(now time.Time) {
-	c.view.mu.Lock()
-	c.view.board.SetTargets(now, c.roster.Pools())
-	c.view.mu.Unlock()
+	c.traffic.mu.Lock()
+	c.traffic.board.SetTargets(now, c.roster.Pools())
+	c.traffic.mu.Unlock()
 	c.updateReady()
 }
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -16,37 +16,38 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/route"
 )
 
-// try is one attempt at a target.
-type try struct {
-	run     *run
-	choice  placement.Choice
-	number  int
-	began   time.Time
-	outcome placement.Outcome
-	failure string // why it failed, for the log; empty if it did not
-	err     error
-	heard   bool      // the first event came, or the attempt ended without one
-	events  int       // of a stream, passed on
-	firstAt time.Time // of the first of them
-	// answering: part of the answer has been passed on.
+// targetAttempt is one attempt to send a request to a target.
+type targetAttempt struct {
+	request            *openRequest
+	choice             placement.Choice
+	number             int
+	startedAt          time.Time
+	outcome            placement.Outcome
+	failure            string // reason for the log; empty if the attempt succeeded
+	err                error
+	firstEventRecorded bool      // the first event, or its absence, was recorded for placement
+	events             int       // events of a stream sent to the caller
+	firstEventAt       time.Time // when the first event was sent; zero if none
+	// answering is true once part of the answer was sent to the caller.
 	answering atomic.Bool
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// timer fires when the target may have been silent for too long.
+	// timer expires when the target has been silent for too long.
 	timer          *time.Timer
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards silence and silenceCounted
 	silence        attempt.Watch
-	silenceCounted bool // the target's silence has been counted
+	silenceCounted bool // the target's silence was recorded for placement
 }
 
-// errSilent ends an attempt whose target has been silent for too long.
+// errSilent cancels an attempt whose target was silent for too long.
 var errSilent = errors.New("target is silent")
 
-// finalOutcome returns what the attempt says of its target now that it has ended. Silence was
-// counted when it was noticed; counted again at the deadline, seconds later, it would speak
-// against a target that has recovered. A lifetime that is over needs no judgement, and one that this router left unheard gets none.
-func (t *try) finalOutcome() placement.Outcome {
+// finalOutcome returns the attempt's outcome for placement. It is Neutral if the target's silence
+// has already been recorded: recording the failure again seconds later, at the deadline, could
+// suspend a target that has recovered. It is also Neutral if the lifetime has ended, or if this
+// router cancelled the attempt because the request became suspected.
+func (t *targetAttempt) finalOutcome() placement.Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if (t.silenceCounted && t.outcome == placement.Failed) || t.failure == failureRestarted || t.failure == failureSuspected {
@@ -55,11 +56,11 @@
 	return t.outcome
 }
 
-// ofLoad returns what the attempt tells of its target's load.
-func (t *try) ofLoad(took time.Duration) admission.Answer {
-	objective := t.run.match.route.Objective
+// loadSignal returns what the attempt shows about the target's load.
+func (t *targetAttempt) loadSignal(took time.Duration) admission.Answer {
+	objective := t.request.match.route.Objective
 	switch {
-	case t.failure == failureTurnedAway:
+	case t.failure == failureNotExecuted:
 		return admission.TurnedAway
 	case t.outcome == placement.Answered && objective > 0 && took > objective:
 		return admission.Late
@@ -67,64 +68,65 @@
 	return admission.InTime
 }
 
-// firstEvent tells the board, once, how long the target took to its first event.
-func (t *try) firstEvent(answered bool) {
-	if !t.heard {
-		t.heard = true
-		t.run.relay.view.firstEvent(t.run.relay.now(), t.choice, answered)
+// recordFirstEvent records the first event of the answer, or its absence, for placement. Only the
+// first call has an effect.
+func (t *targetAttempt) recordFirstEvent(answered bool) {
+	if !t.firstEventRecorded {
+		t.firstEventRecorded = true
+		t.request.proxy.traffic.recordFirstEvent(t.request.proxy.now(), t.choice, answered)
 	}
 }
 
-// make sends the request and passes the answer on.
-func (t *try) make() attempt.Action {
-	x := t.run
+// make sends the request and forwards the answer.
+func (t *targetAttempt) make() attempt.Action {
+	x := t.request
 	t.ctx, t.cancel = context.WithCancelCause(x.ctx)
 	defer t.cancel(nil)
-	x.relay.view.attempts.add(t)
-	defer x.relay.view.attempts.remove(t)
-	t.watchFirst()
+	x.proxy.traffic.openAttempts.add(t)
+	defer x.proxy.traffic.openAttempts.remove(t)
+	t.startSilenceTimer()
 	defer func() { t.timer.Stop() }()
-	answer, err := x.relay.upstream.Do(t.ctx, t.request())
+	answer, err := x.proxy.upstream.Do(t.ctx, t.upstreamRequest())
 	if err != nil {
 		return t.sendFailed(err)
 	}
 	defer answer.Close()
-	reply := x.relay.wire.DecodeReply(answer.Status, answer.Header)
-	x.relay.wire.StripRouterHeaders(answer.Header) // or the caller would take it for this router's word
+	reply := x.proxy.codec.DecodeReply(answer.Status, answer.Header)
+	x.proxy.codec.StripRouterHeaders(answer.Header) // these headers would look like this router's own
 	switch {
 	case reply.NotExecuted:
-		return t.turnedAway(reply)
+		return t.endNotExecuted(reply)
 	case x.match.route.Kind == route.Stream && answer.Status == http.StatusOK && reply.Sealed:
 		return t.relayStream(answer)
 	}
-	return t.relayWhole(answer, reply)
+	return t.relayBuffered(answer, reply)
 }
 
-func (t *try) request() upstream.Request {
-	x := t.run
+func (t *targetAttempt) upstreamRequest() upstream.Request {
+	x := t.request
 	call := x.match.call
 	a := Attempt{
-		Remaining: x.ends.Sub(t.began), TargetID: t.choice.Target.ID, LastEventID: x.stream.last,
+		Remaining: x.deadline.Sub(t.startedAt), TargetID: t.choice.Target.ID, LastEventID: x.stream.lastEventID,
 		CacheSource: t.choice.Source, Team: x.match.teamName(), Priority: x.match.rank(),
 	}
 	return upstream.Request{
 		Target: t.choice.Target.UID, Address: t.choice.Target.Address,
-		Method: call.Method, URI: call.URI, Host: call.Host, Header: x.relay.wire.PrepareHeader(call, a), Body: x.body,
-		Echoes: func(h http.Header) bool { return x.relay.wire.MatchesCall(call, h) },
-		Heard:  t.hear,
-		Sent:   t.sent,
+		Method: call.Method, URI: call.URI, Host: call.Host, Header: x.proxy.codec.PrepareHeader(call, a), Body: x.body,
+		Echoes: func(h http.Header) bool { return x.proxy.codec.MatchesCall(call, h) },
+		Heard:  t.applySignals,
+		Sent:   t.confirmSend,
 	}
 }
 
-// fail records why the attempt failed and what that says of the target.
-func (t *try) fail(why string, err error) {
-	t.failure, t.err, t.outcome = why, err, placement.Failed
+// fail records the reason for a failure and marks the target as failed.
+func (t *targetAttempt) fail(reason string, err error) {
+	t.failure, t.err, t.outcome = reason, err, placement.Failed
 }
 
-func (t *try) sendFailed(err error) attempt.Action {
-	x := t.run
+func (t *targetAttempt) sendFailed(err error) attempt.Action {
+	x := t.request
 	if x.ctx.Err() != nil {
-		return t.ended()
+		return t.endByContext()
 	}
 	if errors.Is(err, upstream.ErrWithdrawn) {
 		t.failure = failureWithdrawn
@@ -133,42 +135,45 @@
 	if errors.Is(err, upstream.ErrNotSent) {
 		t.fail("not_sent", err)
 		t.outcome = placement.Unreachable
-		t.refused(err)
+		t.checkRefusedConnection(err)
 		return x.machine.Step(attempt.NotSent{Attempt: t.number})
 	}
-	t.broken("broken", err)
+	t.failBroken("broken", err)
 	return x.machine.Step(attempt.Broken{Attempt: t.number})
 }
 
-// broken records that the answer broke off, and asks whether the target has ended.
-func (t *try) broken(why string, err error) {
-	t.fail(t.brokenBy(why), err)
-	if t.failure == why {
-		t.blame(err)
+// failBroken records a broken connection and checks whether the target has exited.
+func (t *targetAttempt) failBroken(reason string, err error) {
+	t.fail(t.failureCause(reason), err)
+	if t.failure == reason {
+		t.checkTargetExit(err)
 	}
 }
 
-// failureWithdrawn is the failure of an attempt whose target wanted nothing more by the time it was to be sent.
+// failureWithdrawn is the reason for attempts that were not sent because the target had stopped
+// accepting requests.
 const failureWithdrawn = "withdrawn"
 
-// sent notes that the request is sent from now on, unless its target has said meanwhile that it leaves, or that it wants nothing for a
-// time: a connection may take some tenths of a second to open.
-func (t *try) sent() bool {
-	if !t.run.relay.view.wants(t.run.relay.now(), t.choice) {
+// confirmSend reports whether the request may be sent now. Opening a connection may take some
+// tenths of a second; the target may have announced its shutdown or a pause meanwhile.
+func (t *targetAttempt) confirmSend() bool {
+	if !t.request.proxy.traffic.maySend(t.request.proxy.now(), t.choice) {
 		return false
 	}
-	t.run.machine.Step(attempt.Wrote{Attempt: t.number})
+	t.request.machine.Step(attempt.Wrote{Attempt: t.number})
 	return true
 }
 
-// failureSuspected is the failure of an attempt whose request is suspected by now.
+// failureSuspected is the reason for attempts that were cancelled because the request became
+// suspected.
 const failureSuspected = "suspected"
 
-// failureRestarted is the failure of an attempt whose target has started again.
+// failureRestarted is the reason for attempts that were cancelled because the target restarted.
 const failureRestarted = "restarted"
 
-// brokenBy names the cause if this router ended the attempt.
-func (t *try) brokenBy(otherwise string) string {
+// failureCause returns the reason for which this router cancelled the attempt, or otherwise if it
+// did not.
+func (t *targetAttempt) failureCause(fallback string) string {
 	cause := context.Cause(t.ctx)
 	switch {
 	case errors.Is(cause, errSilent):
@@ -178,29 +183,29 @@
 	case errors.Is(cause, errSuspected):
 		return failureSuspected
 	}
-	return otherwise
+	return fallback
 }
 
-// ended is the end of an attempt whose caller left or whose deadline came. A
-// target that let the deadline pass without a word counts as failed.
-func (t *try) ended() attempt.Action {
-	x := t.run
+// endByContext ends an attempt whose caller disconnected or whose deadline passed. If the deadline
+// passed, the target counts as failed.
+func (t *targetAttempt) endByContext() attempt.Action {
+	x := t.request
 	if !errors.Is(context.Cause(x.ctx), context.Canceled) {
 		t.fail("deadline", nil)
 	}
-	return x.gaveUp()
+	return x.endEarly()
 }
 
-// failureTurnedAway is the failure of an attempt that its target did not run.
-const failureTurnedAway = "turned_away"
+// failureNotExecuted is the reason for attempts that the target did not execute.
+const failureNotExecuted = "turned_away"
 
-func (t *try) turnedAway(reply Reply) attempt.Action {
-	t.failure, t.outcome = failureTurnedAway, placement.Refused
+func (t *targetAttempt) endNotExecuted(reply Reply) attempt.Action {
+	t.failure, t.outcome = failureNotExecuted, placement.Refused
 	switch {
 	case reply.WrongTarget:
 		t.fail("wrong_target", nil)
 	case reply.PauseDuration > 0:
-		t.outcome = placement.Neutral // it says what it wants
+		t.outcome = placement.Neutral // the target has announced its state itself
 	}
-	return t.run.machine.Step(attempt.TurnedAway{Attempt: t.number})
+	return t.request.machine.Step(attempt.TurnedAway{Attempt: t.number})
 }
--- a/internal/app/gateway/underway.go
+++ b/internal/app/gateway/underway.go
@@ -9,36 +9,38 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/poison"
 )
 
-// errRestarted ends an attempt whose target has started again since: nobody works on it any more.
-var errRestarted = errors.New("target has started again")
+// errRestarted cancels an attempt whose target has restarted. The new process does not know the
+// request.
+var errRestarted = errors.New("target has restarted")
 
-// underWay holds the attempts under way by the lifetime of their target. A target that is cut
-// off, crashes and starts again resets nothing: an attempt at its earlier lifetime would wait
-// for its deadline, although the list of targets tells that no answer will come. It is safe for
+// attemptRegistry holds the open attempts by target lifetime. If a target is partitioned, crashes
+// and restarts, the router sees no connection reset. An attempt at the earlier lifetime would wait
+// until its deadline, although the target list shows that no answer can come. It is safe for
 // concurrent use.
-type underWay struct {
+type attemptRegistry struct {
 	mu       sync.Mutex
-	byTarget map[uint64]map[*try]context.CancelCauseFunc
+	byTarget map[uint64]map[*targetAttempt]context.CancelCauseFunc
 }
 
-// errSuspected ends an attempt whose request is suspected to end its target. It may still wait there.
-var errSuspected = errors.New("targets have ended under this request")
+// errSuspected cancels an attempt whose request has become suspected. The target may not have
+// started to execute it.
+var errSuspected = errors.New("request is suspected of making targets exit")
 
-func newUnderWay() *underWay {
-	return &underWay{byTarget: make(map[uint64]map[*try]context.CancelCauseFunc)}
+func newAttemptRegistry() *attemptRegistry {
+	return &attemptRegistry{byTarget: make(map[uint64]map[*targetAttempt]context.CancelCauseFunc)}
 }
 
-func (u *underWay) add(t *try) {
+func (u *attemptRegistry) add(t *targetAttempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	uid := t.choice.Target.UID
 	if u.byTarget[uid] == nil {
-		u.byTarget[uid] = make(map[*try]context.CancelCauseFunc)
+		u.byTarget[uid] = make(map[*targetAttempt]context.CancelCauseFunc)
 	}
 	u.byTarget[uid][t] = t.cancel
 }
 
-func (u *underWay) remove(t *try) {
+func (u *attemptRegistry) remove(t *targetAttempt) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	uid := t.choice.Target.UID
@@ -48,15 +50,16 @@
 	}
 }
 
-// suspected ends the attempts of a request that have no part of an answer yet, and returns how many there were. One that has
-// an answer may show that the request is proper.
-func (u *underWay) suspected(f poison.Fingerprint) int {
+// cancelSuspected cancels a request's attempts that have not yet received any part of an answer,
+// and returns how many there were. An attempt with an answer continues, as it may clear the
+// request.
+func (u *attemptRegistry) cancelSuspected(f poison.Fingerprint) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	n := 0
-	for _, tries := range u.byTarget {
-		for t, cancel := range tries {
-			if t.run.fingerprint == f && !t.answering.Load() {
+	for _, attempts := range u.byTarget {
+		for t, cancel := range attempts {
+			if t.request.fingerprint == f && !t.answering.Load() {
 				cancel(errSuspected)
 				n++
 			}
@@ -65,8 +68,9 @@
 	return n
 }
 
-// restarted ends the attempts at a lifetime that is over and returns how many there were.
-func (u *underWay) restarted(uid uint64) int {
+// cancelRestarted cancels the attempts at a lifetime that has ended and returns how many there
+// were.
+func (u *attemptRegistry) cancelRestarted(uid uint64) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, cancel := range u.byTarget[uid] {
