--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -15,53 +15,55 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/warmup"
 )
 
-// view is what traffic reads and changes: the routing table, swapped whole, and the
-// board of open requests. A placement and its end take 2 us at 12 targets and 8 us at
-// 120 (BenchmarkPlace).
-type view struct {
-	table   atomic.Pointer[route.Table]
-	leaving atomic.Bool
-	// finishing is set once the balancer has noticed that the router leaves: the time
-	// at which it has to end, nil before.
-	finishing atomic.Pointer[time.Time]
-	// early are the open requests that came before finishing was set.
-	early atomic.Int64
-	ready atomic.Bool
-	// behind: another router has a newer desired state. stale: it has had it for too long.
-	behind, stale atomic.Bool
-
-	// goneGrace is for how many nanoseconds targets are used that left the list, storeAway why it is longer than usual.
-	goneGrace atomic.Int64
-	storeAway atomic.Bool
-	// targetsRow is the row version of the list of targets in force.
-	targetsRow atomic.Uint64
-
-	attempts *underWay
-	guard    *guard
-
-	mu      sync.Mutex
-	board   *placement.Board
-	gates   map[string]*admission.Gate
-	budgets map[string]*retry.Window
-	limits  retry.Limits
-	span    time.Duration
-	updated time.Time // when the fleet's loads were last heard of
+// trafficState is the state that request goroutines share with the control goroutine: the routing
+// table, which is replaced as a whole, and the board of open requests. Placing and finishing a
+// request takes 2 us with 12 targets and 8 us with 120 (BenchmarkPlace).
+type trafficState struct {
+	table        atomic.Pointer[route.Table]
+	shuttingDown atomic.Bool
+	// shutdownDeadline is the time by which all requests must end. It is set when the load balancer
+	// has had time to notice the shutdown; nil before.
+	shutdownDeadline atomic.Pointer[time.Time]
+	// earlyRequests is the number of open requests accepted before shutdownDeadline was set.
+	earlyRequests atomic.Int64
+	ready         atomic.Bool
+	// outdated is true if another router has a newer desired state, stale if that has lasted too
+	// long.
+	outdated, stale atomic.Bool
+
+	// removedGrace is how long targets remain in use after their removal from the target list, in
+	// nanoseconds. storeOutage is true if a store outage has extended it.
+	removedGrace atomic.Int64
+	storeOutage  atomic.Bool
+	// targetsRowVersion is the row version of the applied target list.
+	targetsRowVersion atomic.Uint64
+
+	openAttempts *attemptRegistry
+	poisonGuard  *poisonGuard
+
+	mu              sync.Mutex
+	board           *placement.Board
+	gates           map[string]*admission.Gate
+	retryBudgets    map[string]*retry.Window
+	retryLimits     retry.Limits
+	retryWindow     time.Duration
+	loadsReportedAt time.Time // when another router last reported its loads
 }
 
-// place chooses a target and decides whether the request is sent there. One that a
-// target has run in part is always sent: what was done for it would be lost. ok is
-// false if the pool has no target.
-func (v *view) place(now time.Time, a placement.Ask, q admission.Ask, begun bool) (c placement.Choice, verdict admission.Verdict, ok bool) {
+// place chooses a target and decides whether to send the request. A request that a target has
+// already partly executed is always admitted, since rejecting it would waste that work. ok is false
+// if the pool has no target.
+func (v *trafficState) place(now time.Time, a placement.Ask, q admission.Ask, partlyExecuted bool) (c placement.Choice, verdict admission.Verdict, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	gate, age := v.gate(a.Pool), v.newsAge(now)
+	gate, age := v.poolGate(a.Pool), v.maxLoadReportAge(now)
 	a.Stale = gate.Short(age)
 	c, ok = v.board.Place(now, a)
 	if !ok {
 		return c, verdict, false
 	}
 	verdict = gate.Decide(now, q, admission.Load{Open: c.Open, Slots: c.Target.Slots, Age: age})
-	if verdict.Code != code.OK && !begun {
+	if verdict.Code != code.OK && !partlyExecuted {
 		v.board.FirstEvent(now, c, false)
 		v.board.Done(now, c.Target.UID, placement.Neutral)
 		return c, verdict, true
@@ -71,31 +73,32 @@
 	return c, verdict, true
 }
 
-// firstEvent tells the board that an attempt has its first event, or will have none.
-func (v *view) firstEvent(now time.Time, c placement.Choice, answered bool) {
+// recordFirstEvent records that an attempt has received its first event, or will not receive one.
+func (v *trafficState) recordFirstEvent(now time.Time, c placement.Choice, answered bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.board.FirstEvent(now, c, answered)
 }
 
-// newsAge returns how old what is known of the others' open requests is: they tell it once in a tick, and it takes its way. It is 0 if
-// there are no others.
-func (v *view) newsAge(now time.Time) time.Duration {
-	if v.updated.IsZero() {
+// maxLoadReportAge returns the age of the load reports used for admission, or 0 if there are no
+// other routers. Routers report once per tick, so one tick is added for the report in transit.
+func (v *trafficState) maxLoadReportAge(now time.Time) time.Duration {
+	if v.loadsReportedAt.IsZero() {
 		return 0
 	}
-	return fleet.TickInterval + now.Sub(v.updated)
+	return fleet.TickInterval + now.Sub(v.loadsReportedAt)
 }
 
-// done takes an attempt off its target, after it held a place there for a while.
-func (v *view) done(now time.Time, pool, team string, target uint64, o placement.Outcome, took time.Duration, answer admission.Answer) (suspended bool) {
+// finishAttempt releases an attempt's place at its target and records the outcome. It reports
+// whether the target is now suspended.
+func (v *trafficState) finishAttempt(now time.Time, pool, team string, target uint64, o placement.Outcome, took time.Duration, answer admission.Answer) (suspended bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.gate(pool).Ended(now, team, took, answer)
+	v.poolGate(pool).Ended(now, team, took, answer)
 	return v.board.Done(now, target, o)
 }
 
-func (v *view) gate(pool string) *admission.Gate {
+func (v *trafficState) poolGate(pool string) *admission.Gate {
 	g, ok := v.gates[pool]
 	if !ok {
 		g = admission.NewGate()
@@ -104,71 +107,72 @@
 	return g
 }
 
-// targetLeaves reports whether a target has said that it leaves, or is gone.
-func (v *view) targetLeaves(target uint64) bool {
+// isLeavingOrRemoved reports whether a target is leaving or was removed from the target list.
+func (v *trafficState) isLeavingOrRemoved(target uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.Leaves(target)
 }
 
-// saysLeaving takes in that a target says that it leaves, and reports whether that is news.
-func (v *view) saysLeaving(now time.Time, target uint64) bool {
+// markLeaving records that a target announced its shutdown and reports whether that is new.
+func (v *trafficState) markLeaving(now time.Time, target uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.SaysLeaving(now, target)
 }
 
-// targetEnded takes in that a target's process has ended, and reports whether that is news.
-func (v *view) targetEnded(now time.Time, target uint64) bool {
+// markExited records that a target's process has exited and reports whether that is new.
+func (v *trafficState) markExited(now time.Time, target uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.Ended(now, target)
 }
 
-// endedToAsk returns the targets that have ended, as far as is known, and whose ports are to be asked now.
-func (v *view) endedToAsk(now time.Time) []placement.Target {
+// exitedTargetsToProbe returns the targets that are believed to have exited and are due for a
+// probe.
+func (v *trafficState) exitedTargetsToProbe(now time.Time) []placement.Target {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.EndedToAsk(now)
 }
 
-// endedAnswer takes in whether a target that has ended, as far as was known, accepts connections.
-func (v *view) endedAnswer(now time.Time, target uint64, accepts bool) {
+// recordProbe records whether a target believed to have exited accepts connections.
+func (v *trafficState) recordProbe(now time.Time, target uint64, accepts bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.board.EndedAnswer(now, target, accepts)
 }
 
-// saysPause takes in for how long a target wants nothing from this router.
-func (v *view) saysPause(now time.Time, target uint64, d time.Duration) {
+// setPause records a target's pause for this router; d is 0 if the target announced none.
+func (v *trafficState) setPause(now time.Time, target uint64, d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.board.SaysPause(now, target, d)
 }
 
-// saysCold takes in for how long a target says that it is cold, and reports whether that is news.
-func (v *view) saysCold(now time.Time, target uint64, d time.Duration) bool {
+// markCold records how long a target remains cold and reports whether that is new.
+func (v *trafficState) markCold(now time.Time, target uint64, d time.Duration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.SaysCold(now, target, d)
 }
 
-// setFleet tells which routers there are.
-func (v *view) setFleet(f *warmup.Fleet) {
+// setRouters sets the routers that share the capacity of cold targets.
+func (v *trafficState) setRouters(f *warmup.Fleet) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.board.SetFleet(f)
 }
 
-// wants reports whether a request that was placed may be sent to its target now.
-func (v *view) wants(now time.Time, c placement.Choice) bool {
+// maySend reports whether a placed request may still be sent to its target.
+func (v *trafficState) maySend(now time.Time, c placement.Choice) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.Wants(now, c)
 }
 
-// noTarget returns the code for a request that found no target.
-func (v *view) noTarget(now time.Time, pool string) code.Code {
+// noTargetCode returns the result code for a request that found no target.
+func (v *trafficState) noTargetCode(now time.Time, pool string) code.Code {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
@@ -182,64 +186,65 @@
 	return code.NoTarget
 }
 
-// evacuate puts orders to evacuate data centres in force and returns what has changed.
-func (v *view) evacuate(now time.Time, dataCentres []string) []evacuation.Change {
+// setEvacuated sets the evacuated data centres and returns the changes.
+func (v *trafficState) setEvacuated(now time.Time, dataCentres []string) []evacuation.Change {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.Evacuate(now, dataCentres)
 }
 
-// resumes returns in what time the first target of a pool takes requests again, if none does now because they want none or are cold; 0
-// otherwise.
-func (v *view) resumes(now time.Time, pool string) time.Duration {
+// availableAfter returns the time until the first target of a pool accepts requests, if all are
+// paused or cold; 0 otherwise.
+func (v *trafficState) availableAfter(now time.Time, pool string) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return max(v.board.Resumes(now, pool), v.board.AllCold(now, pool))
 }
 
-// targetID returns the name of a target's lifetime, empty if it is not known.
-func (v *view) targetID(target uint64) string {
+// targetID returns the ID of a target by its lifetime's UID; empty if unknown.
+func (v *trafficState) targetID(target uint64) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.ID(target)
 }
 
-// silent tells the board of a target that leaves a request unanswered, while the
-// request still waits.
-func (v *view) silent(now time.Time, target uint64) (suspended bool) {
+// recordSilence records that a target is silent while the request still waits. It reports whether
+// the target is now suspended.
+func (v *trafficState) recordSilence(now time.Time, target uint64) (suspended bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.board.Silent(now, target)
 }
 
-func (v *view) budget(now time.Time, pool string) *retry.Window {
-	w, ok := v.budgets[pool]
+func (v *trafficState) retryBudget(now time.Time, pool string) *retry.Window {
+	w, ok := v.retryBudgets[pool]
 	if !ok {
-		w = retry.NewWindow(now, v.span)
-		v.budgets[pool] = w
+		w = retry.NewWindow(now, v.retryWindow)
+		v.retryBudgets[pool] = w
 	}
 	return w
 }
 
-func (v *view) countRequest(now time.Time, pool string) {
+func (v *trafficState) countRequest(now time.Time, pool string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.budget(now, pool).Request(now)
+	v.retryBudget(now, pool).Request(now)
 }
 
-// allowRepeat takes one repeat out of the budget if there is room; if not, it returns what the budget holds.
-func (v *view) allowRepeat(now time.Time, pool string) (full retry.Room, ok bool) {
+// takeRetry takes one retry from the pool's budget. If ok is false, the budget is exhausted and
+// full describes it.
+func (v *trafficState) takeRetry(now time.Time, pool string) (room retry.Room, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	w := v.budget(now, pool)
-	if w.Repeat(now, v.limits) {
+	w := v.retryBudget(now, pool)
+	if w.Repeat(now, v.retryLimits) {
 		return retry.Room{}, true
 	}
-	return w.Room(now, v.limits), false
+	return w.Room(now, v.retryLimits), false
 }
 
-// forget drops what some sources told of their loads, or all of them if none is named.
-func (v *view) forget(sources []uint32) {
+// forgetLoads drops the loads reported by the given routers, or all reports if sources is empty.
+func (v *trafficState) forgetLoads(sources []uint32) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(sources) == 0 {
@@ -250,24 +255,24 @@
 	}
 }
 
-// loadsAge returns how long ago another router told its loads.
-func (v *view) loadsAge(now time.Time) time.Duration {
+// loadReportAge returns the time since another router last reported its loads; 0 if none has.
+func (v *trafficState) loadReportAge(now time.Time) time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.updated.IsZero() {
+	if v.loadsReportedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(v.updated)
+	return now.Sub(v.loadsReportedAt)
 }
 
-// promptsPerDigest bounds what a digest tells of prompts that were read where: 16 bytes each, so that
-// it stays within one packet.
-const promptsPerDigest = 32
+// maxPromptsPerDigest bounds the cached prompts reported in a digest. They take 16 bytes each and
+// must fit into one packet.
+const maxPromptsPerDigest = 32
 
-// toTell returns what this router tells the others: what it has open, what it saw of failing
-// targets, and which prompts were read where.
-func (v *view) toTell(now time.Time) fleet.Tick {
+// digestContent returns the router's own loads, target outcomes and cached prompts for the next
+// digest.
+func (v *trafficState) digestContent(now time.Time) fleet.Tick {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return fleet.Tick{Loads: v.board.Own(), Outcomes: v.board.Outcomes(now), Prompts: v.board.TakeRead(promptsPerDigest)}
+	return fleet.Tick{Loads: v.board.Own(), Outcomes: v.board.Outcomes(now), Prompts: v.board.TakeRead(maxPromptsPerDigest)}
 }
