--- a/internal/app/gateway/answer.go
+++ b/internal/app/gateway/answer.go
@@ -17,9 +17,9 @@
 // maxBufferedBody is the largest answer, in bytes, that is buffered before it is sent.
 const maxBufferedBody = 16 << 20
 
-// relayBuffered sends an answer after reading all of it. A truncated body must not reach the caller
+// forwardBuffered sends an answer after reading all of it. A truncated body must not reach the caller
 // as a complete one.
-func (t *targetAttempt) relayBuffered(answer *upstream.Answer, reply Reply) attempt.Action {
+func (t *targetAttempt) forwardBuffered(answer *upstream.Answer, reply Reply) attempt.Action {
 	x := t.request
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBody+1))
 	switch {
@@ -94,9 +94,9 @@
 // streamReadSize is the size of the buffer for reading a stream, in bytes.
 const streamReadSize = 8 << 10
 
-// relayStream sends complete events as they arrive. An incomplete event is held back: if the target
+// forwardStream sends complete events as they arrive. An incomplete event is held back: if the target
 // stops in the middle of it, another target sends the whole event again.
-func (t *targetAttempt) relayStream(answer *upstream.Answer) attempt.Action {
+func (t *targetAttempt) forwardStream(answer *upstream.Answer) attempt.Action {
 	var pending []byte
 	chunk := make([]byte, streamReadSize)
 	for {
--- a/internal/app/gateway/entrylog.go
+++ b/internal/app/gateway/entrylog.go
@@ -16,8 +16,8 @@
 	return &rejectionLog{log: log, loggedVersions: make(map[string]uint64)}
 }
 
-// update logs new rejections and replaces the set of rejected entries.
-func (l *rejectionLog) update(entries []RejectedEntry, source string) {
+// record logs new rejections and replaces the set of rejected entries.
+func (l *rejectionLog) record(entries []RejectedEntry, source string) {
 	current := make(map[string]uint64, len(entries))
 	for _, e := range entries {
 		current[e.Key] = e.RowVersion
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -36,7 +36,7 @@
 	changed chan struct{}
 }
 
-func newListStore() *targetListStore {
+func newTargetListStore() *targetListStore {
 	return &targetListStore{version: 3, rows: make(map[string]replica.Row), changed: make(chan struct{})}
 }
 
@@ -189,14 +189,12 @@
 	return n
 }
 
-type emptyHeaderCodec struct{}
+type nopCodec struct{}
 
-func (emptyHeaderCodec) PrepareHeader(*gateway.Call, gateway.Attempt) http.Header {
-	return http.Header{}
-}
-func (emptyHeaderCodec) MatchesCall(*gateway.Call, http.Header) bool { return true }
-func (emptyHeaderCodec) StripRouterHeaders(http.Header)              {}
-func (emptyHeaderCodec) DecodeReply(int, http.Header) gateway.Reply  { return gateway.Reply{} }
+func (nopCodec) PrepareHeader(*gateway.Call, gateway.Attempt) http.Header { return http.Header{} }
+func (nopCodec) MatchesCall(*gateway.Call, http.Header) bool              { return true }
+func (nopCodec) StripRouterHeaders(http.Header)                           {}
+func (nopCodec) DecodeReply(int, http.Header) gateway.Reply               { return gateway.Reply{} }
 
 type discardResponder struct{}
 
@@ -218,7 +216,7 @@
 	It("sends nothing to a target that others know to be leaving or removed from the list", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		store := newListStore()
+		store := newTargetListStore()
 		for i := range 3 {
 			store.put(fmt.Sprint("t", i), "ready")
 		}
@@ -238,12 +236,12 @@
 		start("10.0.0.1:1", store)
 		congested := start("10.0.0.2:1", refusingStore{})
 		Eventually(congested.Ready, 3*time.Second).Should(BeTrue())
-		relay := gateway.NewProxy(congested, emptyHeaderCodec{}, sent, discardResponder{}, eventlog.Nop(), time.Now)
+		proxy := gateway.NewProxy(congested, nopCodec{}, sent, discardResponder{}, eventlog.Nop(), time.Now)
 		requests := func() {
 			for i := range 30 {
-				match, got := relay.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
+				match, got := proxy.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
 				Expect(got).To(Equal(code.OK))
-				relay.Serve(ctx, match, nil, discardResponder{})
+				proxy.Serve(ctx, match, nil, discardResponder{})
 			}
 		}
 		requests()
--- a/internal/app/gateway/said_test.go
+++ b/internal/app/gateway/said_test.go
@@ -15,10 +15,10 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// leavingHeaderCodec decodes a leaving signal from a header of its own.
-type leavingHeaderCodec struct{ emptyHeaderCodec }
+// leavingCodec decodes a leaving signal from a header of its own.
+type leavingCodec struct{ nopCodec }
 
-func (leavingHeaderCodec) DecodeReply(_ int, h http.Header) gateway.Reply {
+func (leavingCodec) DecodeReply(_ int, h http.Header) gateway.Reply {
 	return gateway.Reply{Leaving: h.Get("leaving") != ""}
 }
 
@@ -50,7 +50,7 @@
 	It("is not sent to a target that has announced its shutdown meanwhile", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		store := newListStore()
+		store := newTargetListStore()
 		for i := range 3 {
 			store.put(fmt.Sprint("t", i), "ready")
 		}
@@ -62,16 +62,16 @@
 		go c.Run(ctx)
 		Eventually(c.Ready, 3*time.Second).Should(BeTrue())
 		Eventually(func() int { return len(c.Status().OpenRequests) }).Should(Equal(3))
-		relay := gateway.NewProxy(c, leavingHeaderCodec{}, up, discardResponder{}, eventlog.Nop(), time.Now)
+		proxy := gateway.NewProxy(c, leavingCodec{}, up, discardResponder{}, eventlog.Nop(), time.Now)
 		var leavingUID uint64
 		up.duringDial = func(q upstream.Request) {
 			leavingUID = q.Target
 			q.Heard(http.StatusOK, http.Header{"Leaving": []string{"1"}})
 		}
 		for i := range 10 {
-			match, got := relay.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
+			match, got := proxy.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
 			Expect(got).To(Equal(code.OK))
-			relay.Serve(ctx, match, nil, discardResponder{})
+			proxy.Serve(ctx, match, nil, discardResponder{})
 		}
 		Expect(leavingUID).NotTo(BeZero())
 		Expect(up.sent[leavingUID]).To(BeZero())
--- a/internal/app/gateway/settings.go
+++ b/internal/app/gateway/settings.go
@@ -10,8 +10,8 @@
 	Strength uint32
 	Address  string   // address for other routers, as IP:PORT
 	Seeds    []string // addresses at which other routers may run
-	// ReadStoreAtStart is true for routers that read the store as soon as they start. Of routers
-	// that start together, the others receive the tables from these.
+	// ReadStoreAtStart is true if the router reads the store as soon as it starts. It is false for
+	// routers that start together with others, which read the store and send them the tables.
 	ReadStoreAtStart bool
 	// FirstStart is true if the whole fleet starts for the first time, so that no earlier state
 	// exists.
--- a/internal/app/gateway/stale_test.go
+++ b/internal/app/gateway/stale_test.go
@@ -89,9 +89,9 @@
 		link.full.Store(true)
 		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:7340", ReadStoreAtStart: true, MaxApplyDelay: maxApplyDelay},
 			frozenStore{}, versionDecoder{}, link, failingUpstream{}, eventlog.Nop(), time.Now)
-		relay := gateway.NewProxy(c, nil, failingUpstream{}, nil, eventlog.Nop(), time.Now)
+		proxy := gateway.NewProxy(c, nil, failingUpstream{}, nil, eventlog.Nop(), time.Now)
 		match := func(path string) code.Code {
-			_, got := relay.Match(&gateway.Call{ID: "1", Host: "h", Path: path, Header: http.Header{}})
+			_, got := proxy.Match(&gateway.Call{ID: "1", Host: "h", Path: path, Header: http.Header{}})
 			return got
 		}
 		go c.Run(ctx)
--- a/internal/app/gateway/targets.go
+++ b/internal/app/gateway/targets.go
@@ -14,7 +14,7 @@
 func (c *Control) applyTargets(now time.Time, rows []replica.Row, version uint64, source string) (leaving []string) {
 	targets, rejected := c.targets.update(rows)
 	rejected = append(rejected, c.rejectUnknownPools(targets)...)
-	c.rejections.update(rejected, source)
+	c.rejections.record(rejected, source)
 	staying := c.roster.Staying()
 	restarted := c.roster.Update(now, version, targets, c.rejections.keys())
 	departures, leaving := c.roster.Departures(staying, c.targets.has)
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -97,9 +97,9 @@
 	case reply.NotExecuted:
 		return t.endNotExecuted(reply)
 	case x.match.route.Kind == route.Stream && answer.Status == http.StatusOK && reply.Sealed:
-		return t.relayStream(answer)
+		return t.forwardStream(answer)
 	}
-	return t.relayBuffered(answer, reply)
+	return t.forwardBuffered(answer, reply)
 }
 
 func (t *targetAttempt) upstreamRequest() upstream.Request {
