--- a/internal/app/gateway/status.go
+++ b/internal/app/gateway/status.go
@@ -6,43 +6,43 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/fleet"
 )
 
-// Status is what a router tells of itself in its metrics.
+// Status is the state that a router reports in its metrics.
 type Status struct {
-	Ready      bool
-	Reading    bool // the store
-	Version    uint64
-	DesiredAge time.Duration // since the desired state came in force
-	TargetsAge time.Duration // since the list of targets changed
-	Peers      int           // other routers alive
-	Heard      int           // those of them that this router hears itself
-	Relay      bool          // of its data centre
-	Feeder     string        // the relay that feeds this router; empty if there is none
-	FedAge     time.Duration // since it did so last; 0 for relays and before the first time
-	Evacuated  int           // data centres that are to get nothing
-	Cold       int           // targets that are cold
-	Suspects   int           // requests that are refused because targets ended under them
-	OpenAt     map[string]int
+	Ready                bool
+	StoreReader          bool // this router reads the store
+	DesiredVersion       uint64
+	DesiredAge           time.Duration // time since the desired state was applied
+	TargetsAge           time.Duration // time since the target list changed
+	LivePeers            int           // other routers alive
+	DirectPeers          int           // live peers heard directly
+	IsRelay              bool          // this router is a relay of its data centre
+	Feeder               string        // address of the relay that feeds this router; empty if none
+	FeedAge              time.Duration // time since the feeder last sent; 0 for relays and before the first time
+	EvacuatedDataCentres int           // number of evacuated data centres
+	ColdTargets          int           // number of cold targets
+	Suspects             int           // number of refused requests that are suspected of making targets exit
+	OpenRequests         map[string]int
 }
 
-// Status returns the router's status.
+// Status returns the router's current status.
 func (c *Control) Status() Status {
 	var s Status
-	c.query(func(now time.Time) {
+	c.submitAndWait(func(now time.Time) {
 		s = Status{
-			Ready: c.Ready(), Reading: c.core.ReadsStore(), Version: c.version,
-			Evacuated: c.evacuated, DesiredAge: now.Sub(c.inForceAt), TargetsAge: now.Sub(c.targetsAt), Peers: c.core.AliveCount(now), Heard: c.core.DirectPeerCount(now),
+			Ready: c.Ready(), StoreReader: c.core.ReadsStore(), DesiredVersion: c.desiredVersion,
+			EvacuatedDataCentres: c.evacuatedCount, DesiredAge: now.Sub(c.appliedAt), TargetsAge: now.Sub(c.targetsChangedAt), LivePeers: c.core.AliveCount(now), DirectPeers: c.core.DirectPeerCount(now),
 		}
 		var feeder fleet.Address
-		s.Relay, feeder = c.core.Role()
+		s.IsRelay, feeder = c.core.Role()
 		s.Feeder = string(feeder)
-		if at := c.core.FedAt(); !s.Relay && !at.IsZero() {
-			s.FedAge = now.Sub(at)
+		if at := c.core.FedAt(); !s.IsRelay && !at.IsZero() {
+			s.FeedAge = now.Sub(at)
 		}
 	})
-	s.Suspects = int(c.view.guard.suspects.Load())
-	c.view.mu.Lock()
-	defer c.view.mu.Unlock()
-	s.Cold = c.view.board.CountCold(c.now())
-	s.OpenAt = c.view.board.OpenByTarget()
+	s.Suspects = int(c.traffic.poisonGuard.suspectCount.Load())
+	c.traffic.mu.Lock()
+	defer c.traffic.mu.Unlock()
+	s.ColdTargets = c.traffic.board.CountCold(c.now())
+	s.OpenRequests = c.traffic.board.OpenByTarget()
 	return s
 }
