--- a/internal/adapter/callerhttp/claimed.go
+++ b/internal/adapter/callerhttp/claimed.go
@@ -18,10 +18,10 @@
 	}
 	held, decision := s.claims.Take(r.Context(), req, key)
 	switch decision.Kind {
-	case claim.Replay:
+	case claim.ReplayAnswer:
 		writeAnswer(w, req.ID, decision.Record.Status, decision.Record.ContentType, decision.Record.Body)
 		return
-	case claim.Refuse:
+	case claim.RefuseRequest:
 		s.fail(w, req.ID, code.New(decision.Code, "%s %q", wire.HeaderIdempotencyKey, key), router.ClaimRetryAfter)
 		return
 	}
--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -68,7 +68,7 @@
 		return // says nothing of the service
 	}
 	answered := r.Code == code.OK && r.Status < http.StatusInternalServerError
-	g.levels.Observe(g.now(), burn.Key{Pool: r.Pool, Team: r.Team}, burn.Good(answered, r.First, r.Objective), r.First)
+	g.levels.RecordRequest(g.now(), burn.Key{Pool: r.Pool, Team: r.Team}, burn.MetServiceLevel(answered, r.First, r.Objective), r.First)
 }
 
 // latency returns the histogram of a request's route and team class. Beyond the bound
--- a/internal/app/configstore/configstore.go
+++ b/internal/app/configstore/configstore.go
@@ -233,7 +233,7 @@
 		}
 		change.Resources = append(change.Resources, next)
 	}
-	op := resource.Operation{Name: name, Revision: change.Revision, Accepted: s.now().UTC()}
+	op := resource.Operation{Name: name, Revision: change.Revision, AcceptedAt: s.now().UTC()}
 	txn, err := transaction(headVersion, op, change)
 	if err != nil {
 		return none, nil, err
@@ -310,7 +310,7 @@
 	}
 	for _, t := range targets {
 		var spec resource.TargetSpec
-		if resource.Decode(t.Spec, &spec) == nil && spec.Pool == r.Metadata.Name && !deleted[t.Key()] {
+		if resource.DecodeSpec(t.Spec, &spec) == nil && spec.Pool == r.Metadata.Name && !deleted[t.Key()] {
 			return code.New(code.BadReference, "Pool %q still has Target %q", r.Metadata.Name, t.Metadata.Name)
 		}
 	}
--- a/internal/app/controller/burn.go
+++ b/internal/app/controller/burn.go
@@ -18,15 +18,15 @@
 		return burn.Report{}, err
 	}
 	report := burn.Report{Listed: len(c.routers)}
-	sum := burn.NewSum()
-	for _, reply := range c.replies(ctx, c.routers, &peerv1.BurnRequest{Protocol: ticket.Protocol}) {
+	sum := burn.NewAggregate()
+	for _, reply := range c.replies(ctx, c.routers, &peerv1.BurnRequest{Protocol: ticket.ProtocolVersion}) {
 		resp, ok := reply.(*peerv1.BurnResponse)
 		if !ok {
 			continue
 		}
 		report.Routers++
 		for _, s := range resp.GetSeries() {
-			sum.Add(sampleOf(s))
+			sum.AddSample(sampleOf(s))
 		}
 	}
 	report.Lines = sum.Rows(func(team string) float64 { return objectives[team] })
@@ -41,7 +41,7 @@
 	out := make(map[string]float64)
 	for _, r := range teams {
 		var spec resource.TeamSpec
-		if resource.Decode(r.Spec, &spec) == nil {
+		if resource.DecodeSpec(r.Spec, &spec) == nil {
 			out[r.Metadata.Name] = spec.ObjectivePercent
 		}
 	}
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -70,7 +70,7 @@
 	if change == nil {
 		return Accepted{Operation: op, InForce: c.InForce(ctx, op.Revision)}, nil
 	}
-	push := &peerv1.PushRequest{Protocol: ticket.Protocol, Changes: core.ToWire([]resource.Change{*change})}
+	push := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{*change})}
 	revisions := c.call(ctx, c.some(PushTo), push, func(m proto.Message) uint64 { return m.(*peerv1.PushResponse).GetRevision() })
 	if len(c.routers) > PushTo {
 		return Accepted{Operation: op, InForce: c.InForce(ctx, op.Revision)}, nil
@@ -89,7 +89,7 @@
 
 // InForce asks every router for its revision.
 func (c *Controller) InForce(ctx context.Context, revision uint64) InForce {
-	ask := &peerv1.PullRequest{Protocol: ticket.Protocol, AfterRevision: math.MaxUint64}
+	ask := &peerv1.PullRequest{Protocol: ticket.ProtocolVersion, AfterRevision: math.MaxUint64}
 	revisions := c.call(ctx, c.routers, ask, func(m proto.Message) uint64 { return m.(*peerv1.PullResponse).GetHead() })
 	return c.compare(revision, revisions)
 }
--- a/internal/app/controller/reconciler.go
+++ b/internal/app/controller/reconciler.go
@@ -95,13 +95,13 @@
 	if err != nil {
 		return spec, r, err
 	}
-	return spec, r, resource.Decode(r.Spec, &spec)
+	return spec, r, resource.DecodeSpec(r.Spec, &spec)
 }
 
 func (r *Reconciler) advance(ctx context.Context, res resource.Resource) error {
 	name := res.Metadata.Name
 	var spec resource.PlannedChangeSpec
-	if err := resource.Decode(res.Spec, &spec); err != nil {
+	if err := resource.DecodeSpec(res.Spec, &spec); err != nil {
 		return err
 	}
 	status, version, err := r.readStatus(ctx, name)
@@ -136,10 +136,10 @@
 
 func (r *Reconciler) observe(ctx context.Context, target resource.Resource, spec resource.TargetSpec) plannedchange.Observation {
 	o := plannedchange.Observation{Leaving: spec.Leaving}
-	o.InForce = r.inForce(ctx, target)
+	o.AppliedEverywhere = r.inForce(ctx, target)
 	open, state, err := r.orders.Observe(ctx, spec.Address)
 	if err == nil {
-		o.Reachable, o.Open, o.State = true, open, state
+		o.Reachable, o.OpenRequests, o.State = true, open, state
 	}
 	return o
 }
@@ -169,7 +169,7 @@
 	switch action {
 	case plannedchange.MarkLeaving:
 		return r.markLeaving(ctx, target, targetSpec)
-	case plannedchange.Order:
+	case plannedchange.SendOrder:
 		return r.order(ctx, held, spec, targetSpec, next)
 	}
 	return nil
@@ -195,13 +195,13 @@
 // harm, since the target drops an expired order.
 func (r *Reconciler) order(ctx context.Context, held *lease.Lease, spec resource.PlannedChangeSpec, target resource.TargetSpec, next *plannedchange.Status) error {
 	now := r.now()
-	fencing, ok := held.Held(now)
-	if !ok || held.Remaining(now) < plannedchange.OrderLife {
+	fencing, ok := held.HeldFencingToken(now)
+	if !ok || held.RemainingTime(now) < plannedchange.OrderValidity {
 		return nil
 	}
-	next.Fencing = fencing
-	action, argument := plannedchange.Wanted(spec)
-	return r.orders.Order(ctx, target.Address, fencing, action, argument, now.Add(plannedchange.OrderLife))
+	next.FencingToken = fencing
+	action, argument := plannedchange.DesiredState(spec)
+	return r.orders.Order(ctx, target.Address, fencing, action, argument, now.Add(plannedchange.OrderValidity))
 }
 
 // hold takes or renews the lease of a change; nil means that another process has it.
@@ -210,7 +210,7 @@
 	if !ok {
 		s := lease.Settings{Holder: r.holder, Duration: r.duration}
 		if !checksFencing {
-			s.Extra = plannedchange.OrderLife
+			s.TakeoverDelay = plannedchange.OrderValidity
 		}
 		l = lease.New(s)
 		r.leases[name] = l
@@ -220,11 +220,11 @@
 	if err != nil {
 		return nil, err
 	}
-	action := l.Observe(r.now(), row, version)
-	if action.Kind == lease.Write {
+	action := l.ObserveRow(r.now(), row, version)
+	if action.Kind == lease.WriteRow {
 		return r.writeLease(ctx, l, name, action)
 	}
-	if _, held := l.Held(r.now()); !held {
+	if _, held := l.HeldFencingToken(r.now()); !held {
 		return nil, nil
 	}
 	return l, nil
@@ -235,10 +235,10 @@
 	err := r.put(ctx, leasePrefix+name, action.Row, action.Version)
 	switch {
 	case err == nil:
-		l.Written(sent, action.Row)
+		l.RecordWrite(sent, action.Row)
 		return l, nil
 	case errors.Is(err, port.ErrConflict):
-		l.Lost()
+		l.RecordLoss()
 		return nil, nil
 	default:
 		// The write may have taken effect. Not using it is always safe: the row
--- a/internal/app/router/burn.go
+++ b/internal/app/router/burn.go
@@ -43,10 +43,10 @@
 	if team, ok := b.control.Table().Team(req.Team); ok {
 		objective = time.Duration(team.Spec.FirstTokenMillis) * time.Millisecond
 	}
-	good := burn.Good(result.Code == code.OK, result.FirstPart, objective)
+	good := burn.MetServiceLevel(result.Code == code.OK, result.FirstPart, objective)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tracker.Observe(b.now(), burn.Key{Pool: req.Pool.Name, Team: req.Team}, good, result.FirstPart)
+	b.tracker.RecordRequest(b.now(), burn.Key{Pool: req.Pool.Name, Team: req.Team}, good, result.FirstPart)
 }
 
 // Handle answers requests for the counts and passes all other messages on.
--- a/internal/app/router/claims.go
+++ b/internal/app/router/claims.go
@@ -76,18 +76,18 @@
 func (c *Claims) Take(ctx context.Context, req Request, key string) (Held, claim.Action) {
 	record := claim.Record{
 		ID: uuid.NewString(), Router: c.router, Incarnation: c.incarnation,
-		Fingerprint: fingerprint(req), State: claim.Started, At: c.now().UTC(),
+		Fingerprint: fingerprint(req), State: claim.Started, ClaimedAt: c.now().UTC(),
 	}
 	held := Held{key: claimKey(req, key), record: record}
 	m, action := claim.New(record)
 	for {
 		switch action.Kind {
-		case claim.Insert:
-			action = m.Inserted(c.insert(ctx, held))
-		case claim.Read:
+		case claim.InsertRow:
+			action = m.HandleInsert(c.insert(ctx, held))
+		case claim.ReadRow:
 			action = c.found(ctx, m, held.key)
 		default:
-			if action.CleanUp {
+			if action.NeedsCleanup {
 				go c.cleanUp(held)
 			}
 			return held, action
@@ -95,7 +95,7 @@
 	}
 }
 
-func (c *Claims) insert(ctx context.Context, h Held) claim.Result {
+func (c *Claims) insert(ctx context.Context, h Held) claim.InsertResult {
 	value, err := json.Marshal(h.record)
 	if err != nil {
 		return claim.Unavailable
@@ -103,7 +103,7 @@
 	return toResult(c.batch.insert(ctx, port.Write{Key: h.key, Value: value}))
 }
 
-func toResult(err error) claim.Result {
+func toResult(err error) claim.InsertResult {
 	switch {
 	case err == nil:
 		return claim.Committed
@@ -120,11 +120,11 @@
 	record, _, err := c.read(ctx, key)
 	switch {
 	case errors.Is(err, port.ErrNotFound):
-		return m.Gone()
+		return m.HandleRowDeleted()
 	case err != nil:
-		return m.ReadFailed()
+		return m.HandleReadFailure()
 	}
-	return m.Found(record, c.holders.HolderAlive(record.Router, record.Incarnation))
+	return m.HandleRow(record, c.holders.HolderAlive(record.Router, record.Incarnation))
 }
 
 func (c *Claims) read(ctx context.Context, key string) (claim.Record, uint64, error) {
--- a/internal/app/router/claims_test.go
+++ b/internal/app/router/claims_test.go
@@ -59,7 +59,7 @@
 		close(kinds)
 		running := 0
 		for kind := range kinds {
-			if kind == claim.Proceed {
+			if kind == claim.Dispatch {
 				running++
 			}
 		}
@@ -74,7 +74,7 @@
 		for i := range 100 {
 			tries.Go(func() {
 				_, action := claims.Take(ctx, request("x"), fmt.Sprint(i))
-				Expect(action.Kind).To(Equal(claim.Proceed))
+				Expect(action.Kind).To(Equal(claim.Dispatch))
 			})
 		}
 		tries.Wait()
@@ -106,7 +106,7 @@
 		Eventually(func() claim.ActionKind {
 			_, action := claims.Take(ctx, request("x"), "k")
 			return action.Kind
-		}, "10s", "50ms").Should(Equal(claim.Proceed))
+		}, "10s", "50ms").Should(Equal(claim.Dispatch))
 	})
 
 	// Symptom: half an answer is replayed as the whole. Sequence: an answer larger than
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -35,8 +35,8 @@
 // decision is the core's answer to a request that asked for a target.
 type decision struct {
 	at     time.Time
-	grant  *core.Grant
-	refuse *core.Refuse
+	grant  *core.GrantTarget
+	refuse *core.RefuseRequest
 }
 
 type inbound struct {
@@ -44,7 +44,7 @@
 	// decided receives the decision for an Arrived event.
 	decided chan decision
 	// responded receives the answer to a CallIn event.
-	responded chan core.Respond
+	responded chan core.AnswerCall
 	// query runs on the control goroutine.
 	query func(now time.Time, c *core.Core)
 }
@@ -67,13 +67,13 @@
 
 	inbox   chan inbound
 	table   atomic.Pointer[routing.Table]
-	ready   atomic.Pointer[core.Ready]
+	ready   atomic.Pointer[core.Readiness]
 	stopped chan struct{}
 
 	// Owned by the control goroutine.
 	waiting map[uint64]chan decision
-	calls   map[core.Call]chan core.Respond
-	next    core.Call
+	calls   map[core.CallID]chan core.AnswerCall
+	next    core.CallID
 	reading bool
 }
 
@@ -84,10 +84,10 @@
 		inbox:   make(chan inbound, inboxSize),
 		stopped: make(chan struct{}),
 		waiting: make(map[uint64]chan decision),
-		calls:   make(map[core.Call]chan core.Respond),
+		calls:   make(map[core.CallID]chan core.AnswerCall),
 	}
 	ctl.table.Store(c.Table())
-	ctl.ready.Store(&core.Ready{Reason: code.NotReady})
+	ctl.ready.Store(&core.Readiness{Reason: code.NotReady})
 	return ctl
 }
 
@@ -95,7 +95,7 @@
 func (c *Control) Table() *routing.Table { return c.table.Load() }
 
 // Ready returns whether the router takes new work, and if not, why.
-func (c *Control) Ready() core.Ready { return *c.ready.Load() }
+func (c *Control) Ready() core.Readiness { return *c.ready.Load() }
 
 // Run owns the core until ctx ends.
 func (c *Control) Run(ctx context.Context) {
@@ -119,14 +119,14 @@
 	case nil:
 		in.query(c.now(), c.core)
 		return
-	case core.Arrived:
+	case core.RequestArrived:
 		c.waiting[ev.ID] = in.decided
-	case core.CallIn:
+	case core.CallReceived:
 		c.next++
 		ev.Call = c.next
 		c.calls[ev.Call] = in.responded
 		in.event = ev
-	case core.Ended:
+	case core.RequestEnded:
 		delete(c.waiting, ev.ID)
 	}
 	c.step(ctx, in.event)
@@ -140,26 +140,26 @@
 
 func (c *Control) act(ctx context.Context, a core.Action) {
 	switch a := a.(type) {
-	case core.Grant:
+	case core.GrantTarget:
 		c.decide(a.ID, decision{grant: &a})
-	case core.Refuse:
+	case core.RefuseRequest:
 		c.decide(a.ID, decision{refuse: &a})
-	case core.Send:
+	case core.CallPeer:
 		go c.send(ctx, a)
-	case core.Respond:
+	case core.AnswerCall:
 		c.calls[a.Call] <- a
 		delete(c.calls, a.Call)
-	case core.Probe:
+	case core.ProbeTarget:
 		go c.probe(ctx, a)
 	case core.ReadStore:
 		if !c.reading {
 			c.reading = true
-			go c.read(ctx, a.After)
+			go c.read(ctx, a.AfterRevision)
 		}
-	case core.Publish:
+	case core.PublishTable:
 		c.table.Store(a.Table)
 		c.log.Line(eventlog.DesiredState).Uint64("version", a.Table.Revision).Msg("")
-	case core.Ready:
+	case core.Readiness:
 		c.ready.Store(&a)
 		c.log.Line(eventlog.ReadyChanged).Bool("ready", a.Ready).Str("why", a.Reason.Lookup().Name).Msg("")
 	}
@@ -173,30 +173,30 @@
 	}
 }
 
-func (c *Control) send(ctx context.Context, a core.Send) {
+func (c *Control) send(ctx context.Context, a core.CallPeer) {
 	reply, err := c.peers.Call(ctx, a.To, a.Message)
 	if err != nil {
 		reply = nil
 		c.log.Line(eventlog.PeerCallFailed).Uint32("peer", a.To).Err(err).Msg("")
 	}
-	c.post(inbound{event: core.CallOut{To: a.To, Request: a.Message, Reply: reply}})
+	c.post(inbound{event: core.CallCompleted{To: a.To, Request: a.Message, Reply: reply}})
 }
 
 // probe asks a target for its count. One that can't be reached, or that reports
 // none, says nothing: its ghosts then run out with time.
-func (c *Control) probe(ctx context.Context, a core.Probe) {
+func (c *Control) probe(ctx context.Context, a core.ProbeTarget) {
 	open, _, err := c.prober.Observe(ctx, a.Target.Address)
 	if err != nil {
 		return
 	}
-	c.post(inbound{event: core.Reported{Pool: a.Pool, Target: a.Target.UID, Open: open}})
+	c.post(inbound{event: core.LoadReported{Pool: a.Pool, Target: a.Target.UID, OpenRequests: open}})
 }
 
 func (c *Control) read(ctx context.Context, after uint64) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	changes, whole, err := c.config.Since(ctx, after)
-	ev := core.StoreRead{Err: err != nil, Changes: changes}
+	ev := core.StoreReadCompleted{Failed: err != nil, Changes: changes}
 	if whole != nil {
 		ev.Snapshot = &core.Snapshot{Revision: whole.Revision, Resources: whole.Resources}
 	}
@@ -234,8 +234,8 @@
 
 // Handle answers a peer's message.
 func (c *Control) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
-	responded := make(chan core.Respond, 1)
-	c.post(inbound{event: core.CallIn{Message: m}, responded: responded})
+	responded := make(chan core.AnswerCall, 1)
+	c.post(inbound{event: core.CallReceived{Message: m}, responded: responded})
 	select {
 	case r := <-responded:
 		return r.Message, r.Err
@@ -247,17 +247,17 @@
 }
 
 // ask posts an Arrived event and returns the channel of its decision.
-func (c *Control) ask(ev core.Arrived) chan decision {
+func (c *Control) ask(ev core.RequestArrived) chan decision {
 	decided := make(chan decision, 1)
 	c.post(inbound{event: ev, decided: decided})
 	return decided
 }
 
 // end gives a request's ticket back.
-func (c *Control) end(ev core.Ended) { c.post(inbound{event: ev}) }
+func (c *Control) end(ev core.RequestEnded) { c.post(inbound{event: ev}) }
 
 // Leave makes the router unready for good, as the first step of a graceful shutdown.
-func (c *Control) Leave() { c.post(inbound{event: core.Leave{}}) }
+func (c *Control) Leave() { c.post(inbound{event: core.Shutdown{}}) }
 
 // Status is what a router tells of itself.
 type Status struct {
@@ -286,6 +286,6 @@
 // HolderAlive reports whether the process that holds a claim may still run.
 func (c *Control) HolderAlive(id uint32, incarnation uint64) bool {
 	alive := true
-	c.query(func(now time.Time, cc *core.Core) { alive = cc.IncarnationAlive(now, id, incarnation) })
+	c.query(func(now time.Time, cc *core.Core) { alive = cc.IsIncarnationAlive(now, id, incarnation) })
 	return alive
 }
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -135,7 +135,7 @@
 func (r *run) ask() {
 	r.id = r.traffic.nextID.Add(1)
 	r.asked, r.askedAt = true, r.traffic.now()
-	r.decided = r.traffic.control.ask(core.Arrived{
+	r.decided = r.traffic.control.ask(core.RequestArrived{
 		ID: r.id, Pool: r.req.Pool.Name, Team: r.req.Team, Chat: r.req.Chat, Priority: r.req.Priority,
 		Deadline: r.req.Deadline, Excluded: r.machine.Excluded(), Retry: r.retry,
 	})
@@ -244,7 +244,7 @@
 	case a.Kind == attempt.RequestTicket, a.Code != code.OK:
 		outcome = peerv1.Outcome_OUTCOME_UNUSED
 	}
-	r.traffic.control.end(core.Ended{ID: r.id, Outcome: outcome})
+	r.traffic.control.end(core.RequestEnded{ID: r.id, Outcome: outcome})
 }
 
 func (r *run) dispatch(ctx context.Context, a attempt.Action) {
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -118,7 +118,7 @@
 // wire measures the messages on a loopback connection.
 func wire(w io.Writer) error {
 	exchange := func(asks, releases int) (*peerv1.ExchangeRequest, *peerv1.ExchangeResponse) {
-		req := &peerv1.ExchangeRequest{Protocol: ticket.Protocol, Pool: "drafting", Router: 200, Incarnation: incarnation, Sequence: 1_000_000}
+		req := &peerv1.ExchangeRequest{Protocol: ticket.ProtocolVersion, Pool: "drafting", Router: 200, Incarnation: incarnation, Sequence: 1_000_000}
 		resp := &peerv1.ExchangeResponse{Sequence: 1_000_000}
 		for i := range asks {
 			id := 50_000_000 + uint64(i)
@@ -163,7 +163,7 @@
 	var wireBytes, processor, state []point
 	for _, n := range fleetSizes {
 		hb := heartbeats(n)
-		cost, err := MeasureCall(&peerv1.GossipRequest{Protocol: ticket.Protocol, Router: 1, Heartbeats: hb},
+		cost, err := MeasureCall(&peerv1.GossipRequest{Protocol: ticket.ProtocolVersion, Router: 1, Heartbeats: hb},
 			&peerv1.GossipResponse{Heartbeats: hb}, calls/4)
 		if err != nil {
 			return err
@@ -204,7 +204,7 @@
 		net.Add(core.New(clock.Now(), s), time.Duration(i)*time.Millisecond%core.TickInterval)
 	}
 	for i := range ids {
-		net.Step(i, core.StoreRead{Changes: []resource.Change{change}})
+		net.Step(i, core.StoreReadCompleted{Changes: []resource.Change{change}})
 	}
 	clock.Run(5 * time.Second)
 	before := cpu()
@@ -281,7 +281,7 @@
 	if release != 0 {
 		req.Releases = []*peerv1.Release{{Id: release}}
 	}
-	_, _, _ = d.Exchange(time.Unix(0, 0).Add(time.Duration(d.sequence)*10*time.Millisecond), req)
+	_, _, _ = d.HandleExchange(time.Unix(0, 0).Add(time.Duration(d.sequence)*10*time.Millisecond), req)
 }
 
 // chats measures the owner's and a router's memory of where chats ran.
@@ -333,7 +333,7 @@
 		}
 		apply = append(apply, point{float64(n), float64((cpu() - before).Microseconds()) / applies})
 		state = append(state, point{float64(n), size})
-		encoded, err := proto.Marshal(&peerv1.PullResponse{Changes: core.ToWire([]resource.Change{{Revision: 1, Resources: resources}})})
+		encoded, err := proto.Marshal(&peerv1.PullResponse{Changes: core.EncodeChanges([]resource.Change{{Revision: 1, Resources: resources}})})
 		if err != nil {
 			return errors.Wrap(err, "encode snapshot")
 		}
--- a/internal/capacity/store.go
+++ b/internal/capacity/store.go
@@ -179,11 +179,11 @@
 	var onWire, processor []point
 	for _, n := range teamSizes {
 		resp := &peerv1.PullResponse{IsSnapshot: true, SnapshotRevision: 1}
-		for _, ch := range core.ToWire([]resource.Change{poolChange(4100, n)}) {
+		for _, ch := range core.EncodeChanges([]resource.Change{poolChange(4100, n)}) {
 			resp.Snapshot = ch.GetResources()
 		}
 		before := cpu()
-		cost, err := MeasureCall(&peerv1.PullRequest{Protocol: ticket.Protocol}, resp, pulls)
+		cost, err := MeasureCall(&peerv1.PullRequest{Protocol: ticket.ProtocolVersion}, resp, pulls)
 		if err != nil {
 			return err
 		}
--- a/internal/cli/levels.go
+++ b/internal/cli/levels.go
@@ -26,7 +26,7 @@
 func (a *App) scrapeBurn(routers []string, objective float64) (burn.Report, error) {
 	client := &http.Client{Timeout: scrapeTimeout}
 	report := burn.Report{Listed: len(routers)}
-	sum := burn.NewSum()
+	sum := burn.NewAggregate()
 	for _, router := range routers {
 		samples, err := scrapeLevels(client, router)
 		if err != nil {
@@ -35,7 +35,7 @@
 		}
 		report.Routers++
 		for _, s := range samples {
-			sum.Add(s)
+			sum.AddSample(s)
 		}
 	}
 	if report.Routers == 0 {
--- a/internal/core/burn/burn.go
+++ b/internal/core/burn/burn.go
@@ -85,8 +85,8 @@
 	series map[Key]*series
 }
 
-// Other collects the requests of teams beyond the largest number of series.
-const Other = "(other teams)"
+// OtherTeams collects the requests of teams beyond the largest number of series.
+const OtherTeams = "(other teams)"
 
 // NewTracker returns an empty Tracker of at most max series: at 31,000 teams one
 // series for each would outgrow the memory of a small VM.
@@ -94,8 +94,8 @@
 	return &Tracker{start: now, max: max, series: make(map[Key]*series)}
 }
 
-// Observe counts one request. firstToken is 0 if it had none.
-func (t *Tracker) Observe(now time.Time, key Key, good bool, firstToken time.Duration) {
+// RecordRequest counts one request. firstToken is 0 if it had none.
+func (t *Tracker) RecordRequest(now time.Time, key Key, good bool, firstToken time.Duration) {
 	s := t.get(key)
 	for i := range s.windows {
 		s.windows[i].add(now.Sub(t.start), good)
@@ -111,7 +111,7 @@
 		return s
 	}
 	if len(t.series) >= t.max {
-		key.Team = Other
+		key.Team = OtherTeams
 		if s, ok := t.series[key]; ok {
 			return s
 		}
@@ -151,9 +151,9 @@
 	return out
 }
 
-// Good reports whether a request met its service level: it was answered, and its
+// MetServiceLevel reports whether a request met its service level: it was answered, and its
 // first part came within the objective; 0 means that none is set.
-func Good(answered bool, first, objective time.Duration) bool {
+func MetServiceLevel(answered bool, first, objective time.Duration) bool {
 	return answered && (objective <= 0 || first <= objective)
 }
 
--- a/internal/core/burn/burn_test.go
+++ b/internal/core/burn/burn_test.go
@@ -25,8 +25,8 @@
 	It("counts the requests of each window", func() {
 		start := time.Unix(1000, 0)
 		t := burn.NewTracker(start, 10)
-		t.Observe(start, key, true, 20*time.Millisecond)
-		t.Observe(start, key, false, 0)
+		t.RecordRequest(start, key, true, 20*time.Millisecond)
+		t.RecordRequest(start, key, false, 0)
 		Expect(counts(t, start)).To(Equal([]burn.Count{{Good: 1, Bad: 1}, {Good: 1, Bad: 1}}))
 		later := start.Add(6 * time.Minute)
 		Expect(counts(t, later)).To(Equal([]burn.Count{{}, {Good: 1, Bad: 1}}))
@@ -36,7 +36,7 @@
 	It("counts from its first moment, whatever the clock shows then", func() {
 		for _, start := range []time.Time{{}, time.Unix(0, 0), time.Unix(1<<33, 0)} {
 			t := burn.NewTracker(start, 10)
-			t.Observe(start, key, true, 0)
+			t.RecordRequest(start, key, true, 0)
 			Expect(counts(t, start.Add(time.Second))[0]).To(Equal(burn.Count{Good: 1}))
 		}
 	})
@@ -45,7 +45,7 @@
 		start := time.Unix(1000, 0)
 		t := burn.NewTracker(start, 3)
 		for _, team := range []string{"a", "b", "c", "d", "e"} {
-			t.Observe(start, burn.Key{Pool: "chat", Team: team}, true, 0)
+			t.RecordRequest(start, burn.Key{Pool: "chat", Team: team}, true, 0)
 		}
 		samples := t.Samples(start)
 		Expect(samples).To(HaveLen(4))
@@ -65,16 +65,16 @@
 				k := burn.Key{Pool: "chat", Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team")}
 				good := rapid.Bool().Draw(t, "good")
 				first := time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
-				whole.Observe(start, k, good, first)
-				parts[rapid.IntRange(0, 2).Draw(t, "router")].Observe(start, k, good, first)
+				whole.RecordRequest(start, k, good, first)
+				parts[rapid.IntRange(0, 2).Draw(t, "router")].RecordRequest(start, k, good, first)
 			}
-			one, many := burn.NewSum(), burn.NewSum()
+			one, many := burn.NewAggregate(), burn.NewAggregate()
 			for _, s := range whole.Samples(start) {
-				one.Add(s)
+				one.AddSample(s)
 			}
 			for _, p := range parts {
 				for _, s := range p.Samples(start) {
-					many.Add(s)
+					many.AddSample(s)
 				}
 			}
 			objective := func(string) float64 { return 99 }
@@ -86,8 +86,8 @@
 		Expect(burn.Rate(burn.Count{Good: 99, Bad: 1}, 99)).To(BeNumerically("~", 1, 0.001))
 		Expect(burn.Rate(burn.Count{Good: 90, Bad: 10}, 99)).To(BeNumerically("~", 10, 0.001))
 		Expect(burn.Rate(burn.Count{}, 99)).To(BeZero())
-		Expect(burn.Good(true, time.Second, 0)).To(BeTrue())
-		Expect(burn.Good(true, time.Second, 999*time.Millisecond)).To(BeFalse())
-		Expect(burn.Good(false, 0, time.Second)).To(BeFalse())
+		Expect(burn.MetServiceLevel(true, time.Second, 0)).To(BeTrue())
+		Expect(burn.MetServiceLevel(true, time.Second, 999*time.Millisecond)).To(BeFalse())
+		Expect(burn.MetServiceLevel(false, 0, time.Second)).To(BeFalse())
 	})
 })
--- a/internal/core/burn/report.go
+++ b/internal/core/burn/report.go
@@ -35,14 +35,14 @@
 	Rate   float64 `json:"rate"`
 }
 
-// Sum adds up the samples of many routers.
-type Sum struct{ series map[Key]*Sample }
+// Aggregate adds up the samples of many routers.
+type Aggregate struct{ series map[Key]*Sample }
 
-// NewSum returns an empty Sum.
-func NewSum() *Sum { return &Sum{series: make(map[Key]*Sample)} }
+// NewAggregate returns an empty Sum.
+func NewAggregate() *Aggregate { return &Aggregate{series: make(map[Key]*Sample)} }
 
-// Add adds one router's sample. Its histogram may be nil: its counts still hold.
-func (s *Sum) Add(sample Sample) {
+// AddSample adds one router's sample. Its histogram may be nil: its counts still hold.
+func (s *Aggregate) AddSample(sample Sample) {
 	sum, ok := s.series[sample.Key]
 	if !ok {
 		sum = &Sample{Key: sample.Key, Counts: make([]Count, len(Windows()))}
@@ -62,7 +62,7 @@
 }
 
 // Rows returns the sums by pool and team, with the burn of each team's objective in percent.
-func (s *Sum) Rows(objective func(team string) float64) []Row {
+func (s *Aggregate) Rows(objective func(team string) float64) []Row {
 	rows := make([]Row, 0, len(s.series))
 	for key, sum := range s.series {
 		rows = append(rows, sum.row(objective(key.Team)))
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -29,19 +29,19 @@
 	Incarnation uint64    `json:"incarnation"`
 	Fingerprint string    `json:"fingerprint"`
 	State       State     `json:"state"`
-	At          time.Time `json:"at"`
+	ClaimedAt   time.Time `json:"at"`
 	// Status, ContentType and Body are the recorded answer of a Done request.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 }
 
-// Result is how a call to the table service ended.
-type Result int
+// InsertResult is how a call to the table service ended.
+type InsertResult int
 
 // The results.
 const (
-	Committed Result = iota
+	Committed InsertResult = iota
 	Conflict
 	Unavailable
 	NoReply
@@ -52,16 +52,16 @@
 
 // The actions.
 const (
-	// Insert the claim's row on condition that no row exists.
-	Insert ActionKind = iota
-	// Read the row.
-	Read
-	// Proceed: the request may be dispatched, once.
-	Proceed
-	// Replay the recorded answer.
-	Replay
-	// Refuse with Code. The request was not dispatched under this claim.
-	Refuse
+	// InsertRow the claim's row on condition that no row exists.
+	InsertRow ActionKind = iota
+	// ReadRow the row.
+	ReadRow
+	// Dispatch: the request may be dispatched, once.
+	Dispatch
+	// ReplayAnswer the recorded answer.
+	ReplayAnswer
+	// RefuseRequest with Code. The request was not dispatched under this claim.
+	RefuseRequest
 )
 
 // Action is the next step of a claim.
@@ -69,10 +69,10 @@
 	Kind   ActionKind
 	Code   code.Code
 	Record Record
-	// CleanUp says that the row of this claim may exist or appear later although
+	// NeedsCleanup says that the row of this claim may exist or appear later although
 	// the request is refused. It has to be found and deleted, or callers that
 	// come again would be told for ever that the request is in progress.
-	CleanUp bool
+	NeedsCleanup bool
 }
 
 // maxInserts bounds how often an insert without a reply is repeated.
@@ -96,19 +96,19 @@
 
 func (m *Machine) insert() Action {
 	m.inserts++
-	return Action{Kind: Insert, Record: m.record}
+	return Action{Kind: InsertRow, Record: m.record}
 }
 
-// Inserted takes the result of an insert. One without a reply is repeated: the
+// HandleInsert takes the result of an insert. One without a reply is repeated: the
 // second insert conflicts with the first if that took effect, and the row then
 // shows whose it is. Reading alone would not do, since a row that is not there
 // yet may still appear.
-func (m *Machine) Inserted(r Result) Action {
+func (m *Machine) HandleInsert(r InsertResult) Action {
 	switch r {
 	case Committed:
-		return Action{Kind: Proceed}
+		return Action{Kind: Dispatch}
 	case Conflict:
-		return Action{Kind: Read}
+		return Action{Kind: ReadRow}
 	case NoReply:
 		m.unsure = true
 		if m.inserts < maxInserts {
@@ -119,33 +119,33 @@
 }
 
 func (m *Machine) refuse(c code.Code) Action {
-	return Action{Kind: Refuse, Code: c, CleanUp: m.unsure}
+	return Action{Kind: RefuseRequest, Code: c, NeedsCleanup: m.unsure}
 }
 
-// Found takes the row that conflicted. holderAlive says whether the process that
+// HandleRow takes the row that conflicted. holderAlive says whether the process that
 // holds the row's claim still runs.
-func (m *Machine) Found(row Record, holderAlive bool) Action {
+func (m *Machine) HandleRow(row Record, holderAlive bool) Action {
 	switch {
 	case row.ID == m.record.ID:
-		return Action{Kind: Proceed}
+		return Action{Kind: Dispatch}
 	case row.Fingerprint != m.record.Fingerprint:
-		return Action{Kind: Refuse, Code: code.KeyReused}
+		return Action{Kind: RefuseRequest, Code: code.KeyReused}
 	case row.State == Done:
-		return Action{Kind: Replay, Record: row}
+		return Action{Kind: ReplayAnswer, Record: row}
 	case row.State == Started && holderAlive:
-		return Action{Kind: Refuse, Code: code.InProgress}
+		return Action{Kind: RefuseRequest, Code: code.InProgress}
 	default:
-		return Action{Kind: Refuse, Code: code.OutcomeUnknown}
+		return Action{Kind: RefuseRequest, Code: code.OutcomeUnknown}
 	}
 }
 
-// Gone takes the news that the conflicting row has been deleted meanwhile.
-func (m *Machine) Gone() Action {
+// HandleRowDeleted takes the news that the conflicting row has been deleted meanwhile.
+func (m *Machine) HandleRowDeleted() Action {
 	if m.inserts >= maxInserts {
 		return m.refuse(code.ClaimStoreDown)
 	}
 	return m.insert()
 }
 
-// ReadFailed takes the news that the row can't be read.
-func (m *Machine) ReadFailed() Action { return m.refuse(code.ClaimStoreDown) }
+// HandleReadFailure takes the news that the row can't be read.
+func (m *Machine) HandleReadFailure() Action { return m.refuse(code.ClaimStoreDown) }
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -19,7 +19,7 @@
 	late []claim.Record
 }
 
-func (t *rowTable) insert(r claim.Record) claim.Result {
+func (t *rowTable) insert(r claim.Record) claim.InsertResult {
 	if t.row != nil {
 		return claim.Conflict
 	}
@@ -28,7 +28,7 @@
 }
 
 // insertWith applies an insert under a fault.
-func (t *rowTable) insertWith(r claim.Record, fault string) claim.Result {
+func (t *rowTable) insertWith(r claim.Record, fault string) claim.InsertResult {
 	switch fault {
 	case "down":
 		return claim.Unavailable
@@ -69,19 +69,19 @@
 
 func (c *contender) step(t *rowTable, fault string) {
 	switch c.action.Kind {
-	case claim.Insert:
-		c.action = c.m.Inserted(t.insertWith(c.action.Record, fault))
-	case claim.Read:
+	case claim.InsertRow:
+		c.action = c.m.HandleInsert(t.insertWith(c.action.Record, fault))
+	case claim.ReadRow:
 		switch {
 		case fault == "down" || fault == "reply lost":
-			c.action = c.m.ReadFailed()
+			c.action = c.m.HandleReadFailure()
 		case t.row == nil:
-			c.action = c.m.Gone()
+			c.action = c.m.HandleRowDeleted()
 		default:
-			c.action = c.m.Found(*t.row, true)
+			c.action = c.m.HandleRow(*t.row, true)
 		}
 	}
-	c.done = c.action.Kind != claim.Insert && c.action.Kind != claim.Read
+	c.done = c.action.Kind != claim.InsertRow && c.action.Kind != claim.ReadRow
 }
 
 var _ = Describe("claims", func() {
@@ -106,12 +106,12 @@
 			}
 			running := 0
 			for _, c := range all {
-				if c.action.Kind == claim.Proceed {
+				if c.action.Kind == claim.Dispatch {
 					running++
 				}
-				if c.action.Kind == claim.Refuse && c.action.Code == code.ClaimStoreDown {
+				if c.action.Kind == claim.RefuseRequest && c.action.Code == code.ClaimStoreDown {
 					tab.arrive()
-					if tab.row != nil && tab.row.ID == c.m.Record().ID && !c.action.CleanUp {
+					if tab.row != nil && tab.row.ID == c.m.Record().ID && !c.action.NeedsCleanup {
 						t.Fatal("a refused claim left its row behind")
 					}
 				}
@@ -124,15 +124,15 @@
 
 	found := func(row claim.Record, alive bool) claim.Action {
 		m, _ := claim.New(record(1, "same"))
-		Expect(m.Inserted(claim.Conflict).Kind).To(Equal(claim.Read))
-		return m.Found(row, alive)
+		Expect(m.HandleInsert(claim.Conflict).Kind).To(Equal(claim.ReadRow))
+		return m.HandleRow(row, alive)
 	}
 
 	It("replay a recorded answer", func() {
 		row := record(2, "same")
 		row.State, row.Status = claim.Done, 200
 		a := found(row, true)
-		Expect(a.Kind).To(Equal(claim.Replay))
+		Expect(a.Kind).To(Equal(claim.ReplayAnswer))
 		Expect(a.Record.Status).To(Equal(200))
 	})
 
@@ -149,8 +149,8 @@
 
 	It("recognise their own row after a lost reply", func() {
 		m, _ := claim.New(record(1, "same"))
-		Expect(m.Inserted(claim.NoReply).Kind).To(Equal(claim.Insert))
-		Expect(m.Inserted(claim.Conflict).Kind).To(Equal(claim.Read))
-		Expect(m.Found(record(1, "same"), true).Kind).To(Equal(claim.Proceed))
+		Expect(m.HandleInsert(claim.NoReply).Kind).To(Equal(claim.InsertRow))
+		Expect(m.HandleInsert(claim.Conflict).Kind).To(Equal(claim.ReadRow))
+		Expect(m.HandleRow(record(1, "same"), true).Kind).To(Equal(claim.Dispatch))
 	})
 })
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -8,14 +8,14 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/resource"
 )
 
-// Result says what Apply did with a change.
-type Result int
+// ApplyResult says what Apply did with a change.
+type ApplyResult int
 
 const (
 	// Applied: the change was the next revision and is now in force.
-	Applied Result = iota
-	// Old: the revision is already in force; nothing changed.
-	Old
+	Applied ApplyResult = iota
+	// AlreadyApplied: the revision is already in force; nothing changed.
+	AlreadyApplied
 	// Gap: changes between the current revision and this one are missing.
 	Gap
 	// Invalid: a resource does not pass validation; nothing changed.
@@ -43,9 +43,9 @@
 
 // Apply puts the next revision in force. A change that arrives late or twice is
 // reported as Old and cannot revert a newer one.
-func (s *State) Apply(c resource.Change) Result {
+func (s *State) Apply(c resource.Change) ApplyResult {
 	if c.Revision <= s.revision {
-		return Old
+		return AlreadyApplied
 	}
 	if c.Revision != s.revision+1 {
 		return Gap
@@ -74,10 +74,10 @@
 	s.resources[r.Key()] = r
 }
 
-// Load replaces the configuration with a snapshot of a higher revision.
-func (s *State) Load(revision uint64, resources []resource.Resource) Result {
+// LoadSnapshot replaces the configuration with a snapshot of a higher revision.
+func (s *State) LoadSnapshot(revision uint64, resources []resource.Resource) ApplyResult {
 	if revision <= s.revision {
-		return Old
+		return AlreadyApplied
 	}
 	next := make(map[resource.Key]resource.Resource, len(resources))
 	for _, r := range resources {
@@ -92,8 +92,8 @@
 	return Applied
 }
 
-// Since returns the changes after a revision, and false if they are no longer kept.
-func (s *State) Since(after uint64) ([]resource.Change, bool) {
+// ChangesSince returns the changes after a revision, and false if they are no longer kept.
+func (s *State) ChangesSince(after uint64) ([]resource.Change, bool) {
 	if after >= s.revision {
 		return nil, true
 	}
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -50,7 +50,7 @@
 				before := s.Revision()
 				i := rapid.IntRange(0, n-1).Draw(t, "which")
 				if rapid.IntRange(0, 4).Draw(t, "snapshot") == 0 {
-					s.Load(uint64(i), states[i])
+					s.LoadSnapshot(uint64(i), states[i])
 				} else {
 					s.Apply(changes[i])
 				}
@@ -77,11 +77,11 @@
 		for i := range 1500 {
 			s.Apply(resource.Change{Revision: uint64(i + 1), Resources: []resource.Resource{team("a", uint64(i+1), false)}})
 		}
-		missing, kept := s.Since(1490)
+		missing, kept := s.ChangesSince(1490)
 		Expect(kept).To(BeTrue())
 		Expect(missing).To(HaveLen(10))
 		Expect(missing[0].Revision).To(Equal(uint64(1491)))
-		_, kept = s.Since(3)
+		_, kept = s.ChangesSince(3)
 		Expect(kept).To(BeFalse())
 	})
 })
--- a/internal/core/fairqueue/fairqueue.go
+++ b/internal/core/fairqueue/fairqueue.go
@@ -18,15 +18,15 @@
 
 // Item is one waiting request.
 type Item struct {
-	Router   uint32
-	ID       uint64
-	Team     uint64
-	Weight   int
-	Priority Priority
-	Chat     uint64
-	Arrived  time.Time
-	Deadline time.Time
-	Excluded []uint64
+	Router    uint32
+	ID        uint64
+	Team      uint64
+	Weight    int
+	Priority  Priority
+	Chat      uint64
+	ArrivedAt time.Time
+	Deadline  time.Time
+	Excluded  []uint64
 }
 
 // backlog is one team's first-in-first-out queue within a class.
@@ -70,13 +70,13 @@
 	return len(q.queued)
 }
 
-// Queued reports whether a request of a router is waiting.
-func (q *Queue) Queued(router uint32, id uint64) bool {
+// Contains reports whether a request of a router is waiting.
+func (q *Queue) Contains(router uint32, id uint64) bool {
 	return q.queued[itemKey{router, id}]
 }
 
-// Waiting reports whether requests of class p or a higher one are waiting.
-func (q *Queue) Waiting(p Priority) bool {
+// HasWaiting reports whether requests of class p or a higher one are waiting.
+func (q *Queue) HasWaiting(p Priority) bool {
 	for i := p; i < classes; i++ {
 		if q.class[i].length > 0 {
 			return true
@@ -85,10 +85,10 @@
 	return false
 }
 
-// Ahead returns how many waiting requests would be served before a new one of
+// CountAhead returns how many waiting requests would be served before a new one of
 // the team and class: all of higher classes, and in its own class the team's own
 // backlog, stretched by the number of teams that share the class.
-func (q *Queue) Ahead(team uint64, p Priority) int {
+func (q *Queue) CountAhead(team uint64, p Priority) int {
 	n := 0
 	for i := p + 1; i < classes; i++ {
 		n += q.class[i].length
@@ -123,10 +123,10 @@
 	q.queued[itemKey{it.Router, it.ID}] = true
 }
 
-// Next removes and returns the first item that take accepts, offering the head
+// PopNext removes and returns the first item that take accepts, offering the head
 // of each team's backlog by class and virtual time. It stops a class at the first
 // item that take rejects with Stop.
-func (q *Queue) Next(take func(Item) Verdict) (Item, bool) {
+func (q *Queue) PopNext(take func(Item) Decision) (Item, bool) {
 	for p := classes - 1; p >= 0; p-- {
 		if it, ok := q.class[p].next(take); ok {
 			delete(q.queued, itemKey{it.Router, it.ID})
@@ -136,19 +136,19 @@
 	return Item{}, false
 }
 
-// Verdict is the answer to an offered item.
-type Verdict int
+// Decision is the answer to an offered item.
+type Decision int
 
 const (
-	// Take: serve the item now.
-	Take Verdict = iota
-	// Skip: not this team now; offer another team's head.
-	Skip
-	// Stop: no item of this class can be served now.
-	Stop
+	// Accept: serve the item now.
+	Accept Decision = iota
+	// SkipTeam: not this team now; offer another team's head.
+	SkipTeam
+	// StopClass: no item of this class can be served now.
+	StopClass
 )
 
-func (c *class) next(take func(Item) Verdict) (Item, bool) {
+func (c *class) next(take func(Item) Decision) (Item, bool) {
 	skipped := make(map[uint64]bool)
 	for {
 		id, ok := c.earliest(skipped)
@@ -157,10 +157,10 @@
 		}
 		head := c.teams[id].items[0]
 		switch take(head) {
-		case Take:
+		case Accept:
 			c.serve(id)
 			return head, true
-		case Skip:
+		case SkipTeam:
 			skipped[id] = true
 		default:
 			return Item{}, false
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -8,8 +8,8 @@
 
 // Row is a lease as stored.
 type Row struct {
-	Holder  string `json:"holder"`
-	Fencing uint64 `json:"fencing"`
+	Holder       string `json:"holder"`
+	FencingToken uint64 `json:"fencing"`
 	// Renewals changes with every renewal, so that others see the holder live.
 	Renewals uint64 `json:"renewals"`
 }
@@ -19,10 +19,10 @@
 	Holder string
 	// Duration is how long a renewal lasts.
 	Duration time.Duration
-	// Extra is waited in addition before a lease is taken over. For targets that
+	// TakeoverDelay is waited in addition before a lease is taken over. For targets that
 	// ignore fencing numbers it is the longest delay of an order under way: an
 	// old holder's order must have expired before the new holder's first one.
-	Extra time.Duration
+	TakeoverDelay time.Duration
 }
 
 // ActionKind says what a Lease needs next.
@@ -32,10 +32,10 @@
 const (
 	// Wait: somebody else holds the lease.
 	Wait ActionKind = iota
-	// Write the row on condition that its version is still Version.
-	Write
-	// Keep: the lease is held and needs no renewal yet.
-	Keep
+	// WriteRow the row on condition that its version is still Version.
+	WriteRow
+	// KeepLease: the lease is held and needs no renewal yet.
+	KeepLease
 )
 
 // Action is the answer to an observation.
@@ -59,18 +59,18 @@
 // New returns a Lease that has observed nothing.
 func New(s Settings) *Lease { return &Lease{settings: s} }
 
-// Observe takes in the row as just read; version 0 means that there is none.
-func (l *Lease) Observe(now time.Time, row Row, version uint64) Action {
+// ObserveRow takes in the row as just read; version 0 means that there is none.
+func (l *Lease) ObserveRow(now time.Time, row Row, version uint64) Action {
 	if !l.observed || version != l.version {
 		l.seen, l.version, l.changed, l.observed = row, version, now, true
 	}
 	switch {
 	case version == 0:
-		return Action{Kind: Write, Row: Row{Holder: l.settings.Holder, Fencing: 1}}
-	case row.Holder == l.settings.Holder && row.Fencing == l.fencing:
+		return Action{Kind: WriteRow, Row: Row{Holder: l.settings.Holder, FencingToken: 1}}
+	case row.Holder == l.settings.Holder && row.FencingToken == l.fencing:
 		return l.renew(now, row, version)
-	case now.Sub(l.changed) > l.settings.Duration+l.settings.Extra:
-		return Action{Kind: Write, Version: version, Row: Row{Holder: l.settings.Holder, Fencing: row.Fencing + 1}}
+	case now.Sub(l.changed) > l.settings.Duration+l.settings.TakeoverDelay:
+		return Action{Kind: WriteRow, Version: version, Row: Row{Holder: l.settings.Holder, FencingToken: row.FencingToken + 1}}
 	default:
 		return Action{Kind: Wait}
 	}
@@ -78,36 +78,36 @@
 
 func (l *Lease) renew(now time.Time, row Row, version uint64) Action {
 	if now.Sub(l.sent) < l.settings.Duration/3 {
-		return Action{Kind: Keep}
+		return Action{Kind: KeepLease}
 	}
 	row.Renewals++
-	return Action{Kind: Write, Version: version, Row: row}
+	return Action{Kind: WriteRow, Version: version, Row: row}
 }
 
-// Written records that the row of a Write action is stored. sent is the time
+// RecordWrite records that the row of a Write action is stored. sent is the time
 // before the write was sent, so a slow reply shortens the lease instead of
 // stretching it beyond what others believe.
-func (l *Lease) Written(sent time.Time, row Row) {
+func (l *Lease) RecordWrite(sent time.Time, row Row) {
 	l.sent = sent
-	l.fencing = row.Fencing
+	l.fencing = row.FencingToken
 }
 
-// Lost records that another process has the lease.
-func (l *Lease) Lost() { l.fencing = 0 }
+// RecordLoss records that another process has the lease.
+func (l *Lease) RecordLoss() { l.fencing = 0 }
 
-// Held returns the fencing number and true while the lease certainly holds. It
+// HeldFencingToken returns the fencing number and true while the lease certainly holds. It
 // has to be asked right before each order: the process may have been paused
 // since the last time.
-func (l *Lease) Held(now time.Time) (uint64, bool) {
+func (l *Lease) HeldFencingToken(now time.Time) (uint64, bool) {
 	if l.fencing == 0 || now.Sub(l.sent) >= l.settings.Duration {
 		return 0, false
 	}
 	return l.fencing, true
 }
 
-// Remaining returns how much of the lease is left.
-func (l *Lease) Remaining(now time.Time) time.Duration {
-	if _, ok := l.Held(now); !ok {
+// RemainingTime returns how much of the lease is left.
+func (l *Lease) RemainingTime(now time.Time) time.Duration {
+	if _, ok := l.HeldFencingToken(now); !ok {
 		return 0
 	}
 	return l.settings.Duration - now.Sub(l.sent)
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -29,30 +29,30 @@
 	action lease.Action
 }
 
-func (h *holder) read(now time.Time, s *stored) { h.action = h.lease.Observe(now, s.row, s.version) }
+func (h *holder) read(now time.Time, s *stored) { h.action = h.lease.ObserveRow(now, s.row, s.version) }
 
 // write applies the write of the last read. reply says whether the reply arrives.
 func (h *holder) write(now time.Time, s *stored, reply bool) {
-	if h.action.Kind != lease.Write {
+	if h.action.Kind != lease.WriteRow {
 		return
 	}
 	a := h.action
 	h.action = lease.Action{Kind: lease.Wait}
 	if a.Version != s.version {
-		h.lease.Lost()
+		h.lease.RecordLoss()
 		return
 	}
 	s.row = a.Row
 	s.version++
 	if reply {
-		h.lease.Written(now, a.Row)
+		h.lease.RecordWrite(now, a.Row)
 	}
 }
 
 func newHolders(n int, extra time.Duration) []*holder {
 	var out []*holder
 	for i := range n {
-		out = append(out, &holder{lease: lease.New(lease.Settings{Holder: fmt.Sprint(i), Duration: duration, Extra: extra})})
+		out = append(out, &holder{lease: lease.New(lease.Settings{Holder: fmt.Sprint(i), Duration: duration, TakeoverDelay: extra})})
 	}
 	return out
 }
@@ -76,7 +76,7 @@
 				}
 				held := 0
 				for _, h := range all {
-					if fencing, ok := h.lease.Held(now); ok {
+					if fencing, ok := h.lease.HeldFencingToken(now); ok {
 						held++
 						if fencing < last {
 							t.Fatalf("fencing number %d after %d", fencing, last)
@@ -102,13 +102,13 @@
 		s := &stored{}
 		h := newHolders(2, 0)
 		take(h[0], start, s)
-		_, ok := h[0].lease.Held(start.Add(9 * time.Second))
+		_, ok := h[0].lease.HeldFencingToken(start.Add(9 * time.Second))
 		Expect(ok).To(BeTrue())
 		h[1].read(start.Add(time.Second), s)
 		take(h[1], start.Add(12*time.Second), s)
-		_, ok = h[0].lease.Held(start.Add(12 * time.Second))
+		_, ok = h[0].lease.HeldFencingToken(start.Add(12 * time.Second))
 		Expect(ok).To(BeFalse())
-		fencing, ok := h[1].lease.Held(start.Add(12 * time.Second))
+		fencing, ok := h[1].lease.HeldFencingToken(start.Add(12 * time.Second))
 		Expect(ok).To(BeTrue())
 		Expect(fencing).To(Equal(uint64(2)))
 	})
@@ -121,10 +121,10 @@
 		take(h[0], start, s)
 		h[1].read(start, s)
 		take(h[1], start.Add(11*time.Second), s)
-		_, ok := h[1].lease.Held(start.Add(11 * time.Second))
+		_, ok := h[1].lease.HeldFencingToken(start.Add(11 * time.Second))
 		Expect(ok).To(BeFalse())
 		take(h[1], start.Add(12*time.Second+1), s)
-		_, ok = h[1].lease.Held(start.Add(12*time.Second + 1))
+		_, ok = h[1].lease.HeldFencingToken(start.Add(12*time.Second + 1))
 		Expect(ok).To(BeTrue())
 	})
 
@@ -133,8 +133,8 @@
 		h := newHolders(1, 0)
 		take(h[0], start, s)
 		h[0].read(start.Add(time.Second), s)
-		Expect(h[0].action.Kind).To(Equal(lease.Keep))
+		Expect(h[0].action.Kind).To(Equal(lease.KeepLease))
 		take(h[0], start.Add(4*time.Second), s)
-		Expect(h[0].lease.Remaining(start.Add(4 * time.Second))).To(Equal(duration))
+		Expect(h[0].lease.RemainingTime(start.Add(4 * time.Second))).To(Equal(duration))
 	})
 })
--- a/internal/core/ledger/bench_test.go
+++ b/internal/core/ledger/bench_test.go
@@ -43,7 +43,7 @@
 				if release != 0 {
 					req.Releases = []*peerv1.Release{{Id: release}}
 				}
-				_, _, _ = l.Exchange(start.Add(time.Duration(sequence)*10*time.Millisecond), req)
+				_, _, _ = l.HandleExchange(start.Add(time.Duration(sequence)*10*time.Millisecond), req)
 			}
 			step(0, 0)
 			warm := uint64(6 * targets)
--- a/internal/core/ledger/bound.go
+++ b/internal/core/ledger/bound.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Bound returns the highest count that a grant may bring a target to. It is never
+// LoadBound returns the highest count that a grant may bring a target to. It is never
 // so low that no target has room for one more request: with few requests open,
 // the margin alone would hold the pool at its present load for ever, and so would
 // a mean over targets that are suspended.
-func (l *Ledger) Bound(now time.Time) int {
+func (l *Ledger) LoadBound(now time.Time) int {
 	m := l.mean(now)
 	if m.usable == 0 {
 		return 0
@@ -21,7 +21,7 @@
 
 // margin is how many releases may be on their way.
 func (l *Ledger) margin(now time.Time) int {
-	waiting := l.drain.perSecond(now) * l.settings.ReleaseHold.Seconds()
+	waiting := l.drain.perSecond(now) * l.settings.ReleaseDelay.Seconds()
 	// Twice the mean covers the spread of arrivals for all but small numbers,
 	// which the fixed margin covers.
 	return l.settings.MeanMargin + int(math.Ceil(2*waiting))
--- a/internal/core/ledger/ghosts.go
+++ b/internal/core/ledger/ghosts.go
@@ -23,9 +23,9 @@
 
 func (l *Ledger) ghostLife(g ghost) time.Duration {
 	if g.moved || g.confirmed {
-		return l.settings.MovedGhostFor
+		return l.settings.MovedOrphanTimeout
 	}
-	return l.settings.GhostFor
+	return l.settings.OrphanTimeout
 }
 
 // dropGhosts removes the ghosts for which gone is true.
@@ -41,9 +41,9 @@
 	l.ghosts = kept
 }
 
-// Depart removes a router that went silent or restarted, or, with moved, one
+// RemoveFollower removes a router that went silent or restarted, or, with moved, one
 // that follows another owner.
-func (l *Ledger) Depart(now time.Time, router uint32, moved bool) []Delivery {
+func (l *Ledger) RemoveFollower(now time.Time, router uint32, moved bool) []Delivery {
 	l.depart(now, router, moved)
 	return l.serve(now)
 }
@@ -67,21 +67,21 @@
 	l.withdraw(func(it fairqueue.Item) bool { return it.Router == router })
 }
 
-// WantsReports reports whether the targets' own counts are needed: for ghosts,
+// NeedsLoadReports reports whether the targets' own counts are needed: for ghosts,
 // or because inventories are still missing.
-func (l *Ledger) WantsReports(now time.Time) bool {
+func (l *Ledger) NeedsLoadReports(now time.Time) bool {
 	return len(l.ghosts) > 0 || l.rebuilding(now)
 }
 
 // reportSettles is how long after a grant a target's report may still miss it.
 const reportSettles = 300 * time.Millisecond
 
-// Report takes in a target's own count of open requests, taken at a time. It
+// ApplyLoadReport takes in a target's own count of open requests, taken at a time. It
 // settles the target's older ghosts: as many as the report shows beyond the
 // tickets are real and count in full, the others are gone. Tickets granted a
 // moment ago may not have arrived at the target; taken for counted, they would
 // fill a real ghost's place, so they are left out.
-func (l *Ledger) Report(uid uint64, open int, taken time.Time) []Delivery {
+func (l *Ledger) ApplyLoadReport(uid uint64, open int, taken time.Time) []Delivery {
 	t := l.target(uid)
 	recent := t.grantedSince(taken.Add(-reportSettles))
 	t.reported, t.granted = open, recent
--- a/internal/core/ledger/ghosts_test.go
+++ b/internal/core/ledger/ghosts_test.go
@@ -14,7 +14,7 @@
 		b := newBook(table(1, capOfFour), 2, nil)
 		b.follow(1, 2)
 		b.fill(1, 3, hot)
-		b.Depart(b.now, 1, false)
+		b.RemoveFollower(b.now, 1, false)
 		return b
 	}
 
@@ -32,11 +32,11 @@
 	It("leave ghosts for as long as the target reports them", func() {
 		b := fullOfGhosts()
 		b.now = b.now.Add(time.Second)
-		b.Report(100, 3, b.now)
+		b.ApplyLoadReport(100, 3, b.now)
 		b.wait(6 * time.Second)
-		Expect(b.Open(100)).To(Equal(3))
-		b.Report(100, 1, b.now)
-		Expect(b.Open(100)).To(Equal(1))
+		Expect(b.TicketCount(100)).To(Equal(3))
+		b.ApplyLoadReport(100, 1, b.now)
+		Expect(b.TicketCount(100)).To(Equal(1))
 	})
 
 	// Symptom: ghosts vanish although their requests run. Sequence: a report comes
@@ -45,11 +45,11 @@
 		b := newBook(table(1, `{"protocol":"model","boundMultiple":10,"maxPerTarget":20}`), 2, nil)
 		b.follow(1, 2)
 		b.fill(1, 3, hot)
-		b.Depart(b.now, 1, false)
+		b.RemoveFollower(b.now, 1, false)
 		b.now = b.now.Add(time.Second)
 		b.fill(2, 1, hot)
-		b.Report(100, 3, b.now.Add(10*time.Millisecond))
-		Expect(b.Open(100)).To(Equal(4))
+		b.ApplyLoadReport(100, 3, b.now.Add(10*time.Millisecond))
+		Expect(b.TicketCount(100)).To(Equal(4))
 	})
 
 	// Symptom: places are lost for seconds after a false alarm. Sequence: a router
@@ -57,6 +57,6 @@
 	It("that return take their ghosts back", func() {
 		b := fullOfGhosts()
 		b.send(1, &peerv1.ExchangeRequest{HasInventory: true, Inventory: []*peerv1.OpenTicket{{Id: 1, Target: 100, Team: hot}}})
-		Expect(b.Open(100)).To(Equal(1))
+		Expect(b.TicketCount(100)).To(Equal(1))
 	})
 })
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -33,41 +33,41 @@
 	// higher than the true one for a round trip, and a grant in that time can be
 	// one request over the bound.
 	MeanMargin int
-	// ReleaseHold is how long routers let releases wait. The margin grows by what is
+	// ReleaseDelay is how long routers let releases wait. The margin grows by what is
 	// released in that time.
-	ReleaseHold time.Duration
-	// GhostFor is how long tickets of a departed router still count against their
+	ReleaseDelay time.Duration
+	// OrphanTimeout is how long tickets of a departed router still count against their
 	// targets while no report confirms them.
-	GhostFor time.Duration
-	// MovedGhostFor is the same for tickets of a router that follows another
+	OrphanTimeout time.Duration
+	// MovedOrphanTimeout is the same for tickets of a router that follows another
 	// owner, and the longest that a confirmed ghost is kept.
-	MovedGhostFor time.Duration
-	// RebuildFor bounds how long a new owner waits for inventories during which
+	MovedOrphanTimeout time.Duration
+	// RebuildTimeout bounds how long a new owner waits for inventories during which
 	// it also counts the targets' own reports.
-	RebuildFor time.Duration
+	RebuildTimeout time.Duration
 	// MaxQueued is the longest queue; beyond it asks are refused.
 	MaxQueued int
-	// Memory is the number of chats whose last target is remembered, per
+	// ChatHistorySize is the number of chats whose last target is remembered, per
 	// generation of two; 0 disables it.
-	Memory int
-	// HomePatience is how long an ask may wait for the target that holds its
+	ChatHistorySize int
+	// CacheWaitTimeout is how long an ask may wait for the target that holds its
 	// chat's cache before it spills to another one; 0 disables the wait.
-	HomePatience time.Duration
+	CacheWaitTimeout time.Duration
 }
 
 // DefaultSettings returns the settings used by the router.
 func DefaultSettings(fleetSize int) Settings {
 	return Settings{
-		FleetSize:  fleetSize,
-		MeanMargin: 4,
-		GhostFor:   5 * time.Second,
+		FleetSize:     fleetSize,
+		MeanMargin:    4,
+		OrphanTimeout: 5 * time.Second,
 
-		MovedGhostFor: time.Minute,
-		RebuildFor:    3 * time.Second,
-		MaxQueued:     10000,
-		Memory:        100_000,
+		MovedOrphanTimeout: time.Minute,
+		RebuildTimeout:     3 * time.Second,
+		MaxQueued:          10000,
+		ChatHistorySize:    100_000,
 
-		HomePatience: 300 * time.Millisecond,
+		CacheWaitTimeout: 300 * time.Millisecond,
 	}
 }
 
@@ -81,8 +81,8 @@
 	bulkReserve   = 0.25
 )
 
-// Teams gives the ledger a team's weight and fleet-wide limit by UID.
-type Teams interface {
+// TeamLimiter gives the ledger a team's weight and fleet-wide limit by UID.
+type TeamLimiter interface {
 	// TeamLimits returns the weight and the limit, 0 for none.
 	TeamLimits(uid uint64) (weight, maxOutstanding int)
 }
@@ -112,7 +112,7 @@
 type Ledger struct {
 	settings  Settings
 	pool      *routing.Pool
-	teams     Teams
+	teams     TeamLimiter
 	rand      *rand.Rand
 	targets   map[uint64]*target
 	ordered   []*target // as pool.Targets; spares the map on the way of each ask
@@ -128,7 +128,7 @@
 }
 
 // New returns a Ledger for a pool. It starts in rebuild.
-func New(now time.Time, s Settings, pool *routing.Pool, teams Teams, rnd *rand.Rand) *Ledger {
+func New(now time.Time, s Settings, pool *routing.Pool, teams TeamLimiter, rnd *rand.Rand) *Ledger {
 	l := &Ledger{
 		settings:  s,
 		teams:     teams,
@@ -137,7 +137,7 @@
 		followers: make(map[uint32]*follower),
 		teamOpen:  make(map[uint64]int),
 		queue:     fairqueue.New(),
-		memory:    newMemory(s.Memory),
+		memory:    newMemory(s.ChatHistorySize),
 		created:   now,
 	}
 	for _, t := range pool.Targets {
@@ -150,7 +150,7 @@
 // SetPool puts a new configuration of the pool in force. Targets that joined
 // start slowly: a burst on a target that has nothing cached and may not be up
 // yet would fail or be late.
-func (l *Ledger) SetPool(pool *routing.Pool, teams Teams) {
+func (l *Ledger) SetPool(pool *routing.Pool, teams TeamLimiter) {
 	l.pool = pool
 	l.teams = teams
 	l.ordered = make([]*target, len(pool.Targets))
@@ -162,18 +162,18 @@
 	}
 }
 
-// Incarnation returns the incarnation of a follower, 0 if it is none.
-func (l *Ledger) Incarnation(router uint32) uint64 {
+// FollowerIncarnation returns the incarnation of a follower, 0 if it is none.
+func (l *Ledger) FollowerIncarnation(router uint32) uint64 {
 	if f, ok := l.followers[router]; ok {
 		return f.incarnation
 	}
 	return 0
 }
 
-// Exchange handles one message of a follower. It is idempotent: a repeated
+// HandleExchange handles one message of a follower. It is idempotent: a repeated
 // sequence number gets the recorded reply, since a router that lost the reply
 // sends again, and a second count would leak a ticket.
-func (l *Ledger) Exchange(now time.Time, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, []Delivery, error) {
+func (l *Ledger) HandleExchange(now time.Time, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, []Delivery, error) {
 	f, err := l.follower(now, req)
 	switch {
 	case err != nil:
@@ -312,17 +312,17 @@
 		if !known {
 			continue
 		}
-		it.Arrived = now
+		it.ArrivedAt = now
 		refusal := l.refuse(it, code.DeadlineTooShort, l.expectedWait(it))
 		out = append(out, Delivery{Router: it.Router, Incarnation: f.incarnation, Grant: refusal})
 	}
 	return append(out, l.serve(now)...)
 }
 
-// Silent returns the followers that have sent no exchange since a time, in order.
+// SilentFollowers returns the followers that have sent no exchange since a time, in order.
 // An exchange shows that its router is alive sooner than heartbeats do, which
 // come by way of others.
-func (l *Ledger) Silent(since time.Time) []uint32 {
+func (l *Ledger) SilentFollowers(since time.Time) []uint32 {
 	var out []uint32
 	for id, f := range l.followers {
 		if f.heard.Before(since) {
@@ -333,12 +333,12 @@
 	return out
 }
 
-// HeardAfter reports whether a follower has sent an exchange after a sequence
+// HasNewerExchange reports whether a follower has sent an exchange after a sequence
 // number, so that what it said before is out of date.
-func (l *Ledger) HeardAfter(router uint32, sequence uint64) bool {
+func (l *Ledger) HasNewerExchange(router uint32, sequence uint64) bool {
 	f, ok := l.followers[router]
 	return ok && f.sequence > sequence
 }
 
-// Open returns the count that the ledger holds against a target.
-func (l *Ledger) Open(uid uint64) int { return l.target(uid).held() }
+// TicketCount returns the count that the ledger holds against a target.
+func (l *Ledger) TicketCount(uid uint64) int { return l.target(uid).held() }
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -80,7 +80,7 @@
 	if req.Incarnation == 0 {
 		req.Incarnation = 1
 	}
-	resp, late, err := b.Exchange(b.now, req)
+	resp, late, err := b.HandleExchange(b.now, req)
 	Expect(err).NotTo(HaveOccurred())
 	return resp, late
 }
@@ -229,11 +229,11 @@
 		id, g := b.ask(1, &peerv1.Ask{Team: hot})
 		asked := b.sequence[1]
 		b.release(id, peerv1.Outcome_OUTCOME_DONE)
-		_, _, err := b.Exchange(b.now, &peerv1.ExchangeRequest{
+		_, _, err := b.HandleExchange(b.now, &peerv1.ExchangeRequest{
 			Router: 1, Incarnation: 1, Sequence: asked, Asks: []*peerv1.Ask{{Id: id, DeadlineMillis: 1000}},
 		})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(b.Open(g.GetTarget())).To(BeZero())
+		Expect(b.TicketCount(g.GetTarget())).To(BeZero())
 	})
 
 	// Symptom: a request waits for ever. Sequence: the reply with its grant is lost,
@@ -242,12 +242,12 @@
 		b := newBook(table(2, model), 1, nil)
 		b.follow(1)
 		req := &peerv1.ExchangeRequest{Router: 1, Incarnation: 1, Sequence: 7, Asks: []*peerv1.Ask{{Id: 1, Chat: 1, DeadlineMillis: 1000}}}
-		first, _, err := b.Exchange(b.now, req)
+		first, _, err := b.HandleExchange(b.now, req)
 		Expect(err).NotTo(HaveOccurred())
-		again, _, err := b.Exchange(b.now, req)
+		again, _, err := b.HandleExchange(b.now, req)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(again).To(Equal(first))
-		Expect(b.Open(100) + b.Open(101)).To(Equal(1))
+		Expect(b.TicketCount(100) + b.TicketCount(101)).To(Equal(1))
 	})
 
 	// Symptom: one request holds two places. Sequence: the router is asked for its
@@ -268,7 +268,7 @@
 		b.follow(1)
 		b.fill(1, 3, hot)
 		b.send(1, &peerv1.ExchangeRequest{HasInventory: true})
-		Expect(b.Open(100) + b.Open(101)).To(BeZero())
+		Expect(b.TicketCount(100) + b.TicketCount(101)).To(BeZero())
 	})
 
 	// Symptom: a new process is charged for requests of the old one, or an old one's
@@ -278,10 +278,10 @@
 		b.follow(1)
 		b.fill(1, 2, hot)
 		b.send(1, &peerv1.ExchangeRequest{Incarnation: 2, HasInventory: true})
-		Expect(b.Open(100)+b.Open(101)).To(Equal(2), "the old process's tickets are ghosts")
-		_, _, err := b.Exchange(b.now, &peerv1.ExchangeRequest{Router: 1, Incarnation: 1, Sequence: 99, HasInventory: true})
+		Expect(b.TicketCount(100)+b.TicketCount(101)).To(Equal(2), "the old process's tickets are ghosts")
+		_, _, err := b.HandleExchange(b.now, &peerv1.ExchangeRequest{Router: 1, Incarnation: 1, Sequence: 99, HasInventory: true})
 		Expect(err).To(BeAssignableToTypeOf(&code.Error{}))
 		b.wait(6 * time.Second)
-		Expect(b.Open(100) + b.Open(101)).To(BeZero())
+		Expect(b.TicketCount(100) + b.TicketCount(101)).To(BeZero())
 	})
 })
--- a/internal/core/ledger/target.go
+++ b/internal/core/ledger/target.go
@@ -100,7 +100,7 @@
 		}
 		return l.leastLoaded(now, limit, it)
 	}
-	if l.settings.Memory > 0 {
+	if l.settings.ChatHistorySize > 0 {
 		return l.leastLoaded(now, limit, it)
 	}
 	l.pool.RankTargets(it.Chat, &l.top, candidates)
@@ -117,7 +117,7 @@
 // cache: a short wait costs less than building a long prefix again. Urgent asks
 // never wait for one.
 func (l *Ledger) isPatient(now time.Time, it fairqueue.Item) bool {
-	if it.Priority == fairqueue.Urgent || now.Sub(it.Arrived) >= l.settings.HomePatience {
+	if it.Priority == fairqueue.Urgent || now.Sub(it.ArrivedAt) >= l.settings.CacheWaitTimeout {
 		return false
 	}
 	past, returning := l.memory.get(it.Chat)
@@ -150,7 +150,7 @@
 
 // limit is the highest count a grant of the class may bring a target to.
 func (l *Ledger) limit(now time.Time, p fairqueue.Priority) int {
-	bound := l.Bound(now)
+	bound := l.LoadBound(now)
 	limit := l.pool.Spec.MaxPerTarget
 	if limit == 0 {
 		return bound
@@ -184,7 +184,7 @@
 }
 
 func (l *Ledger) rebuilding(now time.Time) bool {
-	return len(l.followers) < l.settings.FleetSize && now.Sub(l.created) < l.settings.RebuildFor
+	return len(l.followers) < l.settings.FleetSize && now.Sub(l.created) < l.settings.RebuildTimeout
 }
 
 // fits reports whether an ask may be granted a target below the limit.
--- a/internal/core/ledger/target_test.go
+++ b/internal/core/ledger/target_test.go
@@ -68,7 +68,7 @@
 		p, _ := t.Pool("p")
 		b.SetPool(p, t)
 		b.fill(1, 1, hot)
-		Expect(b.Open(101)).To(Equal(1))
+		Expect(b.TicketCount(101)).To(Equal(1))
 		_, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: urgent})
 		Expect(g.GetTarget()).NotTo(Equal(uint64(101)))
 	})
--- a/internal/core/ledger/waiting.go
+++ b/internal/core/ledger/waiting.go
@@ -17,12 +17,12 @@
 	it := fairqueue.Item{
 		Router: router, ID: a.GetId(), Team: a.GetTeam(), Weight: weight,
 		Priority: clampPriority(a.GetPriority()), Chat: a.GetChat(), Excluded: a.GetExcluded(),
-		Arrived: now, Deadline: now.Add(time.Duration(a.GetDeadlineMillis()) * time.Millisecond),
+		ArrivedAt: now, Deadline: now.Add(time.Duration(a.GetDeadlineMillis()) * time.Millisecond),
 	}
 	if l.allExcluded(now, it) {
 		it.Excluded = nil
 	}
-	if l.queue.Queued(router, a.GetId()) || l.waitsPatiently(router, a.GetId()) {
+	if l.queue.Contains(router, a.GetId()) || l.waitsPatiently(router, a.GetId()) {
 		return nil
 	}
 	if !l.mustWait(it) {
@@ -63,7 +63,7 @@
 // mustWait keeps an ask behind waiting ones of its class or a higher one;
 // otherwise a later ask would overtake them when a ticket comes back.
 func (l *Ledger) mustWait(it fairqueue.Item) bool {
-	return l.queue.Waiting(it.Priority) || l.teamFull(it.Team)
+	return l.queue.HasWaiting(it.Priority) || l.teamFull(it.Team)
 }
 
 func (l *Ledger) teamFull(team uint64) bool {
@@ -84,7 +84,7 @@
 // once, with the time after which the queue will have drained.
 func (l *Ledger) shed(it fairqueue.Item) *peerv1.Grant {
 	wait := l.expectedWait(it)
-	remaining := it.Deadline.Sub(it.Arrived)
+	remaining := it.Deadline.Sub(it.ArrivedAt)
 	switch {
 	case l.queue.Len() >= l.settings.MaxQueued:
 		return l.refuse(it, code.QueueFull, wait)
@@ -106,8 +106,8 @@
 
 // expectedWait estimates how long an ask would wait from the drain rate.
 func (l *Ledger) expectedWait(it fairqueue.Item) time.Duration {
-	perSecond := l.drain.perSecond(it.Arrived)
-	ahead := l.queue.Ahead(it.Team, it.Priority)
+	perSecond := l.drain.perSecond(it.ArrivedAt)
+	ahead := l.queue.CountAhead(it.Team, it.Priority)
 	if perSecond <= 0 {
 		return 0 // nothing is known yet: let it wait, its deadline bounds it
 	}
@@ -164,19 +164,19 @@
 	out := l.servePatient(now)
 	for l.queue.Len() > 0 {
 		var uid uint64
-		it, ok := l.queue.Next(func(it fairqueue.Item) fairqueue.Verdict {
+		it, ok := l.queue.PopNext(func(it fairqueue.Item) fairqueue.Decision {
 			if l.teamFull(it.Team) {
-				return fairqueue.Skip
+				return fairqueue.SkipTeam
 			}
 			var free bool
 			uid, free = l.place(now, it)
 			switch {
 			case free:
-				return fairqueue.Take
+				return fairqueue.Accept
 			case len(it.Excluded) > 0:
-				return fairqueue.Skip
+				return fairqueue.SkipTeam
 			default:
-				return fairqueue.Stop
+				return fairqueue.StopClass
 			}
 		})
 		if !ok {
--- a/internal/core/ledger/waiting_test.go
+++ b/internal/core/ledger/waiting_test.go
@@ -98,7 +98,7 @@
 		b := newBook(table(2, `{"protocol":"model","boundMultiple":1.25,"maxPerTarget":2}`), 1, nil)
 		b.follow(1)
 		id, first := b.ask(1, &peerv1.Ask{Team: hot, Chat: 42, Priority: normal})
-		for b.Open(first.GetTarget()) < 1 {
+		for b.TicketCount(first.GetTarget()) < 1 {
 			b.fill(1, 1, hot)
 		}
 		_, g := b.ask(1, &peerv1.Ask{Team: hot, Chat: 42, Priority: normal})
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -20,8 +20,8 @@
 	advanced    time.Time // when the counter last moved, on the local clock
 }
 
-// State is one router's view of the fleet. It is not safe for concurrent use.
-type State struct {
+// View is one router's view of the fleet. It is not safe for concurrent use.
+type View struct {
 	self         uint32
 	ids          []uint32
 	peers        map[uint32]*peer
@@ -31,8 +31,8 @@
 }
 
 // New returns the view of router self over the listed ids.
-func New(now time.Time, self uint32, incarnation uint64, ids []uint32, suspectAfter time.Duration, rnd *rand.Rand) *State {
-	s := &State{started: now, self: self, peers: make(map[uint32]*peer), suspectAfter: suspectAfter, rand: rnd}
+func New(now time.Time, self uint32, incarnation uint64, ids []uint32, suspectAfter time.Duration, rnd *rand.Rand) *View {
+	s := &View{started: now, self: self, peers: make(map[uint32]*peer), suspectAfter: suspectAfter, rand: rnd}
 	s.ids = append(s.ids, ids...)
 	sort.Slice(s.ids, func(i, j int) bool { return s.ids[i] < s.ids[j] })
 	for _, id := range s.ids {
@@ -42,19 +42,19 @@
 	return s
 }
 
-// Beat advances the router's own heartbeat.
-func (s *State) Beat(now time.Time, revision uint64) {
+// AdvanceHeartbeat advances the router's own heartbeat.
+func (s *View) AdvanceHeartbeat(now time.Time, revision uint64) {
 	me := s.peers[s.self]
 	me.counter++
 	me.advanced = now
 	me.revision = revision
 }
 
-// Leave marks this router as leaving. The mark is part of its heartbeat.
-func (s *State) Leave() { s.peers[s.self].leaving = true }
+// MarkLeaving marks this router as leaving. The mark is part of its heartbeat.
+func (s *View) MarkLeaving() { s.peers[s.self].leaving = true }
 
 // Heartbeats returns the view for a gossip message.
-func (s *State) Heartbeats() []*peerv1.Heartbeat {
+func (s *View) Heartbeats() []*peerv1.Heartbeat {
 	out := make([]*peerv1.Heartbeat, 0, len(s.ids))
 	for _, id := range s.ids {
 		p := s.peers[id]
@@ -68,10 +68,10 @@
 	return out
 }
 
-// Merge takes in heartbeats and returns the routers that restarted, that is,
+// MergeHeartbeats takes in heartbeats and returns the routers that restarted, that is,
 // whose incarnation rose. A heartbeat that is not newer changes nothing, so one
 // that travelled slowly can't revive a dead router.
-func (s *State) Merge(now time.Time, heartbeats []*peerv1.Heartbeat) (restarted []uint32) {
+func (s *View) MergeHeartbeats(now time.Time, heartbeats []*peerv1.Heartbeat) (restarted []uint32) {
 	for _, hb := range heartbeats {
 		p, ok := s.peers[hb.GetRouter()]
 		if !ok || hb.GetRouter() == s.self || !newer(hb, p) {
@@ -99,24 +99,24 @@
 }
 
 // Incarnation returns the latest known incarnation of a router, 0 if none.
-func (s *State) Incarnation(id uint32) uint64 {
+func (s *View) Incarnation(id uint32) uint64 {
 	if p, ok := s.peers[id]; ok {
 		return p.incarnation
 	}
 	return 0
 }
 
-// Listed reports whether id is a router of the fleet.
-func (s *State) Listed(id uint32) bool {
+// IsListed reports whether id is a router of the fleet.
+func (s *View) IsListed(id uint32) bool {
 	_, ok := s.peers[id]
 	return ok
 }
 
-// Alive reports whether a router's heartbeat advanced lately. The router itself is
+// IsAlive reports whether a router's heartbeat advanced lately. The router itself is
 // alive, and for a while after a start so is everyone: a router that took itself
 // for the only one would count the load of every pool on its own and grant past
 // the bound until it hears from the others.
-func (s *State) Alive(now time.Time, id uint32) bool {
+func (s *View) IsAlive(now time.Time, id uint32) bool {
 	if id == s.self {
 		return true
 	}
@@ -131,21 +131,21 @@
 	return now.Sub(since) <= s.suspectAfter
 }
 
-// Live returns the routers that are alive and not leaving, in order. This router
+// LiveRouters returns the routers that are alive and not leaving, in order. This router
 // is among them unless it is leaving.
-func (s *State) Live(now time.Time) []uint32 {
+func (s *View) LiveRouters(now time.Time) []uint32 {
 	out := make([]uint32, 0, len(s.ids))
 	for _, id := range s.ids {
-		if s.Alive(now, id) && !s.peers[id].leaving {
+		if s.IsAlive(now, id) && !s.peers[id].leaving {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// HeardMajority reports whether the heartbeats of more than half of the listed
+// HasHeardMajority reports whether the heartbeats of more than half of the listed
 // routers, this one included, advanced within the last span.
-func (s *State) HeardMajority(now time.Time, span time.Duration) bool {
+func (s *View) HasHeardMajority(now time.Time, span time.Duration) bool {
 	heard := 0
 	for _, id := range s.ids {
 		p := s.peers[id]
@@ -157,7 +157,7 @@
 }
 
 // HighestRevision returns the highest revision in any heartbeat and the router that has it.
-func (s *State) HighestRevision() (uint64, uint32) {
+func (s *View) HighestRevision() (uint64, uint32) {
 	var best uint64
 	var at uint32
 	for _, id := range s.ids {
@@ -169,7 +169,7 @@
 }
 
 // Revisions returns the last known revision of every listed router.
-func (s *State) Revisions() map[uint32]uint64 {
+func (s *View) Revisions() map[uint32]uint64 {
 	out := make(map[uint32]uint64, len(s.ids))
 	for _, id := range s.ids {
 		out[id] = s.peers[id].revision
@@ -177,9 +177,9 @@
 	return out
 }
 
-// Partners returns up to n distinct other routers to gossip with. Silent ones
+// RandomPeers returns up to n distinct other routers to gossip with. Silent ones
 // are included, since that is how a recovered router is found again.
-func (s *State) Partners(n int) []uint32 {
+func (s *View) RandomPeers(n int) []uint32 {
 	others := make([]uint32, 0, len(s.ids))
 	for _, id := range s.ids {
 		if id != s.self {
@@ -191,4 +191,4 @@
 }
 
 // Size returns the number of listed routers.
-func (s *State) Size() int { return len(s.ids) }
+func (s *View) Size() int { return len(s.ids) }
--- a/internal/core/plannedchange/plannedchange.go
+++ b/internal/core/plannedchange/plannedchange.go
@@ -24,23 +24,23 @@
 type Status struct {
 	Phase              Phase  `json:"phase"`
 	ObservedGeneration uint64 `json:"observedGeneration"`
-	// Fencing is the fencing number of the last order sent.
-	Fencing uint64 `json:"fencing,omitempty"`
-	Message string `json:"message,omitempty"`
+	// FencingToken is the fencing number of the last order sent.
+	FencingToken uint64 `json:"fencing,omitempty"`
+	Message      string `json:"message,omitempty"`
 }
 
 // Observation is what the world looks like at a step.
 type Observation struct {
 	// Leaving says that the target is marked as leaving.
 	Leaving bool
-	// InForce says that the mark is in force at every listed router, or that the
+	// AppliedEverywhere says that the mark is in force at every listed router, or that the
 	// others have been silent for so long that they take no new work.
-	InForce bool
+	AppliedEverywhere bool
 	// Reachable says that the target answered; Open is its count of open
 	// requests and State what its last orders left it in.
-	Reachable bool
-	Open      int
-	State     map[string]string
+	Reachable    bool
+	OpenRequests int
+	State        map[string]string
 }
 
 // ActionKind says what to do next.
@@ -52,15 +52,15 @@
 	Wait ActionKind = iota
 	// MarkLeaving marks the target in the configuration.
 	MarkLeaving
-	// Order sends the order to the target.
-	Order
+	// SendOrder sends the order to the target.
+	SendOrder
 	// Finish: nothing is left to do.
 	Finish
 )
 
-// OrderLife is how long an order stays valid on its way to the target. A lease
+// OrderValidity is how long an order stays valid on its way to the target. A lease
 // whose remaining time is shorter must not be used to send one.
-const OrderLife = 2 * time.Second
+const OrderValidity = 2 * time.Second
 
 // drainOrder is the order by which a drained target learns that it may go.
 const drainOrder = "drain"
@@ -88,7 +88,7 @@
 		return s, MarkLeaving
 	}
 	s.Phase, s.Message = Ordering, "sending the order"
-	return s, Order
+	return s, SendOrder
 }
 
 // drain waits for the target's open requests. A target that does not answer is
@@ -97,18 +97,18 @@
 	switch {
 	case !o.Leaving:
 		return s, MarkLeaving
-	case !o.InForce:
+	case !o.AppliedEverywhere:
 		s.Message = "waiting for every router to have the change"
 		return s, Wait
 	case !o.Reachable:
 		s.Message = "the target does not answer"
 		return s, Wait
-	case o.Open > 0:
+	case o.OpenRequests > 0:
 		s.Message = "open requests are finishing"
 		return s, Wait
 	}
 	s.Phase, s.Message = Ordering, "sending the order"
-	return s, Order
+	return s, SendOrder
 }
 
 // order repeats the order until the target shows it: an order or its reply may be lost.
@@ -117,16 +117,16 @@
 		s.Message = "the target does not answer"
 		return s, Wait
 	}
-	action, argument := Wanted(spec)
+	action, argument := DesiredState(spec)
 	if have, ok := o.State[action]; !ok || have != argument {
-		return s, Order
+		return s, SendOrder
 	}
 	s.Phase, s.Message = Done, "the target shows the change"
 	return s, Finish
 }
 
-// Wanted returns the action and argument that the target shall show.
-func Wanted(spec resource.PlannedChangeSpec) (action, argument string) {
+// DesiredState returns the action and argument that the target shall show.
+func DesiredState(spec resource.PlannedChangeSpec) (action, argument string) {
 	if spec.Action == resource.ActionDrain {
 		return drainOrder, "true"
 	}
--- a/internal/core/plannedchange/plannedchange_test.go
+++ b/internal/core/plannedchange/plannedchange_test.go
@@ -13,7 +13,7 @@
 var drain = resource.PlannedChangeSpec{Target: "t", Action: resource.ActionDrain}
 
 // ready is a target at which nothing stands in the way of the order.
-var ready = plannedchange.Observation{Leaving: true, InForce: true, Reachable: true}
+var ready = plannedchange.Observation{Leaving: true, AppliedEverywhere: true, Reachable: true}
 
 func shown(action, argument string) plannedchange.Observation {
 	o := ready
@@ -35,9 +35,9 @@
 			Expect(s.Phase).To(Equal(plannedchange.Draining))
 		},
 		Entry("the mark is not accepted", func(o *plannedchange.Observation) { o.Leaving = false }, plannedchange.MarkLeaving),
-		Entry("a router is behind", func(o *plannedchange.Observation) { o.InForce = false }, plannedchange.Wait),
+		Entry("a router is behind", func(o *plannedchange.Observation) { o.AppliedEverywhere = false }, plannedchange.Wait),
 		Entry("the target is silent", func(o *plannedchange.Observation) { o.Reachable = false }, plannedchange.Wait),
-		Entry("requests are open", func(o *plannedchange.Observation) { o.Open = 1 }, plannedchange.Wait),
+		Entry("requests are open", func(o *plannedchange.Observation) { o.OpenRequests = 1 }, plannedchange.Wait),
 	)
 
 	// Symptom: a drain hangs half done. Sequence: the VM that carries it out dies
@@ -45,14 +45,14 @@
 	It("ends well from any phase on any VM, and orders only an idle target", func() {
 		testkit.Check("1000", func(t *rapid.T) {
 			var s plannedchange.Status
-			o := plannedchange.Observation{Reachable: true, Open: 3, State: map[string]string{}}
+			o := plannedchange.Observation{Reachable: true, OpenRequests: 3, State: map[string]string{}}
 			for range 60 {
 				next, action := step(s, o)
 				switch action {
 				case plannedchange.MarkLeaving:
 					o.Leaving = rapid.Bool().Draw(t, "mark accepted") || o.Leaving
-				case plannedchange.Order:
-					if o.Open > 0 || !o.InForce {
+				case plannedchange.SendOrder:
+					if o.OpenRequests > 0 || !o.AppliedEverywhere {
 						t.Fatal("ordered a target with open requests")
 					}
 					if rapid.Bool().Draw(t, "order arrives") {
@@ -62,15 +62,15 @@
 				if rapid.IntRange(0, 2).Draw(t, "status written") > 0 {
 					s = next
 				}
-				o.InForce = o.InForce || (o.Leaving && rapid.Bool().Draw(t, "in force"))
-				if o.Open > 0 && o.InForce {
-					o.Open--
+				o.AppliedEverywhere = o.AppliedEverywhere || (o.Leaving && rapid.Bool().Draw(t, "in force"))
+				if o.OpenRequests > 0 && o.AppliedEverywhere {
+					o.OpenRequests--
 				}
 			}
 			for range 10 {
-				o.Leaving, o.InForce, o.Open = true, true, 0
+				o.Leaving, o.AppliedEverywhere, o.OpenRequests = true, true, 0
 				var action plannedchange.ActionKind
-				if s, action = step(s, o); action == plannedchange.Order {
+				if s, action = step(s, o); action == plannedchange.SendOrder {
 					o.State = map[string]string{"drain": "true"}
 				}
 			}
@@ -87,9 +87,9 @@
 	// Symptom: the change is reported done but the target has the old version.
 	// Sequence: the order is lost. Cause: nobody looks at the target afterwards.
 	It("is repeated until the target shows it", func() {
-		s := plannedchange.Status{Phase: plannedchange.Ordering, ObservedGeneration: 1, Fencing: 3}
+		s := plannedchange.Status{Phase: plannedchange.Ordering, ObservedGeneration: 1, FencingToken: 3}
 		s, action := plannedchange.Step(spec, 1, s, shown("load", "v6"))
-		Expect(action).To(Equal(plannedchange.Order))
+		Expect(action).To(Equal(plannedchange.SendOrder))
 		s, action = plannedchange.Step(spec, 1, s, shown("load", "v7"))
 		Expect(action).To(Equal(plannedchange.Finish))
 		Expect(s.Phase).To(Equal(plannedchange.Done))
@@ -98,7 +98,7 @@
 	It("starts over when its spec changes", func() {
 		s := plannedchange.Status{Phase: plannedchange.Done, ObservedGeneration: 1}
 		s, action := plannedchange.Step(spec, 2, s, shown("load", "v6"))
-		Expect(action).To(Equal(plannedchange.Order))
+		Expect(action).To(Equal(plannedchange.SendOrder))
 		Expect(s.ObservedGeneration).To(Equal(uint64(2)))
 	})
 })
--- a/internal/core/resource/decode.go
+++ b/internal/core/resource/decode.go
@@ -7,9 +7,9 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// Decode reads a spec strictly: an unknown field is an error, since a misspelt
+// DecodeSpec reads a spec strictly: an unknown field is an error, since a misspelt
 // limit that is silently ignored would leave a target unprotected.
-func Decode(spec json.RawMessage, into any) error {
+func DecodeSpec(spec json.RawMessage, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(spec))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -26,7 +26,7 @@
 	switch r.Kind {
 	case KindTarget:
 		var spec TargetSpec
-		if err := Decode(r.Spec, &spec); err != nil {
+		if err := DecodeSpec(r.Spec, &spec); err != nil {
 			return err
 		}
 		if !exists(Key{KindPool, spec.Pool}) {
@@ -34,7 +34,7 @@
 		}
 	case KindPlannedChange:
 		var spec PlannedChangeSpec
-		if err := Decode(r.Spec, &spec); err != nil {
+		if err := DecodeSpec(r.Spec, &spec); err != nil {
 			return err
 		}
 		if !exists(Key{KindTarget, spec.Target}) {
--- a/internal/core/resource/resource.go
+++ b/internal/core/resource/resource.go
@@ -127,9 +127,9 @@
 
 // Operation records the outcome of an operator's request.
 type Operation struct {
-	Name     string    `json:"name"`
-	Revision uint64    `json:"revision"`
-	Accepted time.Time `json:"accepted"`
+	Name       string    `json:"name"`
+	Revision   uint64    `json:"revision"`
+	AcceptedAt time.Time `json:"accepted"`
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
@@ -155,7 +155,7 @@
 
 func validatePool(r Resource) error {
 	var spec PoolSpec
-	if err := Decode(r.Spec, &spec); err != nil {
+	if err := DecodeSpec(r.Spec, &spec); err != nil {
 		return err
 	}
 	if spec.Protocol != ProtocolModel && spec.Protocol != ProtocolService {
@@ -172,7 +172,7 @@
 
 func validateTeam(r Resource) error {
 	var spec TeamSpec
-	if err := Decode(r.Spec, &spec); err != nil {
+	if err := DecodeSpec(r.Spec, &spec); err != nil {
 		return err
 	}
 	if spec.Weight < 0 || spec.Weight > 1000 {
@@ -194,7 +194,7 @@
 
 func validateTarget(r Resource) error {
 	var spec TargetSpec
-	if err := Decode(r.Spec, &spec); err != nil {
+	if err := DecodeSpec(r.Spec, &spec); err != nil {
 		return err
 	}
 	if spec.Pool == "" {
@@ -208,7 +208,7 @@
 
 func validatePlannedChange(r Resource) error {
 	var spec PlannedChangeSpec
-	if err := Decode(r.Spec, &spec); err != nil {
+	if err := DecodeSpec(r.Spec, &spec); err != nil {
 		return err
 	}
 	if spec.Target == "" {
--- a/internal/core/router/configuration.go
+++ b/internal/core/router/configuration.go
@@ -20,15 +20,15 @@
 const pullTimeout = 2 * time.Second
 
 func (c *Core) handlePush(m *peerv1.PushRequest) (proto.Message, error) {
-	c.applyAll(FromWire(m.GetChanges()))
+	c.applyAll(DecodeChanges(m.GetChanges()))
 	return &peerv1.PushResponse{Router: c.settings.Self, Revision: c.config.Revision()}, nil
 }
 
 func (c *Core) handlePull(m *peerv1.PullRequest) (proto.Message, error) {
 	resp := &peerv1.PullResponse{Head: c.config.Revision()}
-	changes, kept := c.config.Since(m.GetAfterRevision())
+	changes, kept := c.config.ChangesSince(m.GetAfterRevision())
 	if kept {
-		resp.Changes = ToWire(changes)
+		resp.Changes = EncodeChanges(changes)
 		return resp, nil
 	}
 	resp.IsSnapshot = true
@@ -42,7 +42,7 @@
 		c.load(resp.GetSnapshotRevision(), resourcesFromWire(resp.GetSnapshot()))
 		return
 	}
-	c.applyAll(FromWire(resp.GetChanges()))
+	c.applyAll(DecodeChanges(resp.GetChanges()))
 }
 
 // pullIfBehind asks a peer that has a higher revision for what is missing.
@@ -55,13 +55,13 @@
 		return
 	}
 	c.pulling = now
-	c.emit(Send{To: at, Message: &peerv1.PullRequest{
-		Protocol: ticket.Protocol, AfterRevision: c.config.Revision(),
+	c.emit(CallPeer{To: at, Message: &peerv1.PullRequest{
+		Protocol: ticket.ProtocolVersion, AfterRevision: c.config.Revision(),
 	}})
 }
 
-func (c *Core) storeWasRead(now time.Time, ev StoreRead) {
-	if ev.Err {
+func (c *Core) storeWasRead(now time.Time, ev StoreReadCompleted) {
+	if ev.Failed {
 		return
 	}
 	c.storeRead = now
@@ -89,14 +89,14 @@
 		table = table.Apply(change.Revision, change.Resources)
 	}
 	c.publish(table)
-	wire := ToWire(applied)
-	for _, to := range c.members.Partners(pushFanout) {
-		c.emit(Send{To: to, Message: &peerv1.PushRequest{Protocol: ticket.Protocol, Changes: wire}})
+	wire := EncodeChanges(applied)
+	for _, to := range c.members.RandomPeers(pushFanout) {
+		c.emit(CallPeer{To: to, Message: &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: wire}})
 	}
 }
 
 func (c *Core) load(revision uint64, resources []resource.Resource) {
-	if c.config.Load(revision, resources) == config.Applied {
+	if c.config.LoadSnapshot(revision, resources) == config.Applied {
 		c.publish(routing.Build(revision, resources))
 	}
 }
@@ -108,11 +108,11 @@
 			l.SetPool(p, c.table)
 		}
 	}
-	c.emit(Publish{Table: c.table})
+	c.emit(PublishTable{Table: c.table})
 }
 
-// ToWire encodes changes for a peer.
-func ToWire(changes []resource.Change) []*peerv1.Change {
+// EncodeChanges encodes changes for a peer.
+func EncodeChanges(changes []resource.Change) []*peerv1.Change {
 	out := make([]*peerv1.Change, len(changes))
 	for i, ch := range changes {
 		out[i] = &peerv1.Change{Revision: ch.Revision, Resources: resourcesToWire(ch.Resources)}
@@ -120,8 +120,8 @@
 	return out
 }
 
-// FromWire decodes a peer's changes.
-func FromWire(changes []*peerv1.Change) []resource.Change {
+// DecodeChanges decodes a peer's changes.
+func DecodeChanges(changes []*peerv1.Change) []resource.Change {
 	out := make([]resource.Change, len(changes))
 	for i, ch := range changes {
 		out[i] = resource.Change{Revision: ch.GetRevision(), Resources: resourcesFromWire(ch.GetResources())}
--- a/internal/core/router/core.go
+++ b/internal/core/router/core.go
@@ -25,16 +25,16 @@
 	Routers     []uint32 // every listed router, Self included
 	Seed        uint64
 
-	GossipInterval time.Duration
-	GossipFanout   int
-	PollInterval   time.Duration
-	SuspectAfter   time.Duration
-	FreshFor       time.Duration
+	GossipInterval   time.Duration
+	GossipFanout     int
+	PollInterval     time.Duration
+	SuspectTimeout   time.Duration
+	FreshnessTimeout time.Duration
 
-	// ReleaseHold is how long the release of a ticket may wait for an ask to travel
+	// ReleaseDelay is how long the release of a ticket may wait for an ask to travel
 	// with. It saves a call per request in a large fleet, whose owners' margin then
 	// allows for the releases that wait.
-	ReleaseHold time.Duration
+	ReleaseDelay time.Duration
 
 	Ledger ledger.Settings
 }
@@ -44,14 +44,14 @@
 	return Settings{
 		Self: self, Incarnation: 1, Routers: routers, Seed: uint64(self),
 		GossipInterval: time.Second, GossipFanout: 1,
-		PollInterval: 2 * time.Second, SuspectAfter: 5 * time.Second, FreshFor: 5 * time.Second,
+		PollInterval: 2 * time.Second, SuspectTimeout: 5 * time.Second, FreshnessTimeout: 5 * time.Second,
 		Ledger: ledger.DefaultSettings(len(routers)),
 	}
 }
 
 // request is a request that waits for a ticket or holds one.
 type request struct {
-	arrived Arrived
+	arrived RequestArrived
 	pool    string
 	granted uint64 // target UID
 }
@@ -64,7 +64,7 @@
 
 	config  *config.State
 	table   *routing.Table
-	members *member.State
+	members *member.View
 
 	ledgers  map[string]*ledger.Ledger
 	clients  map[string]*ticket.Client
@@ -83,7 +83,7 @@
 	fromStore  bool
 	pulling    time.Time // when the pull under way began; zero if none
 	leaving    bool
-	ready      Ready
+	ready      Readiness
 	readySent  bool
 
 	repeats []repeated
@@ -93,7 +93,7 @@
 // repeated is a failed message that is to be sent again.
 type repeated struct {
 	due  time.Time
-	send Send
+	send CallPeer
 }
 
 // New returns a Core that has no configuration yet.
@@ -104,7 +104,7 @@
 		rand:        rnd,
 		config:      config.New(),
 		table:       routing.Build(0, nil),
-		members:     member.New(now, s.Self, s.Incarnation, s.Routers, s.SuspectAfter, rnd),
+		members:     member.New(now, s.Self, s.Incarnation, s.Routers, s.SuspectTimeout, rnd),
 		ledgers:     make(map[string]*ledger.Ledger),
 		clients:     make(map[string]*ticket.Client),
 		requests:    make(map[uint64]*request),
@@ -127,23 +127,23 @@
 func (c *Core) Step(now time.Time, ev Event) []Action {
 	c.actions = c.actions[:0]
 	switch ev := ev.(type) {
-	case Arrived:
+	case RequestArrived:
 		c.arrived(now, ev)
-	case Ended:
+	case RequestEnded:
 		c.ended(ev)
-	case Reported:
+	case LoadReported:
 		c.reported(now, ev)
-	case CallIn:
+	case CallReceived:
 		c.callIn(now, ev)
-	case CallOut:
+	case CallCompleted:
 		c.callOut(now, ev)
-	case StoreRead:
+	case StoreReadCompleted:
 		c.storeWasRead(now, ev)
 	case Tick:
 		c.tick(now)
-	case Leave:
+	case Shutdown:
 		c.leaving = true
-		c.members.Leave()
+		c.members.MarkLeaving()
 		c.announce(now)
 	}
 	c.exchange(now)
@@ -166,10 +166,10 @@
 	return out
 }
 
-// IncarnationAlive reports whether a process of a router may still run: its
+// IsIncarnationAlive reports whether a process of a router may still run: its
 // heartbeats arrive and it has not restarted.
-func (c *Core) IncarnationAlive(now time.Time, id uint32, incarnation uint64) bool {
-	return c.members.Alive(now, id) && c.members.Incarnation(id) == incarnation
+func (c *Core) IsIncarnationAlive(now time.Time, id uint32, incarnation uint64) bool {
+	return c.members.IsAlive(now, id) && c.members.Incarnation(id) == incarnation
 }
 
 // OpenRequests returns the number of requests that wait or run.
@@ -180,14 +180,14 @@
 // or a change that is in force elsewhere: callers would be sent to a target that
 // is already gone. It refuses until it is sure again.
 func (c *Core) updateReady(now time.Time) {
-	next := Ready{Ready: true}
+	next := Readiness{Ready: true}
 	switch {
 	case c.leaving:
-		next = Ready{Reason: code.ShuttingDown}
+		next = Readiness{Reason: code.ShuttingDown}
 	case c.config.Revision() == 0 || !c.current(now):
-		next = Ready{Reason: code.NotReady}
+		next = Readiness{Reason: code.NotReady}
 	case !c.fresh(now):
-		next = Ready{Reason: code.StaleConfig}
+		next = Readiness{Reason: code.StaleConfig}
 	}
 	if next != c.ready || !c.readySent {
 		c.ready, c.readySent = next, true
@@ -205,14 +205,14 @@
 		return true
 	}
 	highest, _ := c.members.HighestRevision()
-	return c.members.HeardMajority(now, c.settings.FreshFor) && c.config.Revision() >= highest
+	return c.members.HasHeardMajority(now, c.settings.FreshnessTimeout) && c.config.Revision() >= highest
 }
 
 func (c *Core) fresh(now time.Time) bool {
-	if !c.storeRead.IsZero() && now.Sub(c.storeRead) <= c.settings.FreshFor {
+	if !c.storeRead.IsZero() && now.Sub(c.storeRead) <= c.settings.FreshnessTimeout {
 		return true
 	}
-	return c.members.HeardMajority(now, c.settings.FreshFor)
+	return c.members.HasHeardMajority(now, c.settings.FreshnessTimeout)
 }
 
 // jittered returns a period of up to a quarter more or less than d. Without it
@@ -229,7 +229,7 @@
 	}
 	if !now.Before(c.nextPoll) {
 		c.nextPoll = now.Add(c.jittered(c.settings.PollInterval))
-		c.emit(ReadStore{After: c.config.Revision()})
+		c.emit(ReadStore{AfterRevision: c.config.Revision()})
 	}
 	c.expire(now)
 	c.sendRepeats(now)
@@ -248,9 +248,9 @@
 // dropSilent removes the followers of a ledger that have gone silent.
 func (c *Core) dropSilent(now time.Time, pool string) {
 	l := c.ledgers[pool]
-	for _, id := range l.Silent(now.Add(-c.settings.SuspectAfter)) {
-		if !c.members.Alive(now, id) {
-			c.deliver(now, pool, l.Depart(now, id, false))
+	for _, id := range l.SilentFollowers(now.Add(-c.settings.SuspectTimeout)) {
+		if !c.members.IsAlive(now, id) {
+			c.deliver(now, pool, l.RemoveFollower(now, id, false))
 			c.nextProbe = now // its ghosts hold places until the targets report
 		}
 	}
@@ -266,11 +266,11 @@
 func (c *Core) probe(now time.Time) {
 	for _, name := range c.ledgerNames() {
 		p, ok := c.table.Pool(name)
-		if !ok || p.Spec.Protocol != resource.ProtocolModel || !c.ledgers[name].WantsReports(now) {
+		if !ok || p.Spec.Protocol != resource.ProtocolModel || !c.ledgers[name].NeedsLoadReports(now) {
 			continue
 		}
 		for _, t := range p.Targets {
-			c.emit(Probe{Pool: name, Target: t})
+			c.emit(ProbeTarget{Pool: name, Target: t})
 		}
 	}
 }
@@ -283,17 +283,17 @@
 func (c *Core) announce(now time.Time) { c.gossipWith(now, c.members.Size()) }
 
 func (c *Core) gossipWith(now time.Time, partners int) {
-	c.members.Beat(now, c.config.Revision())
-	for _, to := range c.members.Partners(partners) {
-		c.emit(Send{To: to, Message: &peerv1.GossipRequest{
-			Protocol: ticket.Protocol, Router: c.settings.Self, Heartbeats: c.members.Heartbeats(),
+	c.members.AdvanceHeartbeat(now, c.config.Revision())
+	for _, to := range c.members.RandomPeers(partners) {
+		c.emit(CallPeer{To: to, Message: &peerv1.GossipRequest{
+			Protocol: ticket.ProtocolVersion, Router: c.settings.Self, Heartbeats: c.members.Heartbeats(),
 		}})
 	}
 }
 
-// HeldAt returns the requests that this router, as an owner, counts against each
+// TicketCounts returns the requests that this router, as an owner, counts against each
 // target of a pool.
-func (c *Core) HeldAt(pool string) map[uint64]int {
+func (c *Core) TicketCounts(pool string) map[uint64]int {
 	out := make(map[uint64]int)
 	l, ok := c.ledgers[pool]
 	p, known := c.table.Pool(pool)
@@ -301,7 +301,7 @@
 		return out
 	}
 	for _, t := range p.Targets {
-		out[t.UID] = l.Open(t.UID)
+		out[t.UID] = l.TicketCount(t.UID)
 	}
 	return out
 }
--- a/internal/core/router/events.go
+++ b/internal/core/router/events.go
@@ -22,8 +22,8 @@
 
 // Events from the traffic path.
 type (
-	// Arrived: a request needs a target. The same ID arrives again for a retry.
-	Arrived struct {
+	// RequestArrived: a request needs a target. The same ID arrives again for a retry.
+	RequestArrived struct {
 		ID       uint64
 		Pool     string
 		Team     string
@@ -33,31 +33,31 @@
 		Excluded []uint64
 		Retry    bool
 	}
-	// Ended: the request no longer needs its ticket, or its ask is withdrawn.
-	Ended struct {
+	// RequestEnded: the request no longer needs its ticket, or its ask is withdrawn.
+	RequestEnded struct {
 		ID      uint64
 		Outcome peerv1.Outcome
 	}
-	// Reported: a target answered a Probe with its own count of open requests.
-	Reported struct {
-		Pool   string
-		Target uint64
-		Open   int
+	// LoadReported: a target answered a Probe with its own count of open requests.
+	LoadReported struct {
+		Pool         string
+		Target       uint64
+		OpenRequests int
 	}
 )
 
-// Call identifies an incoming call that waits for a Respond action.
-type Call uint64
+// CallID identifies an incoming call that waits for a Respond action.
+type CallID uint64
 
 // Events from other processes.
 type (
-	// CallIn: a peer calls. Message is one of the peer service's requests.
-	CallIn struct {
-		Call    Call
+	// CallReceived: a peer calls. Message is one of the peer service's requests.
+	CallReceived struct {
+		Call    CallID
 		Message proto.Message
 	}
-	// CallOut: a call that the core asked for has ended, with a Reply or failed.
-	CallOut struct {
+	// CallCompleted: a call that the core asked for has ended, with a Reply or failed.
+	CallCompleted struct {
 		To      uint32
 		Request proto.Message
 		Reply   proto.Message // nil if the call failed
@@ -66,16 +66,16 @@
 
 // Events from the platform and the clock.
 type (
-	// StoreRead: the configuration store was read.
-	StoreRead struct {
-		Err      bool
+	// StoreReadCompleted: the configuration store was read.
+	StoreReadCompleted struct {
+		Failed   bool
 		Changes  []resource.Change
 		Snapshot *Snapshot // set when the changes are no longer kept
 	}
 	// Tick: time has passed. The core expects one every TickInterval.
 	Tick struct{}
-	// Leave: this router is to stop.
-	Leave struct{}
+	// Shutdown: this router is to stop.
+	Shutdown struct{}
 )
 
 // Snapshot is a whole configuration.
@@ -84,64 +84,64 @@
 	Resources []resource.Resource
 }
 
-func (Arrived) isEvent()   {}
-func (Ended) isEvent()     {}
-func (Reported) isEvent()  {}
-func (CallIn) isEvent()    {}
-func (CallOut) isEvent()   {}
-func (StoreRead) isEvent() {}
-func (Tick) isEvent()      {}
-func (Leave) isEvent()     {}
+func (RequestArrived) isEvent()     {}
+func (RequestEnded) isEvent()       {}
+func (LoadReported) isEvent()       {}
+func (CallReceived) isEvent()       {}
+func (CallCompleted) isEvent()      {}
+func (StoreReadCompleted) isEvent() {}
+func (Tick) isEvent()               {}
+func (Shutdown) isEvent()           {}
 
 // Action is an output of the core.
 type Action interface{ isAction() }
 
 // The actions.
 type (
-	// Grant gives a request its target.
-	Grant struct {
+	// GrantTarget gives a request its target.
+	GrantTarget struct {
 		ID     uint64
 		Target routing.Target
 		Pool   *routing.Pool
 	}
-	// Refuse ends a request that gets no target.
-	Refuse struct {
+	// RefuseRequest ends a request that gets no target.
+	RefuseRequest struct {
 		ID         uint64
 		Code       code.Code
 		RetryAfter time.Duration
 	}
-	// Send calls a peer. The result comes back as CallOut.
-	Send struct {
+	// CallPeer calls a peer. The result comes back as CallOut.
+	CallPeer struct {
 		To      uint32
 		Message proto.Message
 	}
-	// Respond answers a CallIn. Err is nil or a *code.Error.
-	Respond struct {
-		Call    Call
+	// AnswerCall answers a CallIn. Err is nil or a *code.Error.
+	AnswerCall struct {
+		Call    CallID
 		Message proto.Message
 		Err     error
 	}
-	// Probe asks for a target's own count of open requests.
-	Probe struct {
+	// ProbeTarget asks for a target's own count of open requests.
+	ProbeTarget struct {
 		Pool   string
 		Target routing.Target
 	}
 	// ReadStore asks for the configuration after a revision.
-	ReadStore struct{ After uint64 }
-	// Publish puts a routing table in force for traffic.
-	Publish struct{ Table *routing.Table }
-	// Ready tells the balancer whether to send traffic here.
-	Ready struct {
+	ReadStore struct{ AfterRevision uint64 }
+	// PublishTable puts a routing table in force for traffic.
+	PublishTable struct{ Table *routing.Table }
+	// Readiness tells the balancer whether to send traffic here.
+	Readiness struct {
 		Ready  bool
 		Reason code.Code
 	}
 )
 
-func (Grant) isAction()     {}
-func (Refuse) isAction()    {}
-func (Send) isAction()      {}
-func (Respond) isAction()   {}
-func (Probe) isAction()     {}
-func (ReadStore) isAction() {}
-func (Publish) isAction()   {}
-func (Ready) isAction()     {}
+func (GrantTarget) isAction()   {}
+func (RefuseRequest) isAction() {}
+func (CallPeer) isAction()      {}
+func (AnswerCall) isAction()    {}
+func (ProbeTarget) isAction()   {}
+func (ReadStore) isAction()     {}
+func (PublishTable) isAction()  {}
+func (Readiness) isAction()     {}
--- a/internal/core/router/fleet_test.go
+++ b/internal/core/router/fleet_test.go
@@ -30,14 +30,14 @@
 	changes []resource.Change
 }
 
-func (s *store) since(after uint64) core.StoreRead {
+func (s *store) since(after uint64) core.StoreReadCompleted {
 	if s.down {
-		return core.StoreRead{Err: true}
+		return core.StoreReadCompleted{Failed: true}
 	}
 	if after >= uint64(len(s.changes)) {
-		return core.StoreRead{}
+		return core.StoreReadCompleted{}
 	}
-	return core.StoreRead{Changes: s.changes[after:]}
+	return core.StoreReadCompleted{Changes: s.changes[after:]}
 }
 
 // openRequest is a request that a router has been granted a target for.
@@ -85,7 +85,7 @@
 	f.net.Hooks = fakenet.Hooks{
 		Grant: f.onGrant, Refuse: f.onRefuse, Probe: f.onProbe,
 		ReadStore: func(node int, a core.ReadStore) {
-			f.clock.After(time.Millisecond, func() { f.net.Step(node, f.store.since(a.After)) })
+			f.clock.After(time.Millisecond, func() { f.net.Step(node, f.store.since(a.AfterRevision)) })
 		},
 	}
 	f.accept(baseResources(targets))
@@ -140,9 +140,9 @@
 
 // push sends a change to some routers, as the accepting controller would.
 func (f *fleet) push(change resource.Change, to ...int) {
-	m := &peerv1.PushRequest{Protocol: ticket.Protocol, Changes: core.ToWire([]resource.Change{change})}
+	m := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
 	for _, node := range to {
-		f.net.Deliver(fakenet.Outside, node, m, func(core.Respond) {})
+		f.net.Deliver(fakenet.Outside, node, m, func(core.AnswerCall) {})
 	}
 }
 
@@ -166,14 +166,14 @@
 		return f.nextID
 	}
 	f.waiting[f.nextID] = node
-	f.net.Step(node, core.Arrived{
+	f.net.Step(node, core.RequestArrived{
 		ID: f.nextID, Pool: poolName, Team: teamName, Chat: f.nextID % 17, Priority: priority,
 		Deadline: f.clock.Now().Add(patience),
 	})
 	return f.nextID
 }
 
-func (f *fleet) onGrant(node int, a core.Grant) {
+func (f *fleet) onGrant(node int, a core.GrantTarget) {
 	f.decide(a.ID)
 	f.note("granted %d: target %d", a.ID, a.Target.UID)
 	f.open[a.ID] = openRequest{router: node, id: a.ID, target: a.Target.UID}
@@ -185,7 +185,7 @@
 	}
 }
 
-func (f *fleet) onRefuse(_ int, a core.Refuse) {
+func (f *fleet) onRefuse(_ int, a core.RefuseRequest) {
 	f.note("refused %d: %d", a.ID, a.Code)
 	f.decide(a.ID)
 }
@@ -217,10 +217,10 @@
 	return n
 }
 
-func (f *fleet) onProbe(node int, a core.Probe) {
+func (f *fleet) onProbe(node int, a core.ProbeTarget) {
 	open := f.openAt(a.Target.UID)
 	f.clock.After(2*time.Millisecond, func() {
-		f.net.Step(node, core.Reported{Pool: poolName, Target: a.Target.UID, Open: open})
+		f.net.Step(node, core.LoadReported{Pool: poolName, Target: a.Target.UID, OpenRequests: open})
 	})
 }
 
@@ -237,7 +237,7 @@
 	r := f.open[ids[choice%len(ids)]]
 	delete(f.open, r.id)
 	f.note("ended %d", r.id)
-	f.net.Step(r.router, core.Ended{ID: r.id, Outcome: outcome})
+	f.net.Step(r.router, core.RequestEnded{ID: r.id, Outcome: outcome})
 }
 
 // kill ends a router's process; its requests end with it.
--- a/internal/core/router/guards_test.go
+++ b/internal/core/router/guards_test.go
@@ -29,7 +29,7 @@
 	s := core.DefaultSettings(ownerID, []uint32{ownerID, followerID})
 	s.Incarnation = 7
 	l := &lone{Core: core.New(start, s), now: start}
-	l.step(core.StoreRead{Changes: []resource.Change{{Revision: 1, Resources: baseResources(targets)}}})
+	l.step(core.StoreReadCompleted{Changes: []resource.Change{{Revision: 1, Resources: baseResources(targets)}}})
 	l.step(core.Tick{})
 	return l
 }
@@ -52,7 +52,7 @@
 }
 
 func sent[M proto.Message](actions []core.Action) (M, bool) {
-	a, ok := find(actions, func(a core.Send) bool { _, is := a.Message.(M); return is })
+	a, ok := find(actions, func(a core.CallPeer) bool { _, is := a.Message.(M); return is })
 	if !ok {
 		var none M
 		return none, false
@@ -63,7 +63,7 @@
 func anyOf[A core.Action](A) bool { return true }
 
 func (l *lone) ask(id uint64) []core.Action {
-	return l.step(core.Arrived{
+	return l.step(core.RequestArrived{
 		ID: id, Pool: poolName, Team: teamName, Chat: id, Priority: fairqueue.Normal, Deadline: l.now.Add(time.Minute),
 	})
 }
@@ -71,17 +71,17 @@
 // followedBy makes the other router a follower that holds n tickets.
 func (l *lone) followedBy(n int) {
 	req := &peerv1.ExchangeRequest{
-		Protocol: ticket.Protocol, Pool: poolName, Router: followerID, Incarnation: 3, Sequence: 1, HasInventory: true,
+		Protocol: ticket.ProtocolVersion, Pool: poolName, Router: followerID, Incarnation: 3, Sequence: 1, HasInventory: true,
 	}
 	for i := range n {
 		req.Asks = append(req.Asks, &peerv1.Ask{Id: uint64(i + 1), Chat: uint64(i + 1), Priority: 2, DeadlineMillis: 60000})
 	}
-	l.step(core.CallIn{Call: 1, Message: req})
+	l.step(core.CallReceived{Call: 1, Message: req})
 }
 
 func (l *lone) heldInAll() int {
 	total := 0
-	for _, n := range l.HeldAt(poolName) {
+	for _, n := range l.TicketCounts(poolName) {
 		total += n
 	}
 	return total
@@ -93,11 +93,11 @@
 	s := core.DefaultSettings(followerID, []uint32{ownerID, followerID})
 	s.Incarnation = 7
 	l := &lone{Core: core.New(start, s), now: start}
-	actions := l.step(core.StoreRead{Changes: []resource.Change{{Revision: 1, Resources: baseResources(2)}}})
+	actions := l.step(core.StoreReadCompleted{Changes: []resource.Change{{Revision: 1, Resources: baseResources(2)}}})
 	actions = append(actions, l.step(core.Tick{})...)
 	req, ok := sent[*peerv1.ExchangeRequest](actions)
 	Expect(ok).To(BeTrue(), "the core follows the owner")
-	l.step(core.CallOut{To: ownerID, Request: req, Reply: &peerv1.ExchangeResponse{Sequence: req.GetSequence()}})
+	l.step(core.CallCompleted{To: ownerID, Request: req, Reply: &peerv1.ExchangeResponse{Sequence: req.GetSequence()}})
 	return l
 }
 
@@ -106,13 +106,13 @@
 	// configuration and grants the target. Cause: the grant is taken as it comes.
 	It("gives a ticket for a leaving target back and asks again without it", func() {
 		l := asFollower()
-		l.step(core.StoreRead{Changes: []resource.Change{{Revision: 2, Resources: []resource.Resource{targetResource(100, true)}}}})
+		l.step(core.StoreReadCompleted{Changes: []resource.Change{{Revision: 2, Resources: []resource.Resource{targetResource(100, true)}}}})
 		req, ok := sent[*peerv1.ExchangeRequest](l.ask(1))
 		Expect(ok).To(BeTrue())
-		actions := l.step(core.CallOut{To: ownerID, Request: req, Reply: &peerv1.ExchangeResponse{
+		actions := l.step(core.CallCompleted{To: ownerID, Request: req, Reply: &peerv1.ExchangeResponse{
 			Sequence: req.GetSequence(), Grants: []*peerv1.Grant{{Id: 1, Target: 100}},
 		}})
-		_, granted := find(actions, anyOf[core.Grant])
+		_, granted := find(actions, anyOf[core.GrantTarget])
 		Expect(granted).To(BeFalse())
 		again, ok := sent[*peerv1.ExchangeRequest](actions)
 		Expect(ok).To(BeTrue())
@@ -126,17 +126,17 @@
 		l := asFollower()
 		l.ask(1)
 		deliver := &peerv1.DeliverRequest{
-			Protocol: ticket.Protocol, Pool: poolName, Owner: ownerID, Incarnation: 6,
+			Protocol: ticket.ProtocolVersion, Pool: poolName, Owner: ownerID, Incarnation: 6,
 			Grants: []*peerv1.Grant{{Id: 1, Target: 100}},
 		}
-		actions := l.step(core.CallIn{Call: 1, Message: deliver})
-		_, granted := find(actions, anyOf[core.Grant])
+		actions := l.step(core.CallReceived{Call: 1, Message: deliver})
+		_, granted := find(actions, anyOf[core.GrantTarget])
 		Expect(granted).To(BeFalse())
-		r, ok := find(actions, anyOf[core.Respond])
+		r, ok := find(actions, anyOf[core.AnswerCall])
 		Expect(ok).To(BeTrue())
 		Expect(r.Err).To(BeAssignableToTypeOf(&code.Error{}))
 		deliver.Incarnation = 7
-		_, granted = find(l.step(core.CallIn{Call: 2, Message: deliver}), anyOf[core.Grant])
+		_, granted = find(l.step(core.CallReceived{Call: 2, Message: deliver}), anyOf[core.GrantTarget])
 		Expect(granted).To(BeTrue())
 	})
 
@@ -145,7 +145,7 @@
 		for _, m := range []proto.Message{
 			&peerv1.ExchangeRequest{Protocol: 9}, &peerv1.GossipRequest{}, &peerv1.PushRequest{Protocol: 2},
 		} {
-			r, ok := find(l.step(core.CallIn{Call: 1, Message: m}), anyOf[core.Respond])
+			r, ok := find(l.step(core.CallReceived{Call: 1, Message: m}), anyOf[core.AnswerCall])
 			Expect(ok).To(BeTrue())
 			Expect(r.Err).To(MatchError(ContainSubstring("7001")))
 		}
@@ -155,10 +155,10 @@
 	It("refuses routers that are not listed", func() {
 		l := asFollower()
 		for _, m := range []proto.Message{
-			&peerv1.ExchangeRequest{Protocol: ticket.Protocol, Router: 99, HasInventory: true},
-			&peerv1.GossipRequest{Protocol: ticket.Protocol, Router: 99},
+			&peerv1.ExchangeRequest{Protocol: ticket.ProtocolVersion, Router: 99, HasInventory: true},
+			&peerv1.GossipRequest{Protocol: ticket.ProtocolVersion, Router: 99},
 		} {
-			r, _ := find(l.step(core.CallIn{Call: 1, Message: m}), anyOf[core.Respond])
+			r, _ := find(l.step(core.CallReceived{Call: 1, Message: m}), anyOf[core.AnswerCall])
 			Expect(r.Err).To(MatchError(ContainSubstring("7002")))
 		}
 	})
@@ -169,16 +169,16 @@
 		l := newOwner(1)
 		l.followedBy(maxPerTarget + 2) // two more than there are places
 		Expect(l.heldInAll()).To(BeNumerically(">", 0))
-		actions := l.step(core.CallIn{Call: 2, Message: &peerv1.ExchangeRequest{
-			Protocol: ticket.Protocol, Pool: poolName, Router: followerID, Incarnation: 3, Sequence: 2,
+		actions := l.step(core.CallReceived{Call: 2, Message: &peerv1.ExchangeRequest{
+			Protocol: ticket.ProtocolVersion, Pool: poolName, Router: followerID, Incarnation: 3, Sequence: 2,
 			Releases: []*peerv1.Release{{Id: 1}},
 		}})
-		r, ok := find(actions, anyOf[core.Respond])
+		r, ok := find(actions, anyOf[core.AnswerCall])
 		Expect(ok).To(BeTrue())
 		resp := r.Message.(*peerv1.ExchangeResponse)
 		Expect(resp.GetGrants()).NotTo(BeEmpty())
 		return l, &peerv1.DeliverRequest{
-			Protocol: ticket.Protocol, Pool: poolName, Owner: ownerID, Incarnation: 3, Grants: resp.GetGrants(),
+			Protocol: ticket.ProtocolVersion, Pool: poolName, Owner: ownerID, Incarnation: 3, Grants: resp.GetGrants(),
 		}
 	}
 
@@ -186,7 +186,7 @@
 	// Sequence: the message with its late grant is lost.
 	It("sends late grants again until they arrive, but not at once", func() {
 		l, deliver := full()
-		actions := l.step(core.CallOut{To: followerID, Request: deliver})
+		actions := l.step(core.CallCompleted{To: followerID, Request: deliver})
 		_, again := sent[*peerv1.DeliverRequest](actions)
 		Expect(again).To(BeFalse(), "a refused connection would be tried thousands of times")
 		l.now = l.now.Add(400 * time.Millisecond)
--- a/internal/core/router/peers.go
+++ b/internal/core/router/peers.go
@@ -10,14 +10,14 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-func (c *Core) callIn(now time.Time, ev CallIn) {
+func (c *Core) callIn(now time.Time, ev CallReceived) {
 	reply, err := c.handle(now, ev.Message)
-	c.emit(Respond{Call: ev.Call, Message: reply, Err: err})
+	c.emit(AnswerCall{Call: ev.Call, Message: reply, Err: err})
 }
 
 func (c *Core) handle(now time.Time, m proto.Message) (proto.Message, error) {
-	if p, ok := m.(interface{ GetProtocol() uint32 }); ok && p.GetProtocol() != ticket.Protocol {
-		return nil, code.New(code.BadProtocol, "protocol %d, want %d", p.GetProtocol(), ticket.Protocol)
+	if p, ok := m.(interface{ GetProtocol() uint32 }); ok && p.GetProtocol() != ticket.ProtocolVersion {
+		return nil, code.New(code.BadProtocol, "protocol %d, want %d", p.GetProtocol(), ticket.ProtocolVersion)
 	}
 	switch m := m.(type) {
 	case *peerv1.ExchangeRequest:
@@ -35,12 +35,12 @@
 }
 
 func (c *Core) handleExchange(now time.Time, m *peerv1.ExchangeRequest) (proto.Message, error) {
-	if !c.members.Listed(m.GetRouter()) {
+	if !c.members.IsListed(m.GetRouter()) {
 		return nil, code.New(code.UnknownRouter, "router %d is not listed", m.GetRouter())
 	}
 	if m.GetUnfollow() {
-		if l, ok := c.ledgers[m.GetPool()]; ok && !l.HeardAfter(m.GetRouter(), m.GetSequence()) {
-			c.deliver(now, m.GetPool(), l.Depart(now, m.GetRouter(), true))
+		if l, ok := c.ledgers[m.GetPool()]; ok && !l.HasNewerExchange(m.GetRouter(), m.GetSequence()) {
+			c.deliver(now, m.GetPool(), l.RemoveFollower(now, m.GetRouter(), true))
 		}
 		return &peerv1.ExchangeResponse{}, nil
 	}
@@ -48,7 +48,7 @@
 	if !ok {
 		return nil, code.New(code.UnknownPool, "no pool %q at revision %d", m.GetPool(), c.config.Revision())
 	}
-	resp, deliveries, err := l.Exchange(now, m)
+	resp, deliveries, err := l.HandleExchange(now, m)
 	if err != nil {
 		return nil, err
 	}
@@ -61,12 +61,12 @@
 	if m.GetIncarnation() != c.settings.Incarnation {
 		return nil, code.New(code.OldIncarnation, "grants are for incarnation %d", m.GetIncarnation())
 	}
-	c.granted(now, m.GetPool(), c.client(m.GetPool()).Delivered(now, m.GetOwner(), m.GetGrants()))
+	c.granted(now, m.GetPool(), c.client(m.GetPool()).HandleDelivery(now, m.GetOwner(), m.GetGrants()))
 	return &peerv1.DeliverResponse{}, nil
 }
 
 func (c *Core) handleGossip(now time.Time, m *peerv1.GossipRequest) (proto.Message, error) {
-	if !c.members.Listed(m.GetRouter()) {
+	if !c.members.IsListed(m.GetRouter()) {
 		return nil, code.New(code.UnknownRouter, "router %d is not listed", m.GetRouter())
 	}
 	c.merge(now, m.GetHeartbeats())
@@ -76,11 +76,11 @@
 // merge takes in heartbeats. The tickets of a router that restarted become
 // ghosts at once: its requests were cut off with the old process.
 func (c *Core) merge(now time.Time, heartbeats []*peerv1.Heartbeat) {
-	for _, id := range c.members.Merge(now, heartbeats) {
+	for _, id := range c.members.MergeHeartbeats(now, heartbeats) {
 		delete(c.failedOwner, id)
 		for _, name := range c.ledgerNames() {
-			if c.ledgers[name].Incarnation(id) < c.members.Incarnation(id) {
-				c.deliver(now, name, c.ledgers[name].Depart(now, id, false))
+			if c.ledgers[name].FollowerIncarnation(id) < c.members.Incarnation(id) {
+				c.deliver(now, name, c.ledgers[name].RemoveFollower(now, id, false))
 				c.nextProbe = now
 			}
 		}
@@ -88,7 +88,7 @@
 	c.pullIfBehind(now)
 }
 
-func (c *Core) callOut(now time.Time, ev CallOut) {
+func (c *Core) callOut(now time.Time, ev CallCompleted) {
 	switch req := ev.Request.(type) {
 	case *peerv1.ExchangeRequest:
 		if req.GetUnfollow() {
@@ -96,9 +96,9 @@
 			return
 		}
 		if resp, ok := ev.Reply.(*peerv1.ExchangeResponse); ok && resp != nil {
-			c.granted(now, req.GetPool(), c.client(req.GetPool()).Replied(now, ev.To, resp))
+			c.granted(now, req.GetPool(), c.client(req.GetPool()).HandleReply(now, ev.To, resp))
 		} else {
-			c.client(req.GetPool()).Unanswered(now, ev.To, req.GetSequence())
+			c.client(req.GetPool()).HandleFailedCall(now, ev.To, req.GetSequence())
 		}
 	case *peerv1.DeliverRequest:
 		if ev.Reply == nil {
@@ -119,10 +119,10 @@
 // repeatUnfollow tells an old owner again that this router has left it. If the
 // message were lost for good, the old owner would count the router's last tickets
 // for as long as both live.
-func (c *Core) repeatUnfollow(now time.Time, ev CallOut) {
+func (c *Core) repeatUnfollow(now time.Time, ev CallCompleted) {
 	req, ok := ev.Request.(*peerv1.ExchangeRequest)
-	if ok && ev.Reply == nil && c.client(req.GetPool()).Owner() != ev.To && c.members.Alive(now, ev.To) {
-		c.repeat(now, Send{To: ev.To, Message: req})
+	if ok && ev.Reply == nil && c.client(req.GetPool()).Owner() != ev.To && c.members.IsAlive(now, ev.To) {
+		c.repeat(now, CallPeer{To: ev.To, Message: req})
 	}
 }
 
@@ -131,8 +131,8 @@
 // counted.
 func (c *Core) redeliver(now time.Time, to uint32, req *peerv1.DeliverRequest) {
 	l, ok := c.ledgers[req.GetPool()]
-	if ok && l.Incarnation(to) == req.GetIncarnation() && c.members.Alive(now, to) {
-		c.repeat(now, Send{To: to, Message: req})
+	if ok && l.FollowerIncarnation(to) == req.GetIncarnation() && c.members.IsAlive(now, to) {
+		c.repeat(now, CallPeer{To: to, Message: req})
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // repeat sends a message again after a pause. Without one, a dead peer that
 // refuses connections would be called thousands of times until it is suspected.
-func (c *Core) repeat(now time.Time, s Send) {
+func (c *Core) repeat(now time.Time, s CallPeer) {
 	c.repeats = append(c.repeats, repeated{due: now.Add(c.jittered(repeatPause)), send: s})
 }
 
@@ -153,7 +153,7 @@
 		switch {
 		case r.due.After(now):
 			kept = append(kept, r)
-		case c.members.Alive(now, r.send.To):
+		case c.members.IsAlive(now, r.send.To):
 			c.emit(r.send)
 		}
 	}
--- a/internal/core/router/property_test.go
+++ b/internal/core/router/property_test.go
@@ -22,7 +22,7 @@
 
 // shortLived makes what only time removes go sooner, so that a schedule settles
 // in little simulated time.
-func shortLived(s *core.Settings) { s.Ledger.MovedGhostFor = 10 * time.Second }
+func shortLived(s *core.Settings) { s.Ledger.MovedOrphanTimeout = 10 * time.Second }
 
 // steps returns the random steps of a schedule. Those of faults are chosen by the test.
 func (f *fleet) steps(faults map[string]func(*rapid.T)) map[string]func(*rapid.T) {
@@ -62,7 +62,7 @@
 		c := f.net.Core(i)
 		g.Expect(c.OpenRequests()).To(BeZero(), history)
 		g.Expect(c.Revision()).To(Equal(uint64(len(f.store.changes))), history)
-		for uid, n := range c.HeldAt(poolName) {
+		for uid, n := range c.TicketCounts(poolName) {
 			g.Expect(n).To(BeZero(), func() string {
 				return fmt.Sprintf("router %d still counts requests at target %d\n%s", i+1, uid, history())
 			})
--- a/internal/core/router/requests.go
+++ b/internal/core/router/requests.go
@@ -20,14 +20,14 @@
 // retryLater is the Retry-After of refusals that no queue explains.
 const retryLater = time.Second
 
-func (c *Core) arrived(now time.Time, ev Arrived) {
+func (c *Core) arrived(now time.Time, ev RequestArrived) {
 	if refusal, bad := c.check(ev); bad {
-		c.emit(Refuse{ID: ev.ID, Code: refusal, RetryAfter: c.jittered(retryLater)})
+		c.emit(RefuseRequest{ID: ev.ID, Code: refusal, RetryAfter: c.jittered(retryLater)})
 		return
 	}
 	team, _ := c.table.Team(ev.Team)
 	c.requests[ev.ID] = &request{arrived: ev, pool: ev.Pool}
-	c.client(ev.Pool).Ask(&peerv1.Ask{
+	c.client(ev.Pool).RequestTicket(&peerv1.Ask{
 		Id: ev.ID, Chat: ev.Chat, Team: team.UID, Priority: uint32(ev.Priority), Excluded: ev.Excluded,
 	}, ev.Deadline)
 }
@@ -35,7 +35,7 @@
 // check refuses what can't or must not go on. Retries are checked against their
 // budgets here; new work also against this router's own state. A router that is
 // stopping still serves: the balancer keeps sending for a while.
-func (c *Core) check(ev Arrived) (code.Code, bool) {
+func (c *Core) check(ev RequestArrived) (code.Code, bool) {
 	if !ev.Retry && c.readySent && !c.ready.Ready && c.ready.Reason != code.ShuttingDown {
 		return c.ready.Reason, true
 	}
@@ -68,13 +68,13 @@
 	return b
 }
 
-func (c *Core) ended(ev Ended) {
+func (c *Core) ended(ev RequestEnded) {
 	r, ok := c.requests[ev.ID]
 	if !ok {
 		return
 	}
 	delete(c.requests, ev.ID)
-	c.client(r.pool).Release(ev.ID, ev.Outcome)
+	c.client(r.pool).ReleaseTicket(ev.ID, ev.Outcome)
 }
 
 // expire refuses requests that still wait at their deadline. The owner does so
@@ -88,21 +88,21 @@
 	}
 	slices.Sort(late)
 	for _, id := range late {
-		c.ended(Ended{ID: id, Outcome: peerv1.Outcome_OUTCOME_UNUSED})
-		c.emit(Refuse{ID: id, Code: code.DeadlineTooShort, RetryAfter: c.jittered(retryLater)})
+		c.ended(RequestEnded{ID: id, Outcome: peerv1.Outcome_OUTCOME_UNUSED})
+		c.emit(RefuseRequest{ID: id, Code: code.DeadlineTooShort, RetryAfter: c.jittered(retryLater)})
 	}
 }
 
-func (c *Core) reported(now time.Time, ev Reported) {
+func (c *Core) reported(now time.Time, ev LoadReported) {
 	if l, ok := c.ledgers[ev.Pool]; ok {
-		c.deliver(now, ev.Pool, l.Report(ev.Target, ev.Open, now))
+		c.deliver(now, ev.Pool, l.ApplyLoadReport(ev.Target, ev.OpenRequests, now))
 	}
 }
 
 func (c *Core) client(pool string) *ticket.Client {
 	cl, ok := c.clients[pool]
 	if !ok {
-		cl = ticket.New(pool, c.settings.Self, c.settings.Incarnation, c.settings.ReleaseHold)
+		cl = ticket.New(pool, c.settings.Self, c.settings.Incarnation, c.settings.ReleaseDelay)
 		c.clients[pool] = cl
 	}
 	return cl
@@ -127,13 +127,13 @@
 		if old == owner {
 			continue
 		}
-		cl.Follow(owner)
+		cl.SetOwner(owner)
 		c.leaveOwner(now, name, old)
 	}
 }
 
 func (c *Core) ownersInReach(now time.Time) []uint32 {
-	live := c.members.Live(now)
+	live := c.members.LiveRouters(now)
 	out := live[:0]
 	for _, id := range live {
 		if now.Before(c.failedOwner[id]) {
@@ -152,12 +152,12 @@
 	case 0:
 	case c.settings.Self:
 		if l, ok := c.ledgers[pool]; ok {
-			c.deliver(now, pool, l.Depart(now, c.settings.Self, true))
+			c.deliver(now, pool, l.RemoveFollower(now, c.settings.Self, true))
 		}
 	default:
-		c.emit(Send{To: old, Message: &peerv1.ExchangeRequest{
-			Protocol: ticket.Protocol, Pool: pool, Router: c.settings.Self,
-			Incarnation: c.settings.Incarnation, Sequence: c.client(pool).Sequence(), Unfollow: true,
+		c.emit(CallPeer{To: old, Message: &peerv1.ExchangeRequest{
+			Protocol: ticket.ProtocolVersion, Pool: pool, Router: c.settings.Self,
+			Incarnation: c.settings.Incarnation, Sequence: c.client(pool).LastSequence(), Unfollow: true,
 		}})
 	}
 }
@@ -167,17 +167,17 @@
 func (c *Core) exchange(now time.Time) {
 	for _, name := range c.clientNames() {
 		cl := c.clients[name]
-		if cl.Failed() && cl.Owner() != c.settings.Self {
+		if cl.HasOwnerFailed() && cl.Owner() != c.settings.Self {
 			c.failedOwner[cl.Owner()] = now.Add(ownerPenalty)
 			c.followOwners(now)
 		}
 		for {
-			req := cl.Next(now)
+			req := cl.NextExchange(now)
 			if req == nil {
 				break
 			}
 			if cl.Owner() != c.settings.Self {
-				c.emit(Send{To: cl.Owner(), Message: req})
+				c.emit(CallPeer{To: cl.Owner(), Message: req})
 				break
 			}
 			if !c.exchangeWithSelf(now, name, req) {
@@ -192,11 +192,11 @@
 	if !ok {
 		return false
 	}
-	resp, deliveries, err := l.Exchange(now, req)
+	resp, deliveries, err := l.HandleExchange(now, req)
 	if err != nil {
 		return false
 	}
-	c.granted(now, pool, c.clients[pool].Replied(now, c.settings.Self, resp))
+	c.granted(now, pool, c.clients[pool].HandleReply(now, c.settings.Self, resp))
 	c.deliver(now, pool, deliveries)
 	return true
 }
@@ -210,7 +210,7 @@
 		return nil, false
 	}
 	s := c.settings.Ledger
-	s.ReleaseHold = c.settings.ReleaseHold
+	s.ReleaseDelay = c.settings.ReleaseDelay
 	l := ledger.New(now, s, p, c.table, c.rand)
 	c.ledgers[pool] = l
 	c.nextProbe = now // the targets know what earlier owners granted
@@ -222,8 +222,8 @@
 // have been drained and handed over meanwhile.
 func (c *Core) giveBack(pool string, r *request) {
 	delete(c.requests, r.arrived.ID)
-	c.client(pool).Release(r.arrived.ID, peerv1.Outcome_OUTCOME_UNUSED)
-	c.emit(Refuse{ID: r.arrived.ID, Code: code.StaleConfig, RetryAfter: c.jittered(retryLater)})
+	c.client(pool).ReleaseTicket(r.arrived.ID, peerv1.Outcome_OUTCOME_UNUSED)
+	c.emit(RefuseRequest{ID: r.arrived.ID, Code: code.StaleConfig, RetryAfter: c.jittered(retryLater)})
 }
 
 // granted turns the owner's answers into actions. A grant for a target that this
@@ -237,7 +237,7 @@
 		}
 		if g.GetTarget() == 0 {
 			delete(c.requests, g.GetId())
-			c.emit(Refuse{
+			c.emit(RefuseRequest{
 				ID: g.GetId(), Code: code.Code(g.GetCode()),
 				RetryAfter: time.Duration(g.GetRetryAfterMillis()) * time.Millisecond,
 			})
@@ -253,7 +253,7 @@
 			continue
 		}
 		r.granted = g.GetTarget()
-		c.emit(Grant{ID: g.GetId(), Target: target, Pool: p})
+		c.emit(GrantTarget{ID: g.GetId(), Target: target, Pool: p})
 	}
 }
 
@@ -274,15 +274,15 @@
 const maxGivenBack = 5
 
 func (c *Core) askAgain(pool string, r *request, uid uint64) {
-	c.client(pool).Release(r.arrived.ID, peerv1.Outcome_OUTCOME_UNUSED)
+	c.client(pool).ReleaseTicket(r.arrived.ID, peerv1.Outcome_OUTCOME_UNUSED)
 	r.arrived.Excluded = append(r.arrived.Excluded, uid)
 	if len(r.arrived.Excluded) > maxGivenBack {
 		delete(c.requests, r.arrived.ID)
-		c.emit(Refuse{ID: r.arrived.ID, Code: code.NoTarget, RetryAfter: c.jittered(retryLater)})
+		c.emit(RefuseRequest{ID: r.arrived.ID, Code: code.NoTarget, RetryAfter: c.jittered(retryLater)})
 		return
 	}
 	team, _ := c.table.Team(r.arrived.Team)
-	c.client(pool).Ask(&peerv1.Ask{
+	c.client(pool).RequestTicket(&peerv1.Ask{
 		Id: r.arrived.ID, Chat: r.arrived.Chat, Team: team.UID,
 		Priority: uint32(r.arrived.Priority), Excluded: r.arrived.Excluded,
 	}, r.arrived.Deadline)
@@ -294,13 +294,13 @@
 	var order []uint32
 	for _, d := range deliveries {
 		if d.Router == c.settings.Self {
-			c.granted(now, pool, c.client(pool).Delivered(now, c.settings.Self, []*peerv1.Grant{d.Grant}))
+			c.granted(now, pool, c.client(pool).HandleDelivery(now, c.settings.Self, []*peerv1.Grant{d.Grant}))
 			continue
 		}
 		m, ok := byRouter[d.Router]
 		if !ok {
 			m = &peerv1.DeliverRequest{
-				Protocol: ticket.Protocol, Pool: pool, Owner: c.settings.Self, Incarnation: d.Incarnation,
+				Protocol: ticket.ProtocolVersion, Pool: pool, Owner: c.settings.Self, Incarnation: d.Incarnation,
 			}
 			byRouter[d.Router] = m
 			order = append(order, d.Router)
@@ -308,7 +308,7 @@
 		m.Grants = append(m.Grants, d.Grant)
 	}
 	for _, to := range order {
-		c.emit(Send{To: to, Message: byRouter[to]})
+		c.emit(CallPeer{To: to, Message: byRouter[to]})
 	}
 }
 
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -89,7 +89,7 @@
 		delete(t.byTeamUID, t.teams[r.Metadata.Name].UID)
 		delete(t.teams, r.Metadata.Name)
 		var spec resource.TeamSpec
-		if r.Deleted || resource.Decode(r.Spec, &spec) != nil {
+		if r.Deleted || resource.DecodeSpec(r.Spec, &spec) != nil {
 			continue
 		}
 		if spec.Weight == 0 {
@@ -140,7 +140,7 @@
 func (t *Table) putPool(r resource.Resource, copies map[string]*Pool) {
 	name := r.Metadata.Name
 	var spec resource.PoolSpec
-	if r.Deleted || resource.Decode(r.Spec, &spec) != nil {
+	if r.Deleted || resource.DecodeSpec(r.Spec, &spec) != nil {
 		delete(t.pools, name)
 		delete(copies, name)
 		return
@@ -161,7 +161,7 @@
 
 func (t *Table) putTarget(r resource.Resource, copies map[string]*Pool) {
 	var spec resource.TargetSpec
-	if resource.Decode(r.Spec, &spec) != nil {
+	if resource.DecodeSpec(r.Spec, &spec) != nil {
 		return
 	}
 	p := t.writablePool(spec.Pool, copies)
--- a/internal/core/ticket/ticket.go
+++ b/internal/core/ticket/ticket.go
@@ -10,9 +10,9 @@
 	peerv1 "github.com/hemlockdyke/hemlockdyke/gen/hemlockdyke/peer/v1"
 )
 
-// Protocol is the version of the peer protocol. A peer that speaks another one
+// ProtocolVersion is the version of the peer protocol. A peer that speaks another one
 // is refused, since it may mean something else by the same fields.
-const Protocol = 1
+const ProtocolVersion = 1
 
 // retransmitAfter is how long an exchange may stay unanswered before it is sent
 // again, and failAfter unanswered sends the owner counts as failed.
@@ -71,19 +71,19 @@
 // Owner returns the router that this client follows, 0 if none.
 func (c *Client) Owner() uint32 { return c.owner }
 
-// Sequence returns the number of the last exchange built.
-func (c *Client) Sequence() uint64 { return c.sequence }
+// LastSequence returns the number of the last exchange built.
+func (c *Client) LastSequence() uint64 { return c.sequence }
 
-// Open returns the number of tickets held.
-func (c *Client) Open() int { return len(c.open) }
+// HeldTickets returns the number of tickets held.
+func (c *Client) HeldTickets() int { return len(c.open) }
 
-// Waiting returns the number of asks without an answer.
-func (c *Client) Waiting() int { return len(c.asks) }
+// PendingRequests returns the number of asks without an answer.
+func (c *Client) PendingRequests() int { return len(c.asks) }
 
-// Follow moves to another owner. Everything still open goes to the new one with
+// SetOwner moves to another owner. Everything still open goes to the new one with
 // the next exchange. Releases not yet sent are dropped: the new owner learns the
 // inventory, and the old one drops this router.
-func (c *Client) Follow(owner uint32) {
+func (c *Client) SetOwner(owner uint32) {
 	if owner == c.owner {
 		return
 	}
@@ -103,15 +103,15 @@
 	}
 }
 
-// Ask adds a request that needs a ticket until a deadline.
-func (c *Client) Ask(a *peerv1.Ask, deadline time.Time) {
+// RequestTicket adds a request that needs a ticket until a deadline.
+func (c *Client) RequestTicket(a *peerv1.Ask, deadline time.Time) {
 	c.asks[a.GetId()] = a
 	c.unsent[a.GetId()] = true
 	c.deadline[a.GetId()] = deadline
 }
 
-// Release gives a ticket back or withdraws an ask.
-func (c *Client) Release(id uint64, outcome peerv1.Outcome) {
+// ReleaseTicket gives a ticket back or withdraws an ask.
+func (c *Client) ReleaseTicket(id uint64, outcome peerv1.Outcome) {
 	_, held := c.open[id]
 	_, asked := c.asks[id]
 	if !held && !asked {
@@ -131,9 +131,9 @@
 	delete(c.deadline, id)
 }
 
-// Next returns the exchange to send now, or nil. It repeats an unanswered one
+// NextExchange returns the exchange to send now, or nil. It repeats an unanswered one
 // with the same sequence number and content.
-func (c *Client) Next(now time.Time) *peerv1.ExchangeRequest {
+func (c *Client) NextExchange(now time.Time) *peerv1.ExchangeRequest {
 	if c.owner == 0 {
 		return nil
 	}
@@ -167,7 +167,7 @@
 func (c *Client) build(now time.Time) *peerv1.ExchangeRequest {
 	c.sequence++
 	req := &peerv1.ExchangeRequest{
-		Protocol: Protocol, Pool: c.pool, Router: c.self, Incarnation: c.incarnation,
+		Protocol: ProtocolVersion, Pool: c.pool, Router: c.self, Incarnation: c.incarnation,
 		Sequence: c.sequence, Releases: c.releases, Placements: c.placements.next(now),
 	}
 	c.releases = nil
@@ -200,17 +200,17 @@
 	return keys
 }
 
-// Unanswered takes the news that a call to the owner failed. A refused connection
+// HandleFailedCall takes the news that a call to the owner failed. A refused connection
 // fails at once, so the next try need not wait for the whole retransmit time.
-func (c *Client) Unanswered(now time.Time, from uint32, sequence uint64) {
+func (c *Client) HandleFailedCall(now time.Time, from uint32, sequence uint64) {
 	if from == c.owner && c.inFlight != nil && c.inFlight.GetSequence() == sequence {
 		c.sentAt = now.Add(failedPause - retransmitAfter)
 	}
 }
 
-// Replied takes in the owner's reply and returns its grants. A reply to anything
+// HandleReply takes in the owner's reply and returns its grants. A reply to anything
 // but the exchange under way is late and changes nothing.
-func (c *Client) Replied(now time.Time, from uint32, resp *peerv1.ExchangeResponse) []*peerv1.Grant {
+func (c *Client) HandleReply(now time.Time, from uint32, resp *peerv1.ExchangeResponse) []*peerv1.Grant {
 	if from != c.owner || c.inFlight == nil || resp.GetSequence() != c.inFlight.GetSequence() {
 		return nil
 	}
@@ -225,8 +225,8 @@
 	return c.take(now, resp.GetGrants())
 }
 
-// Delivered takes in grants of asks that had to wait at the owner.
-func (c *Client) Delivered(now time.Time, from uint32, grants []*peerv1.Grant) []*peerv1.Grant {
+// HandleDelivery takes in grants of asks that had to wait at the owner.
+func (c *Client) HandleDelivery(now time.Time, from uint32, grants []*peerv1.Grant) []*peerv1.Grant {
 	if from != c.owner {
 		return nil
 	}
@@ -255,5 +255,5 @@
 	return out
 }
 
-// Failed reports whether the owner left several sends unanswered.
-func (c *Client) Failed() bool { return c.unreplied >= failAfter }
+// HasOwnerFailed reports whether the owner left several sends unanswered.
+func (c *Client) HasOwnerFailed() bool { return c.unreplied >= failAfter }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -101,8 +101,8 @@
 	c.Seed = incarnation
 	c.GossipInterval = s.Control.GossipInterval.Std()
 	c.PollInterval = s.Control.PollInterval.Std()
-	c.SuspectAfter = s.Control.SuspectAfter.Std()
-	c.FreshFor = s.Control.FreshFor.Std()
+	c.SuspectTimeout = s.Control.SuspectAfter.Std()
+	c.FreshnessTimeout = s.Control.FreshFor.Std()
 	c.Ledger.MaxQueued = s.Limits.MaxQueued
 	return c
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -70,7 +70,7 @@
 	}
 	for i := range ids {
 		f.net.Add(f.newCore(i), core.TickInterval)
-		f.net.Step(i, core.StoreRead{})
+		f.net.Step(i, core.StoreReadCompleted{})
 	}
 	if s.scenario.KillOwnerEvery > 0 {
 		f.killOwners()
@@ -144,9 +144,9 @@
 		})
 	}
 	f.changes = append(f.changes, change)
-	push := &peerv1.PushRequest{Protocol: ticket.Protocol, Changes: core.ToWire([]resource.Change{change})}
+	push := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
 	for i := range f.net.Nodes() {
-		f.net.Deliver(0, i, push, func(core.Respond) {})
+		f.net.Deliver(0, i, push, func(core.AnswerCall) {})
 	}
 }
 
@@ -174,7 +174,7 @@
 func (f *fleet) ask(r *request, excluded []uint64, retry bool) {
 	f.nextID++
 	f.requests[askKey{r.router, f.nextID}] = r
-	f.net.Step(r.router, core.Arrived{
+	f.net.Step(r.router, core.RequestArrived{
 		ID: f.nextID, Pool: poolName, Team: r.team, Chat: rendezvous.Mix(uint64(r.chat.id), 1),
 		Priority: r.priority, Deadline: r.deadline, Excluded: excluded, Retry: retry,
 	})
@@ -182,29 +182,29 @@
 
 // onReadStore answers from the accepted changes.
 func (f *fleet) onReadStore(router int, a core.ReadStore) {
-	read := core.StoreRead{}
-	if a.After < uint64(len(f.changes)) {
-		read.Changes = f.changes[a.After:]
+	read := core.StoreReadCompleted{}
+	if a.AfterRevision < uint64(len(f.changes)) {
+		read.Changes = f.changes[a.AfterRevision:]
 	}
 	f.sim.clock.After(f.sim.scenario.OneWay, func() { f.net.Step(router, read) })
 }
 
-func (f *fleet) onProbe(router int, a core.Probe) {
+func (f *fleet) onProbe(router int, a core.ProbeTarget) {
 	open := len(f.sim.engines[a.Target.UID-firstTargetUID].open)
 	f.sim.measure.control += reportBytes
 	f.sim.clock.After(f.sim.scenario.OneWay, func() {
-		f.net.Step(router, core.Reported{Pool: poolName, Target: a.Target.UID, Open: open})
+		f.net.Step(router, core.LoadReported{Pool: poolName, Target: a.Target.UID, OpenRequests: open})
 	})
 }
 
-func (f *fleet) onSend(_ int, a core.Send) {
+func (f *fleet) onSend(_ int, a core.CallPeer) {
 	if m, ok := a.Message.(*peerv1.DeliverRequest); ok {
 		f.countGrants(int(a.To)-1, m.GetGrants())
 	}
 	f.sim.measure.control += callBytes + float64(proto.Size(a.Message))
 }
 
-func (f *fleet) onRespond(_, caller int, a core.Respond) {
+func (f *fleet) onRespond(_, caller int, a core.AnswerCall) {
 	if a.Err != nil {
 		return
 	}
@@ -214,7 +214,7 @@
 	f.sim.measure.control += float64(proto.Size(a.Message))
 }
 
-func (f *fleet) onRefuse(router int, a core.Refuse) {
+func (f *fleet) onRefuse(router int, a core.RefuseRequest) {
 	key := askKey{router, a.ID}
 	r := f.requests[key]
 	delete(f.requests, key)
@@ -231,7 +231,7 @@
 	f.sim.finished(r)
 }
 
-func (f *fleet) onGrant(router int, a core.Grant) {
+func (f *fleet) onGrant(router int, a core.GrantTarget) {
 	key := askKey{router, a.ID}
 	f.countGrants(router, []*peerv1.Grant{{Id: a.ID, Target: a.Target.UID}})
 	r := f.requests[key]
@@ -262,7 +262,7 @@
 	if !ok {
 		outcome = peerv1.Outcome_OUTCOME_FAILED
 	}
-	f.net.Step(key.router, core.Ended{ID: key.id, Outcome: outcome})
+	f.net.Step(key.router, core.RequestEnded{ID: key.id, Outcome: outcome})
 	if ok {
 		f.sim.finished(r)
 		return
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -33,11 +33,11 @@
 		base("rendezvous", chooseRendezvous, false),
 		base("bounded-rendezvous", chooseBoundedRendezvous, true),
 		ours("hemlockdyke", func(*core.Settings) {}),
-		ours("hemlockdyke-no-patience", func(s *core.Settings) { s.Ledger.HomePatience = 0 }),
-		ours("hemlockdyke-patience-1s", func(s *core.Settings) { s.Ledger.HomePatience = time.Second }),
-		ours("hemlockdyke-no-memory", func(s *core.Settings) { s.Ledger.Memory = 0 }),
+		ours("hemlockdyke-no-patience", func(s *core.Settings) { s.Ledger.CacheWaitTimeout = 0 }),
+		ours("hemlockdyke-patience-1s", func(s *core.Settings) { s.Ledger.CacheWaitTimeout = time.Second }),
+		ours("hemlockdyke-no-memory", func(s *core.Settings) { s.Ledger.ChatHistorySize = 0 }),
 		ours("hemlockdyke-no-margin", func(s *core.Settings) { s.Ledger.MeanMargin = 0 }),
-		ours("hemlockdyke-hold-250ms", func(s *core.Settings) { s.ReleaseHold = 250 * time.Millisecond }),
+		ours("hemlockdyke-hold-250ms", func(s *core.Settings) { s.ReleaseDelay = 250 * time.Millisecond }),
 		{Name: "hemlockdyke-partition", build: func(s *simulation, seed uint64) policy { return newPartition(s, seed) }},
 	}
 }
--- a/internal/experiment/spread.go
+++ b/internal/experiment/spread.go
@@ -163,14 +163,14 @@
 	sp.changes = append(sp.changes, change)
 	sp.accepted = sp.clock.Now()
 	sp.missing = sp.s.Routers
-	push := &peerv1.PushRequest{Protocol: ticket.Protocol, Changes: core.ToWire([]resource.Change{change})}
+	push := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
 	for _, node := range sp.rand.Perm(sp.s.Routers)[:min(sp.s.PushTo, sp.s.Routers)] {
 		sp.bytes["push"] += callBytes + float64(proto.Size(push))
-		sp.net.Deliver(fakenet.Outside, node, push, func(core.Respond) {})
+		sp.net.Deliver(fakenet.Outside, node, push, func(core.AnswerCall) {})
 	}
 }
 
-func (sp *spread) onPublish(node int, a core.Publish) {
+func (sp *spread) onPublish(node int, a core.PublishTable) {
 	if a.Table.Revision < sp.inForce[node] {
 		sp.result.Reverts++
 	}
@@ -185,12 +185,12 @@
 	}
 }
 
-func (sp *spread) onSend(_ int, a core.Send) {
+func (sp *spread) onSend(_ int, a core.CallPeer) {
 	sp.messages++
 	sp.bytes[kindOf(a.Message)] += callBytes + float64(proto.Size(a.Message))
 }
 
-func (sp *spread) onRespond(_, _ int, a core.Respond) {
+func (sp *spread) onRespond(_, _ int, a core.AnswerCall) {
 	if a.Err == nil {
 		sp.bytes[kindOf(a.Message)] += float64(proto.Size(a.Message))
 	}
@@ -215,11 +215,11 @@
 	sp.clock.After(2*sameRegion, func() {
 		switch {
 		case down:
-			sp.net.Step(node, core.StoreRead{Err: true})
-		case a.After < uint64(len(sp.changes)):
-			sp.net.Step(node, core.StoreRead{Changes: sp.changes[a.After:]})
+			sp.net.Step(node, core.StoreReadCompleted{Failed: true})
+		case a.AfterRevision < uint64(len(sp.changes)):
+			sp.net.Step(node, core.StoreReadCompleted{Changes: sp.changes[a.AfterRevision:]})
 		default:
-			sp.net.Step(node, core.StoreRead{})
+			sp.net.Step(node, core.StoreReadCompleted{})
 		}
 	})
 }
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -13,16 +13,16 @@
 
 // Hooks are called for the actions that leave the control plane. Nil ones are skipped.
 type Hooks struct {
-	Grant     func(node int, a core.Grant)
-	Refuse    func(node int, a core.Refuse)
-	Probe     func(node int, a core.Probe)
+	Grant     func(node int, a core.GrantTarget)
+	Refuse    func(node int, a core.RefuseRequest)
+	Probe     func(node int, a core.ProbeTarget)
 	ReadStore func(node int, a core.ReadStore)
-	Publish   func(node int, a core.Publish)
-	Ready     func(node int, a core.Ready)
+	Publish   func(node int, a core.PublishTable)
+	Ready     func(node int, a core.Readiness)
 	// Respond sees each reply as it leaves a node, with the node that called.
-	Respond func(node, caller int, a core.Respond)
+	Respond func(node, caller int, a core.AnswerCall)
 	// Send sees each call as it leaves a node.
-	Send func(node int, a core.Send)
+	Send func(node int, a core.CallPeer)
 }
 
 // Outside is the number of a caller that is not a router.
@@ -35,13 +35,13 @@
 	paused bool
 	held   []core.Event // events that wait for a paused node
 	epoch  int          // counts restarts; replies to an earlier process are lost
-	calls  map[core.Call]call
+	calls  map[core.CallID]call
 }
 
 type call struct {
 	from    int
 	epoch   int // of the caller
-	respond func(core.Respond)
+	respond func(core.AnswerCall)
 }
 
 // Net is a network of routers. Router numbers are the node's index plus one.
@@ -53,7 +53,7 @@
 	// Lost decides whether a message from a to b is lost on its way.
 	Lost  func(a, b int) bool
 	nodes []*Node
-	calls core.Call
+	calls core.CallID
 }
 
 // New returns a network without nodes, in which nothing is lost.
@@ -63,7 +63,7 @@
 
 // Add adds a node and starts its ticks. The phase spreads the ticks of nodes.
 func (n *Net) Add(c *core.Core, phase time.Duration) int {
-	n.nodes = append(n.nodes, &Node{Core: c, calls: make(map[core.Call]call)})
+	n.nodes = append(n.nodes, &Node{Core: c, calls: make(map[core.CallID]call)})
 	i := len(n.nodes) - 1
 	n.Clock.After(phase, func() { n.tick(i, n.nodes[i].epoch) })
 	return i
@@ -102,7 +102,7 @@
 // Restart starts a node's next process.
 func (n *Net) Restart(node int, c *core.Core) {
 	nd := n.nodes[node]
-	nd.Core, nd.down, nd.calls = c, false, make(map[core.Call]call)
+	nd.Core, nd.down, nd.calls = c, false, make(map[core.CallID]call)
 	nd.epoch++
 	n.tick(node, nd.epoch)
 }
@@ -140,21 +140,21 @@
 func (n *Net) act(node int, a core.Action) {
 	h := n.Hooks
 	switch a := a.(type) {
-	case core.Grant:
+	case core.GrantTarget:
 		run(h.Grant, node, a)
-	case core.Refuse:
+	case core.RefuseRequest:
 		run(h.Refuse, node, a)
-	case core.Probe:
+	case core.ProbeTarget:
 		run(h.Probe, node, a)
 	case core.ReadStore:
 		run(h.ReadStore, node, a)
-	case core.Publish:
+	case core.PublishTable:
 		run(h.Publish, node, a)
-	case core.Ready:
+	case core.Readiness:
 		run(h.Ready, node, a)
-	case core.Respond:
+	case core.AnswerCall:
 		n.respond(node, a)
-	case core.Send:
+	case core.CallPeer:
 		run(h.Send, node, a)
 		n.send(node, a)
 	}
@@ -166,7 +166,7 @@
 	}
 }
 
-func (n *Net) respond(node int, a core.Respond) {
+func (n *Net) respond(node int, a core.AnswerCall) {
 	c, ok := n.nodes[node].calls[a.Call]
 	if !ok {
 		return
@@ -180,7 +180,7 @@
 
 // send carries a call to its node and the reply back. A call that gets no reply
 // fails after the timeout; one to a dead process fails at once.
-func (n *Net) send(from int, a core.Send) {
+func (n *Net) send(from int, a core.CallPeer) {
 	epoch := n.nodes[from].epoch
 	answered := false
 	done := func(reply proto.Message) {
@@ -188,7 +188,7 @@
 			return
 		}
 		answered = true
-		n.Step(from, core.CallOut{To: a.To, Request: a.Message, Reply: reply})
+		n.Step(from, core.CallCompleted{To: a.To, Request: a.Message, Reply: reply})
 	}
 	to := int(a.To) - 1
 	if n.nodes[to].down {
@@ -196,7 +196,7 @@
 		return
 	}
 	n.Clock.After(callTimeout, func() { done(nil) })
-	n.Deliver(from, to, a.Message, func(r core.Respond) {
+	n.Deliver(from, to, a.Message, func(r core.AnswerCall) {
 		if r.Err != nil {
 			done(nil)
 			return
@@ -207,7 +207,7 @@
 
 // Deliver carries one message to a node and its reply to respond, with the
 // network's delays and losses. from may be Outside.
-func (n *Net) Deliver(from, to int, m proto.Message, respond func(core.Respond)) {
+func (n *Net) Deliver(from, to int, m proto.Message, respond func(core.AnswerCall)) {
 	if n.Lost(from, to) {
 		return
 	}
@@ -219,13 +219,13 @@
 		n.calls++
 		id := n.calls
 		epoch := nd.epoch
-		nd.calls[id] = call{from: from, epoch: epoch, respond: func(r core.Respond) {
+		nd.calls[id] = call{from: from, epoch: epoch, respond: func(r core.AnswerCall) {
 			if nd.epoch != epoch || n.Lost(to, from) {
 				return
 			}
 			n.Clock.After(n.Delay(to, from), func() { respond(r) })
 		}}
 		// The message is copied, as the wire would: the sender may change its own.
-		n.Step(to, core.CallIn{Call: id, Message: proto.Clone(m)})
+		n.Step(to, core.CallReceived{Call: id, Message: proto.Clone(m)})
 	})
 }
