--- a/internal/core/ledger/bound.go
+++ b/internal/core/ledger/bound.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// LoadBound returns the highest count that a grant may bring a target to. It is never
-// so low that no target has room for one more request: with few requests open,
-// the margin alone would hold the pool at its present load for ever, and so would
-// a mean over targets that are suspended.
+// LoadBound returns the highest number of tickets that a grant may bring a target to. The bound
+// always leaves room for one more request at some usable target. Without that minimum, the
+// release margin (at low load) or a mean that includes suspended targets would keep the pool at
+// its present load for ever.
 func (l *Ledger) LoadBound(now time.Time) int {
-	m := l.mean(now)
+	m := l.meanLoad(now)
 	if m.usable == 0 {
 		return 0
 	}
-	low := max(m.open-l.margin(now), 0)
-	bound := int(math.Ceil(l.pool.Spec.BoundMultiple * float64(low+1) / float64(m.targets)))
+	openLowerBound := max(m.open-l.releaseMargin(now), 0)
+	bound := int(math.Ceil(l.pool.Spec.BoundMultiple * float64(openLowerBound+1) / float64(m.targets)))
 	return max(bound, (m.open+m.usable)/m.usable)
 }
 
-// margin is how many releases may be on their way.
-func (l *Ledger) margin(now time.Time) int {
-	waiting := l.drain.perSecond(now) * l.settings.ReleaseDelay.Seconds()
-	// Twice the mean covers the spread of arrivals for all but small numbers,
-	// which the fixed margin covers.
-	return l.settings.MeanMargin + int(math.Ceil(2*waiting))
+// releaseMargin returns an upper estimate of the number of releases that are still on their way
+// to the owner.
+func (l *Ledger) releaseMargin(now time.Time) int {
+	delayedReleases := l.releaseRate.perSecond(now) * l.settings.ReleaseDelay.Seconds()
+	// Twice the mean covers the variance of arrivals for all but small numbers. MeanMargin
+	// covers small numbers.
+	return l.settings.MeanMargin + int(math.Ceil(2*delayedReleases))
 }
 
-// mean is the lower estimate of a pool's mean load, as its parts.
-type mean struct {
-	targets int // that are not leaving
-	usable  int // of these, not suspended
-	open    int // requests at them
+// meanLoad holds the numerator and the denominator of a lower estimate of the pool's mean load.
+type meanLoad struct {
+	targets int // targets that are not leaving
+	usable  int // of these, the targets that are not suspended
+	open    int // open requests at the targets that are not leaving
 }
 
-func (l *Ledger) mean(now time.Time) mean {
-	var m mean
-	for i, t := range l.ordered {
+func (l *Ledger) meanLoad(now time.Time) meanLoad {
+	var m meanLoad
+	for i, t := range l.targetsByIndex {
 		if l.pool.Targets[i].Leaving {
 			continue
 		}
 		m.targets++
 		m.open += t.open
-		if !t.until.After(now) {
+		if !t.suspendedUntil.After(now) {
 			m.usable++
 		}
 	}
-	for _, g := range l.ghosts {
-		if g.confirmed {
+	for _, o := range l.orphans {
+		if o.confirmed {
 			m.open++
 		}
 	}
--- a/internal/core/ledger/ghosts.go
+++ b/internal/core/ledger/ghosts.go
@@ -8,49 +8,51 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/fairqueue"
 )
 
-// ghost is a ticket whose router departed.
-type ghost struct {
+// orphan is a ticket whose router has departed: it went silent, restarted or follows another
+// owner.
+type orphan struct {
 	router      uint32
 	incarnation uint64
 	target      uint64
-	since       time.Time
-	// moved says that the router follows another owner, which counts the ticket
-	// towards its own mean.
-	moved bool
-	// confirmed says that the target reported the request as still open.
+	departedAt  time.Time
+	// changedOwner is true if the router follows another owner, whose mean then includes the
+	// ticket.
+	changedOwner bool
+	// confirmed is true if the target reported the request as still open.
 	confirmed bool
 }
 
-func (l *Ledger) ghostLife(g ghost) time.Duration {
-	if g.moved || g.confirmed {
+func (l *Ledger) orphanTimeout(o orphan) time.Duration {
+	if o.changedOwner || o.confirmed {
 		return l.settings.MovedOrphanTimeout
 	}
 	return l.settings.OrphanTimeout
 }
 
-// dropGhosts removes the ghosts for which gone is true.
-func (l *Ledger) dropGhosts(gone func(ghost) bool) {
-	kept := l.ghosts[:0]
-	for _, g := range l.ghosts {
-		if gone(g) {
-			l.target(g.target).ghosts--
+// removeOrphans removes the orphaned tickets that match.
+func (l *Ledger) removeOrphans(match func(orphan) bool) {
+	kept := l.orphans[:0]
+	for _, o := range l.orphans {
+		if match(o) {
+			l.target(o.target).orphans--
 		} else {
-			kept = append(kept, g)
+			kept = append(kept, o)
 		}
 	}
-	l.ghosts = kept
+	l.orphans = kept
 }
 
-// RemoveFollower removes a router that went silent or restarted, or, with moved, one
-// that follows another owner.
-func (l *Ledger) RemoveFollower(now time.Time, router uint32, moved bool) []Delivery {
-	l.depart(now, router, moved)
-	return l.serve(now)
+// RemoveFollower removes a router that went silent or restarted or, if changedOwner is true, a
+// router that follows another owner. It returns the grants that became possible.
+func (l *Ledger) RemoveFollower(now time.Time, router uint32, changedOwner bool) []Delivery {
+	l.orphanTickets(now, router, changedOwner)
+	return l.grantWaiting(now)
 }
 
-// depart turns the router's tickets into ghosts: the targets may still work on
-// them, so granting their places at once would overrun the targets.
-func (l *Ledger) depart(now time.Time, router uint32, moved bool) {
+// orphanTickets turns the tickets of a departed router into orphans. The targets may still
+// process the requests. If their slots were granted again at once, the targets would be
+// overloaded.
+func (l *Ledger) orphanTickets(now time.Time, router uint32, changedOwner bool) {
 	f, ok := l.followers[router]
 	if !ok {
 		return
@@ -58,44 +60,46 @@
 	for _, id := range slices.Sorted(maps.Keys(f.tickets)) {
 		t := f.tickets[id]
 		l.close(f, id)
-		l.target(t.target).ghosts++
-		l.ghosts = append(l.ghosts, ghost{
-			router: router, incarnation: f.incarnation, target: t.target, since: now, moved: moved,
+		l.target(t.target).orphans++
+		l.orphans = append(l.orphans, orphan{
+			router: router, incarnation: f.incarnation, target: t.target, departedAt: now, changedOwner: changedOwner,
 		})
 	}
 	delete(l.followers, router)
-	l.withdraw(func(it fairqueue.Item) bool { return it.Router == router })
+	l.removeWaiting(func(it fairqueue.Item) bool { return it.Router == router })
 }
 
-// NeedsLoadReports reports whether the targets' own counts are needed: for ghosts,
-// or because inventories are still missing.
+// NeedsLoadReports reports whether the ledger needs the targets' own counts of open requests: to
+// resolve orphans, or because inventories are still missing.
 func (l *Ledger) NeedsLoadReports(now time.Time) bool {
-	return len(l.ghosts) > 0 || l.rebuilding(now)
+	return len(l.orphans) > 0 || l.isRebuilding(now)
 }
 
-// reportSettles is how long after a grant a target's report may still miss it.
-const reportSettles = 300 * time.Millisecond
+// reportLag is how long after a grant the load report of a target may not yet include the
+// request.
+const reportLag = 300 * time.Millisecond
 
-// ApplyLoadReport takes in a target's own count of open requests, taken at a time. It
-// settles the target's older ghosts: as many as the report shows beyond the
-// tickets are real and count in full, the others are gone. Tickets granted a
-// moment ago may not have arrived at the target; taken for counted, they would
-// fill a real ghost's place, so they are left out.
-func (l *Ledger) ApplyLoadReport(uid uint64, open int, taken time.Time) []Delivery {
+// ApplyLoadReport processes a target's own count of open requests, taken at takenAt. It resolves
+// the target's older orphans: the requests that the report shows in addition to the followers'
+// tickets still run, so as many orphans are confirmed and count in full, and the others are
+// removed. Requests granted within reportLag may not have arrived at the target. They are
+// subtracted from the tickets, since otherwise each of them would take the place of an orphan
+// that still runs.
+func (l *Ledger) ApplyLoadReport(uid uint64, open int, takenAt time.Time) []Delivery {
 	t := l.target(uid)
-	recent := t.grantedSince(taken.Add(-reportSettles))
-	t.reported, t.granted = open, recent
-	settles := func(g ghost) bool { return g.target == uid && !g.moved && g.since.Before(taken) }
-	extra := open - (t.open - recent)
-	l.dropGhosts(func(g ghost) bool {
-		if !settles(g) {
+	recent := t.grantsSince(takenAt.Add(-reportLag))
+	t.reportedOpen, t.grantsSinceReport = open, recent
+	isCovered := func(o orphan) bool { return o.target == uid && !o.changedOwner && o.departedAt.Before(takenAt) }
+	unaccounted := open - (t.open - recent)
+	l.removeOrphans(func(o orphan) bool {
+		if !isCovered(o) {
 			return false
 		}
-		extra--
-		return extra < 0
+		unaccounted--
+		return unaccounted < 0
 	})
-	for i := range l.ghosts {
-		l.ghosts[i].confirmed = l.ghosts[i].confirmed || settles(l.ghosts[i])
+	for i := range l.orphans {
+		l.orphans[i].confirmed = l.orphans[i].confirmed || isCovered(l.orphans[i])
 	}
-	return l.serve(taken)
+	return l.grantWaiting(takenAt)
 }
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -1,14 +1,14 @@
-// Package ledger is the owner's side of load bounding: it counts every open
-// request of one pool per target, grants tickets within the bound, and queues
-// what has to wait.
+// Package ledger is the owner's side of load bounding. The owner of a pool counts the pool's
+// open requests per target, grants tickets within the load bound and queues the requests that
+// have to wait. A ticket is the right to send one request to one target.
 //
-// The rule that keeps the bound while views differ: a target's count is taken
-// high, the pool's mean is taken low. Tickets of a router that went silent become
-// ghosts: they count against their targets, but towards the mean only once a
-// target's own report shows that it still works on them. Each router follows one
-// owner at a time, so when two owners exist, the tickets that feed their means
-// are disjoint and the two bounds add up to the bound of the whole pool, plus at
-// most one request for rounding.
+// Routers may have different views of the fleet, and the bound must hold nevertheless. The
+// ledger therefore overestimates the count of each target and underestimates the mean of the
+// pool. The tickets of a router that went silent become orphans. An orphan counts against its
+// target, but is included in the mean only when the target reports that it still processes the
+// request. Each router follows one owner at a time. If two owners exist, the tickets in their
+// means are disjoint, and their two bounds add up to the bound of the whole pool plus at most
+// one request for rounding.
 package ledger
 
 import (
@@ -23,39 +23,40 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/routing"
 )
 
-// Settings tune a Ledger.
+// Settings configures a Ledger.
 type Settings struct {
-	// FleetSize is the number of listed routers. An owner that only some of them
-	// follow uses only their share of MaxPerTarget.
+	// FleetSize is the number of listed routers. If only some of them follow an owner, that
+	// owner uses only their share of MaxPerTarget.
 	FleetSize int
-	// MeanMargin is taken off the pool's open count before the mean is formed. It
-	// covers releases that are still on their way: without it the owner's mean is
-	// higher than the true one for a round trip, and a grant in that time can be
-	// one request over the bound.
+	// MeanMargin is subtracted from the pool's open count before the mean is computed. It covers
+	// releases that are still on their way to the owner. Without it the owner's mean would
+	// exceed the true mean for one round trip, and a grant in that time could exceed the bound
+	// by one request.
 	MeanMargin int
-	// ReleaseDelay is how long routers let releases wait. The margin grows by what is
-	// released in that time.
+	// ReleaseDelay is how long routers delay releases in order to batch them. The release margin
+	// grows by twice the number of releases expected in that time.
 	ReleaseDelay time.Duration
-	// OrphanTimeout is how long tickets of a departed router still count against their
-	// targets while no report confirms them.
+	// OrphanTimeout is how long the tickets of a departed router count against their targets
+	// while no load report confirms them.
 	OrphanTimeout time.Duration
-	// MovedOrphanTimeout is the same for tickets of a router that follows another
-	// owner, and the longest that a confirmed ghost is kept.
+	// MovedOrphanTimeout is how long the tickets of a router that follows another owner count
+	// against their targets. It is also the longest time that a confirmed orphan is kept.
 	MovedOrphanTimeout time.Duration
-	// RebuildTimeout bounds how long a new owner waits for inventories during which
-	// it also counts the targets' own reports.
+	// RebuildTimeout limits how long a new owner waits for the inventories of all routers.
+	// During the rebuild the ledger also takes the targets' own load reports into account.
 	RebuildTimeout time.Duration
-	// MaxQueued is the longest queue; beyond it asks are refused.
+	// MaxQueued is the maximum length of the queue. Further requests are refused.
 	MaxQueued int
-	// ChatHistorySize is the number of chats whose last target is remembered, per
-	// generation of two; 0 disables it.
+	// ChatHistorySize is the number of chats per generation whose last targets are remembered.
+	// Two generations are kept. 0 disables the history.
 	ChatHistorySize int
-	// CacheWaitTimeout is how long an ask may wait for the target that holds its
-	// chat's cache before it spills to another one; 0 disables the wait.
+	// CacheWaitTimeout is how long a request may wait for a target that holds its chat's cache
+	// before it is placed on another target. 0 disables the wait.
 	CacheWaitTimeout time.Duration
 }
 
-// DefaultSettings returns the settings used by the router.
+// DefaultSettings returns the settings that a router in a fleet of fleetSize listed routers
+// uses.
 func DefaultSettings(fleetSize int) Settings {
 	return Settings{
 		FleetSize:     fleetSize,
@@ -71,98 +72,102 @@
 	}
 }
 
-// candidates is how many targets are tried in rendezvous order before the least
-// loaded one is taken.
-const candidates = 8
+// rendezvousCandidates is how many targets are tried in rendezvous order before the least loaded
+// target is chosen.
+const rendezvousCandidates = 8
 
-// The shares of MaxPerTarget that a class leaves to higher classes.
+// The fractions of MaxPerTarget that a priority class reserves for higher classes.
 const (
 	normalReserve = 0.05
 	bulkReserve   = 0.25
 )
 
-// TeamLimiter gives the ledger a team's weight and fleet-wide limit by UID.
+// TeamLimiter provides the weights and the fleet-wide limits of teams.
 type TeamLimiter interface {
-	// TeamLimits returns the weight and the limit, 0 for none.
+	// TeamLimits returns the weight of a team and its limit of open requests. A limit of 0 means
+	// that there is none.
 	TeamLimits(uid uint64) (weight, maxOutstanding int)
 }
 
-// Delivery is a grant or refusal for an ask that had to wait.
+// Delivery is a grant or refusal for a request that was queued. It is sent to Router, to the
+// process with the given Incarnation.
 type Delivery struct {
 	Router      uint32
 	Incarnation uint64
 	Grant       *peerv1.Grant
 }
 
+// ticket is a granted ticket that its follower has not released.
 type ticket struct {
 	target uint64
 	team   uint64
 }
 
-// follower is a router that asks this owner.
+// follower is the state of a router that requests its tickets from this owner.
 type follower struct {
-	incarnation uint64
-	sequence    uint64
-	reply       *peerv1.ExchangeResponse
-	tickets     map[uint64]ticket
-	heard       time.Time // when it last sent an exchange
+	incarnation    uint64
+	sequence       uint64
+	lastReply      *peerv1.ExchangeResponse
+	tickets        map[uint64]ticket
+	lastExchangeAt time.Time
 }
 
-// Ledger counts the open requests of one pool. It is not safe for concurrent use.
+// Ledger counts the open requests of one pool and grants its tickets. It is not safe for
+// concurrent use.
 type Ledger struct {
-	settings  Settings
-	pool      *routing.Pool
-	teams     TeamLimiter
-	rand      *rand.Rand
-	targets   map[uint64]*target
-	ordered   []*target // as pool.Targets; spares the map on the way of each ask
-	followers map[uint32]*follower
-	ghosts    []ghost
-	teamOpen  map[uint64]int
-	queue     *fairqueue.Queue
-	patient   []fairqueue.Item // wait for a target that holds their chat's cache
-	memory    memory
-	drain     rate
-	created   time.Time
-	top       rendezvous.Top
+	settings       Settings
+	pool           *routing.Pool
+	teams          TeamLimiter
+	rand           *rand.Rand
+	targets        map[uint64]*target
+	targetsByIndex []*target // in the order of pool.Targets; avoids a map lookup per request
+	followers      map[uint32]*follower
+	orphans        []orphan
+	teamOpen       map[uint64]int
+	queue          *fairqueue.Queue
+	cacheWaiters   []fairqueue.Item // requests that wait for a target with their chat's cache
+	historyCache   historyCache
+	releaseRate    rate
+	createdAt      time.Time
+	ranking        rendezvous.Top
 }
 
-// New returns a Ledger for a pool. It starts in rebuild.
+// New returns a Ledger for a pool. The ledger starts rebuilding: it has no followers yet.
 func New(now time.Time, s Settings, pool *routing.Pool, teams TeamLimiter, rnd *rand.Rand) *Ledger {
 	l := &Ledger{
-		settings:  s,
-		teams:     teams,
-		rand:      rnd,
-		targets:   make(map[uint64]*target),
-		followers: make(map[uint32]*follower),
-		teamOpen:  make(map[uint64]int),
-		queue:     fairqueue.New(),
-		memory:    newMemory(s.ChatHistorySize),
-		created:   now,
+		settings:     s,
+		teams:        teams,
+		rand:         rnd,
+		targets:      make(map[uint64]*target),
+		followers:    make(map[uint32]*follower),
+		teamOpen:     make(map[uint64]int),
+		queue:        fairqueue.New(),
+		historyCache: newHistoryCache(s.ChatHistorySize),
+		createdAt:    now,
 	}
 	for _, t := range pool.Targets {
-		l.targets[t.UID] = &target{ramped: true}
+		l.targets[t.UID] = &target{warmedUp: true}
 	}
 	l.SetPool(pool, teams)
 	return l
 }
 
-// SetPool puts a new configuration of the pool in force. Targets that joined
-// start slowly: a burst on a target that has nothing cached and may not be up
-// yet would fail or be late.
+// SetPool applies a new configuration of the pool. Targets that joined start cold: a burst of
+// requests to a target that has nothing cached and may not be running yet would fail or be late.
 func (l *Ledger) SetPool(pool *routing.Pool, teams TeamLimiter) {
 	l.pool = pool
 	l.teams = teams
-	l.ordered = make([]*target, len(pool.Targets))
+	l.targetsByIndex = make([]*target, len(pool.Targets))
 	for i, t := range pool.Targets {
 		if _, ok := l.targets[t.UID]; !ok {
 			l.targets[t.UID] = &target{}
 		}
-		l.ordered[i] = l.targets[t.UID]
+		l.targetsByIndex[i] = l.targets[t.UID]
 	}
 }
 
-// FollowerIncarnation returns the incarnation of a follower, 0 if it is none.
+// FollowerIncarnation returns the incarnation of a follower, or 0 if the router is not a
+// follower.
 func (l *Ledger) FollowerIncarnation(router uint32) uint64 {
 	if f, ok := l.followers[router]; ok {
 		return f.incarnation
@@ -170,49 +175,51 @@
 	return 0
 }
 
-// HandleExchange handles one message of a follower. It is idempotent: a repeated
-// sequence number gets the recorded reply, since a router that lost the reply
-// sends again, and a second count would leak a ticket.
+// HandleExchange processes one exchange of a follower. It returns the response and the grants
+// for other followers that became possible. It is idempotent: a repeated sequence number gets
+// the recorded response. A router that lost the response sends the exchange again, and counting
+// it twice would leak a ticket. The error is a *code.Error with code.OldIncarnation if the
+// router has restarted since.
 func (l *Ledger) HandleExchange(now time.Time, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, []Delivery, error) {
-	f, err := l.follower(now, req)
+	f, err := l.registerFollower(now, req)
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case f == nil:
 		return &peerv1.ExchangeResponse{Sequence: req.GetSequence(), WantInventory: true}, nil, nil
-	case f.reply != nil && req.GetSequence() <= f.sequence:
-		return f.reply, nil, nil
+	case f.lastReply != nil && req.GetSequence() <= f.sequence:
+		return f.lastReply, nil, nil
 	}
-	l.learn(now, f, req)
+	l.applyFollowerState(now, f, req)
 	resp := &peerv1.ExchangeResponse{Sequence: req.GetSequence()}
 	for _, a := range req.GetAsks() {
-		if g := l.ask(now, req.GetRouter(), f, a); g != nil {
+		if g := l.requestTicket(now, req.GetRouter(), f, a); g != nil {
 			resp.Grants = append(resp.Grants, g)
 		}
 	}
-	var others []Delivery
-	for _, d := range l.serve(now) {
+	var deferred []Delivery
+	for _, d := range l.grantWaiting(now) {
 		if d.Router == req.GetRouter() {
 			resp.Grants = append(resp.Grants, d.Grant)
 		} else {
-			others = append(others, d)
+			deferred = append(deferred, d)
 		}
 	}
-	f.sequence, f.reply = req.GetSequence(), resp
-	return resp, others, nil
+	f.sequence, f.lastReply = req.GetSequence(), resp
+	return resp, deferred, nil
 }
 
-// follower returns the follower that an exchange comes from, nil if its
-// inventory is needed first. An earlier process of a router is refused, and the
-// tickets of an earlier process become ghosts.
-func (l *Ledger) follower(now time.Time, req *peerv1.ExchangeRequest) (*follower, error) {
+// registerFollower returns the follower that sent an exchange, or nil if the ledger needs the
+// router's inventory first. It refuses an earlier process of a router. A later process replaces
+// the earlier one, whose tickets become orphans.
+func (l *Ledger) registerFollower(now time.Time, req *peerv1.ExchangeRequest) (*follower, error) {
 	router, incarnation := req.GetRouter(), req.GetIncarnation()
 	f := l.followers[router]
 	if f != nil && incarnation < f.incarnation {
 		return nil, code.New(code.OldIncarnation, "router %d has restarted", router)
 	}
 	if f != nil && incarnation > f.incarnation {
-		l.depart(now, router, false)
+		l.orphanTickets(now, router, false)
 		f = nil
 	}
 	if f == nil {
@@ -221,31 +228,31 @@
 		}
 		f = &follower{incarnation: incarnation, tickets: make(map[uint64]ticket)}
 		l.followers[router] = f
-		l.dropGhosts(func(g ghost) bool { return g.router == router && g.incarnation == incarnation })
+		l.removeOrphans(func(o orphan) bool { return o.router == router && o.incarnation == incarnation })
 	}
-	f.heard = now
+	f.lastExchangeAt = now
 	return f, nil
 }
 
-// learn takes in what a follower tells: its inventory, where its chats ran, and
-// the tickets that it gives back.
-func (l *Ledger) learn(now time.Time, f *follower, req *peerv1.ExchangeRequest) {
+// applyFollowerState records a follower's inventory, the placements of its chats and the tickets
+// that it releases.
+func (l *Ledger) applyFollowerState(now time.Time, f *follower, req *peerv1.ExchangeRequest) {
 	if req.GetHasInventory() {
-		l.reconcile(f, req)
+		l.reconcileInventory(f, req)
 	}
 	for _, p := range req.GetPlacements() {
-		at := now.Add(-time.Duration(p.GetAgeSeconds()) * time.Second)
-		l.memory.put(p.GetChat(), visit{target: p.GetTarget(), at: at})
+		placedAt := now.Add(-time.Duration(p.GetAgeSeconds()) * time.Second)
+		l.historyCache.put(p.GetChat(), placement{target: p.GetTarget(), placedAt: placedAt})
 	}
 	for _, r := range req.GetReleases() {
-		l.release(now, req.GetRouter(), f, r)
+		l.handleRelease(now, req.GetRouter(), f, r)
 	}
 }
 
-// reconcile makes the owner's tickets of a router equal to the router's
-// inventory. Tickets for asks that the router repeats are kept: their grant may
-// still be on its way.
-func (l *Ledger) reconcile(f *follower, req *peerv1.ExchangeRequest) {
+// reconcileInventory makes the owner's tickets of a router equal to the router's inventory.
+// Tickets for requests that the exchange repeats are kept, since their grants may still be on
+// their way.
+func (l *Ledger) reconcileInventory(f *follower, req *peerv1.ExchangeRequest) {
 	keep := make(map[uint64]bool, len(req.GetInventory())+len(req.GetAsks()))
 	for _, a := range req.GetAsks() {
 		keep[a.GetId()] = true
@@ -263,12 +270,14 @@
 	}
 }
 
+// open adds a ticket of a follower.
 func (l *Ledger) open(f *follower, id uint64, t ticket) {
 	f.tickets[id] = t
 	l.target(t.target).open++
 	l.teamOpen[t.team]++
 }
 
+// close removes a ticket of a follower.
 func (l *Ledger) close(f *follower, id uint64) {
 	t := f.tickets[id]
 	delete(f.tickets, id)
@@ -278,54 +287,59 @@
 	}
 }
 
+// target returns the state of a target. A target that is not in the pool's configuration counts as
+// warm.
 func (l *Ledger) target(uid uint64) *target {
 	t, ok := l.targets[uid]
 	if !ok {
-		t = &target{ramped: true}
+		t = &target{warmedUp: true}
 		l.targets[uid] = t
 	}
 	return t
 }
 
-func (l *Ledger) release(now time.Time, router uint32, f *follower, r *peerv1.Release) {
+// handleRelease removes the released ticket and records its outcome at the target. If the request
+// still waits, it is withdrawn.
+func (l *Ledger) handleRelease(now time.Time, router uint32, f *follower, r *peerv1.Release) {
 	t, ok := f.tickets[r.GetId()]
 	if !ok {
-		l.withdraw(func(it fairqueue.Item) bool { return it.Router == router && it.ID == r.GetId() })
+		l.removeWaiting(func(it fairqueue.Item) bool { return it.Router == router && it.ID == r.GetId() })
 		return
 	}
 	l.close(f, r.GetId())
 	switch r.GetOutcome() {
 	case peerv1.Outcome_OUTCOME_DONE:
-		l.drain.observe(now)
-		l.target(t.target).succeeded()
+		l.releaseRate.observe(now)
+		l.target(t.target).recordSuccess()
 	case peerv1.Outcome_OUTCOME_FAILED:
-		l.target(t.target).failed(now)
+		l.target(t.target).recordFailure(now)
 	}
 }
 
-// Tick expires ghosts and asks whose deadline has come, and grants what it can.
+// Tick removes expired orphans, refuses requests whose deadline has passed and grants waiting
+// requests while targets have room.
 func (l *Ledger) Tick(now time.Time) []Delivery {
-	l.dropGhosts(func(g ghost) bool { return now.Sub(g.since) >= l.ghostLife(g) })
+	l.removeOrphans(func(o orphan) bool { return now.Sub(o.departedAt) >= l.orphanTimeout(o) })
 	var out []Delivery
-	for _, it := range l.withdraw(func(it fairqueue.Item) bool { return !it.Deadline.After(now) }) {
+	for _, it := range l.removeWaiting(func(it fairqueue.Item) bool { return !it.Deadline.After(now) }) {
 		f, known := l.followers[it.Router]
 		if !known {
 			continue
 		}
 		it.ArrivedAt = now
-		refusal := l.refuse(it, code.DeadlineTooShort, l.expectedWait(it))
+		refusal := l.newRefusal(it, code.DeadlineTooShort, l.expectedWait(it))
 		out = append(out, Delivery{Router: it.Router, Incarnation: f.incarnation, Grant: refusal})
 	}
-	return append(out, l.serve(now)...)
+	return append(out, l.grantWaiting(now)...)
 }
 
-// SilentFollowers returns the followers that have sent no exchange since a time, in order.
-// An exchange shows that its router is alive sooner than heartbeats do, which
-// come by way of others.
+// SilentFollowers returns the followers that have sent no exchange since a time, in ascending
+// order. An exchange shows earlier than heartbeats that its router is alive, since heartbeats
+// arrive through other routers.
 func (l *Ledger) SilentFollowers(since time.Time) []uint32 {
 	var out []uint32
 	for id, f := range l.followers {
-		if f.heard.Before(since) {
+		if f.lastExchangeAt.Before(since) {
 			out = append(out, id)
 		}
 	}
@@ -333,12 +347,12 @@
 	return out
 }
 
-// HasNewerExchange reports whether a follower has sent an exchange after a sequence
-// number, so that what it said before is out of date.
+// HasNewerExchange reports whether a follower has sent an exchange with a higher sequence
+// number, which makes its earlier messages obsolete.
 func (l *Ledger) HasNewerExchange(router uint32, sequence uint64) bool {
 	f, ok := l.followers[router]
 	return ok && f.sequence > sequence
 }
 
-// TicketCount returns the count that the ledger holds against a target.
-func (l *Ledger) TicketCount(uid uint64) int { return l.target(uid).held() }
+// TicketCount returns the number of tickets that count against a target, including orphans.
+func (l *Ledger) TicketCount(uid uint64) int { return l.target(uid).ticketCount() }
--- a/internal/core/ledger/target.go
+++ b/internal/core/ledger/target.go
@@ -8,161 +8,164 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/fairqueue"
 )
 
-// target is what the owner knows of one target.
+// target is the owner's state of one target.
 type target struct {
-	open     int // tickets of followers
-	ghosts   int // tickets of departed routers
-	reported int // the target's own count, lagging
-	granted  int // grants that the reported count may miss
+	open              int // tickets of followers
+	orphans           int // tickets of departed routers
+	reportedOpen      int // the target's own count in its last load report
+	grantsSinceReport int // grants that reportedOpen may not include
 
-	recent []time.Time // grants of the last moments, oldest first
+	recentGrants []time.Time // times of the grants within reportLag, oldest first
 
-	failures  int // in a row
-	flaps     int // suspensions since the last long run of successes
-	until     time.Time
-	successes int // since the last suspension or join
-	ramped    bool
+	consecutiveFailures int
+	suspensions         int // consecutive suspensions, reset after resetSuspensionsAfter successes
+	suspendedUntil      time.Time
+	successes           int // since the last suspension or since the target joined
+	warmedUp            bool
 }
 
-func (t *target) held() int { return t.open + t.ghosts }
+func (t *target) ticketCount() int { return t.open + t.orphans }
 
-// staleGrants returns how many of the recent grants are no longer recent.
-func (t *target) staleGrants(now time.Time) int {
-	return len(t.recent) - t.grantedSince(now.Add(-reportSettles))
+// expiredGrants returns how many entries of recentGrants are older than reportLag.
+func (t *target) expiredGrants(now time.Time) int {
+	return len(t.recentGrants) - t.grantsSince(now.Add(-reportLag))
 }
 
-// grantedSince counts the recent grants after a time.
-func (t *target) grantedSince(since time.Time) int {
+// grantsSince returns the number of entries of recentGrants after a time.
+func (t *target) grantsSince(since time.Time) int {
 	n := 0
-	for i := len(t.recent) - 1; i >= 0 && t.recent[i].After(since); i-- {
+	for i := len(t.recentGrants) - 1; i >= 0 && t.recentGrants[i].After(since); i-- {
 		n++
 	}
 	return n
 }
 
-// suspendAfter failures in a row a target gets no new work for a while.
-const suspendAfter = 3
+// suspendAfterFailures is the number of consecutive failures after which a target is suspended.
+const suspendAfterFailures = 3
 
-// Suspension grows with each flap: a target that comes and goes costs every
-// chat that moves back to it too early.
+// The duration of a suspension doubles with each suspension: each chat that returns too early to
+// a target that keeps failing loses its cache again.
 const (
-	suspendBase = time.Second
-	suspendMax  = 15 * time.Second
-	// forgiveAfter successes in a row the flaps are forgotten.
-	forgiveAfter = 200
+	minSuspension = time.Second
+	maxSuspension = 15 * time.Second
+	// resetSuspensionsAfter is the number of successes since the last suspension after which the
+	// duration starts at minSuspension again.
+	resetSuspensionsAfter = 200
 )
 
-func (t *target) failed(now time.Time) {
-	t.failures++
-	if t.failures < suspendAfter || t.until.After(now) {
+func (t *target) recordFailure(now time.Time) {
+	t.consecutiveFailures++
+	if t.consecutiveFailures < suspendAfterFailures || t.suspendedUntil.After(now) {
 		return
 	}
-	t.until = now.Add(min(suspendBase<<min(t.flaps, 10), suspendMax))
-	t.flaps++
-	t.failures = 0
+	t.suspendedUntil = now.Add(min(minSuspension<<min(t.suspensions, 10), maxSuspension))
+	t.suspensions++
+	t.consecutiveFailures = 0
 	t.successes = 0
-	t.ramped = false
+	t.warmedUp = false
 }
 
-func (t *target) succeeded() {
-	t.failures = 0
+func (t *target) recordSuccess() {
+	t.consecutiveFailures = 0
 	t.successes++
-	if t.successes >= forgiveAfter {
-		t.flaps = 0
+	if t.successes >= resetSuspensionsAfter {
+		t.suspensions = 0
 	}
 }
 
-// allowance is the highest count that a starting or recovering target may
-// reach: it grows by one with every two answers until the target is up to speed.
-func (t *target) allowance(bound int) int {
-	if t.ramped {
+// warmUpLimit returns the highest number of tickets that a cold target may reach. It grows by
+// one with every two successes until it reaches the bound, which ends the warm-up.
+func (t *target) warmUpLimit(bound int) int {
+	if t.warmedUp {
 		return bound
 	}
 	allowed := 1 + t.successes/2
 	if allowed >= bound && t.successes > 0 {
-		t.ramped = true
+		t.warmedUp = true
 	}
 	return min(allowed, bound)
 }
 
-// place chooses the target for an ask, always below the bound: for a returning
-// chat the targets that it ran on, most recent first, and for any other the
-// least loaded. Sending chats without a cache to their rendezvous target would
-// gain nothing and fill it up for those that have one there.
-func (l *Ledger) place(now time.Time, it fairqueue.Item) (uint64, bool) {
-	limit := l.limit(now, it.Priority)
-	past, returning := l.memory.get(it.Chat)
+// chooseTarget chooses the target for a request, always below the load bound. For a chat with a
+// history it tries the chat's last targets, the most recent first. Otherwise it chooses the
+// least loaded target: sending chats without a cache to their rendezvous target would gain
+// nothing and fill that target for the chats that have a cache there. Rendezvous order is used
+// only if the chat history is disabled.
+func (l *Ledger) chooseTarget(now time.Time, it fairqueue.Item) (uint64, bool) {
+	ticketLimit := l.ticketLimit(now, it.Priority)
+	placements, returning := l.historyCache.get(it.Chat)
 	if returning {
-		for _, v := range past {
-			if l.fits(now, v.target, limit, it) {
+		for _, v := range placements {
+			if l.hasRoom(now, v.target, ticketLimit, it) {
 				return v.target, true
 			}
 		}
-		return l.leastLoaded(now, limit, it)
+		return l.leastLoadedTarget(now, ticketLimit, it)
 	}
 	if l.settings.ChatHistorySize > 0 {
-		return l.leastLoaded(now, limit, it)
+		return l.leastLoadedTarget(now, ticketLimit, it)
 	}
-	l.pool.RankTargets(it.Chat, &l.top, candidates)
-	for i := range l.top.Len {
-		uid := l.pool.Targets[l.top.Index[i]].UID
-		if l.fits(now, uid, limit, it) {
+	l.pool.RankTargets(it.Chat, &l.ranking, rendezvousCandidates)
+	for i := range l.ranking.Len {
+		uid := l.pool.Targets[l.ranking.Index[i]].UID
+		if l.hasRoom(now, uid, ticketLimit, it) {
 			return uid, true
 		}
 	}
-	return l.leastLoaded(now, limit, it)
+	return l.leastLoadedTarget(now, ticketLimit, it)
 }
 
-// isPatient reports whether an ask should wait for a target that holds its chat's
-// cache: a short wait costs less than building a long prefix again. Urgent asks
-// never wait for one.
-func (l *Ledger) isPatient(now time.Time, it fairqueue.Item) bool {
+// shouldWaitForCache reports whether a request should wait for a target that holds its chat's
+// cache. A short wait costs less than computing a long prefix again. Urgent requests never wait
+// for a cache.
+func (l *Ledger) shouldWaitForCache(now time.Time, it fairqueue.Item) bool {
 	if it.Priority == fairqueue.Urgent || now.Sub(it.ArrivedAt) >= l.settings.CacheWaitTimeout {
 		return false
 	}
-	past, returning := l.memory.get(it.Chat)
+	placements, returning := l.historyCache.get(it.Chat)
 	if !returning {
 		return false
 	}
-	limit := l.limit(now, it.Priority)
+	ticketLimit := l.ticketLimit(now, it.Priority)
 	usable := false
-	for _, v := range past {
-		if l.fits(now, v.target, limit, it) {
+	for _, v := range placements {
+		if l.hasRoom(now, v.target, ticketLimit, it) {
 			return false
 		}
-		usable = usable || l.usable(now, v.target, it)
+		usable = usable || l.isUsable(now, v.target, it)
 	}
 	return usable
 }
 
-func (l *Ledger) leastLoaded(now time.Time, limit int, it fairqueue.Item) (uint64, bool) {
+func (l *Ledger) leastLoadedTarget(now time.Time, ticketLimit int, it fairqueue.Item) (uint64, bool) {
 	var best uint64
 	lowest := math.MaxInt
-	rebuilding := l.rebuilding(now)
-	for i, t := range l.ordered {
-		count := t.count(rebuilding)
-		if count < lowest && l.takes(now, i, it) && count+1 <= t.allowance(limit) {
-			best, lowest = l.pool.Targets[i].UID, count
+	rebuilding := l.isRebuilding(now)
+	for i, t := range l.targetsByIndex {
+		loadEstimate := t.loadEstimate(rebuilding)
+		if loadEstimate < lowest && l.acceptsWork(now, i, it) && loadEstimate+1 <= t.warmUpLimit(ticketLimit) {
+			best, lowest = l.pool.Targets[i].UID, loadEstimate
 		}
 	}
 	return best, lowest < math.MaxInt
 }
 
-// limit is the highest count a grant of the class may bring a target to.
-func (l *Ledger) limit(now time.Time, p fairqueue.Priority) int {
+// ticketLimit returns the highest number of tickets to which a grant of a priority class may
+// bring a target.
+func (l *Ledger) ticketLimit(now time.Time, p fairqueue.Priority) int {
 	bound := l.LoadBound(now)
-	limit := l.pool.Spec.MaxPerTarget
-	if limit == 0 {
+	ticketLimit := l.pool.Spec.MaxPerTarget
+	if ticketLimit == 0 {
 		return bound
 	}
-	share := limit * min(len(l.followers), l.settings.FleetSize) / max(l.settings.FleetSize, 1)
-	return min(bound, max(1, share-reserved(share, p)))
+	share := ticketLimit * min(len(l.followers), l.settings.FleetSize) / max(l.settings.FleetSize, 1)
+	return min(bound, max(1, share-reservedSlots(share, p)))
 }
 
-// reserved is how many places of a target a class must leave to higher classes.
-// It keeps room at every target for urgent requests, and during a surge of bulk
-// work also for chats that return to the target with their cache.
-func reserved(share int, p fairqueue.Priority) int {
+// reservedSlots returns how many slots of a target a priority class leaves to higher classes.
+// The reserve keeps room at every target for urgent requests. During a surge of bulk requests it
+// also keeps room for chats that return to the target with their cache.
+func reservedSlots(share int, p fairqueue.Priority) int {
 	switch p {
 	case fairqueue.Urgent:
 		return 0
@@ -173,39 +176,40 @@
 	}
 }
 
-// count is the upper estimate of the target's open requests. During a rebuild the
-// larger of the inventories and the target's own report counts, since
-// inventories of some routers are still missing.
-func (t *target) count(rebuilding bool) int {
+// loadEstimate returns an upper estimate of the target's open requests. During a rebuild the
+// inventories of some routers are missing, so the estimate is the larger of the ticket count and
+// the target's own report.
+func (t *target) loadEstimate(rebuilding bool) int {
 	if rebuilding {
-		return max(t.held(), t.reported+t.granted)
+		return max(t.ticketCount(), t.reportedOpen+t.grantsSinceReport)
 	}
-	return t.held()
+	return t.ticketCount()
 }
 
-func (l *Ledger) rebuilding(now time.Time) bool {
-	return len(l.followers) < l.settings.FleetSize && now.Sub(l.created) < l.settings.RebuildTimeout
+func (l *Ledger) isRebuilding(now time.Time) bool {
+	return len(l.followers) < l.settings.FleetSize && now.Sub(l.createdAt) < l.settings.RebuildTimeout
 }
 
-// fits reports whether an ask may be granted a target below the limit.
-func (l *Ledger) fits(now time.Time, uid uint64, limit int, it fairqueue.Item) bool {
+// hasRoom reports whether a request may be granted the target within the limit.
+func (l *Ledger) hasRoom(now time.Time, uid uint64, ticketLimit int, it fairqueue.Item) bool {
 	i, ok := l.pool.TargetIndex(uid)
-	if !ok || !l.takes(now, int(i), it) {
+	if !ok || !l.acceptsWork(now, int(i), it) {
 		return false
 	}
-	t := l.ordered[i]
-	return t.count(l.rebuilding(now))+1 <= t.allowance(limit)
+	t := l.targetsByIndex[i]
+	return t.loadEstimate(l.isRebuilding(now))+1 <= t.warmUpLimit(ticketLimit)
 }
 
-// usable reports whether a target takes new work of an ask.
-func (l *Ledger) usable(now time.Time, uid uint64, it fairqueue.Item) bool {
+// isUsable reports whether a target of the pool accepts a new request.
+func (l *Ledger) isUsable(now time.Time, uid uint64, it fairqueue.Item) bool {
 	i, ok := l.pool.TargetIndex(uid)
-	return ok && l.takes(now, int(i), it)
+	return ok && l.acceptsWork(now, int(i), it)
 }
 
-// takes is usable for the target at a position in the pool.
-func (l *Ledger) takes(now time.Time, i int, it fairqueue.Item) bool {
-	if l.pool.Targets[i].Leaving || l.ordered[i].until.After(now) {
+// acceptsWork reports whether the target at index i of the pool accepts a new request: it is not
+// leaving, not suspended and not excluded by the request.
+func (l *Ledger) acceptsWork(now time.Time, i int, it fairqueue.Item) bool {
+	if l.pool.Targets[i].Leaving || l.targetsByIndex[i].suspendedUntil.After(now) {
 		return false
 	}
 	return !slices.Contains(it.Excluded, l.pool.Targets[i].UID)
--- a/internal/core/ledger/target_test.go
+++ b/internal/core/ledger/target_test.go
@@ -10,73 +10,73 @@
 )
 
 var _ = Describe("targets", func() {
-	// Symptom: an engine that comes and goes takes chats each time. Cause: it is
-	// used again at once and in full.
-	It("that fail are suspended, longer each time, and return slowly", func() {
-		b := newBook(table(2, model), 1, nil)
-		b.follow(1)
-		failing := uint64(100)
-		fail := func() {
+	// Guards against returning a repeatedly failing engine to full use at once: with each
+	// return, chats move to the engine and lose their cache when it fails again.
+	It("are suspended after consecutive failures, longer each time, and return with a warm-up", func() {
+		b := newTestLedger(newTable(2, modelPool), 1, nil)
+		b.addFollowers(1)
+		failingTarget := uint64(100)
+		failRequests := func() {
 			for range 20 {
-				id, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: urgent})
-				if g.GetTarget() == failing {
-					b.release(id, peerv1.Outcome_OUTCOME_FAILED)
+				id, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: urgent})
+				if g.GetTarget() == failingTarget {
+					b.releaseTicket(id, peerv1.Outcome_OUTCOME_FAILED)
 				} else {
-					b.release(id, peerv1.Outcome_OUTCOME_DONE)
+					b.releaseTicket(id, peerv1.Outcome_OUTCOME_DONE)
 				}
 			}
 		}
-		used := func() bool {
+		isUsed := func() bool {
 			for range 4 {
-				id, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: urgent})
-				b.release(id, peerv1.Outcome_OUTCOME_UNUSED)
-				if g.GetTarget() == failing {
+				id, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: urgent})
+				b.releaseTicket(id, peerv1.Outcome_OUTCOME_UNUSED)
+				if g.GetTarget() == failingTarget {
 					return true
 				}
 			}
 			return false
 		}
-		fail()
-		Expect(used()).To(BeFalse())
-		b.wait(1100 * time.Millisecond)
-		Expect(used()).To(BeTrue())
-		fail()
-		b.wait(1100 * time.Millisecond)
-		Expect(used()).To(BeFalse(), "the second suspension is longer")
-		b.wait(1100 * time.Millisecond)
-		Expect(used()).To(BeTrue())
+		failRequests()
+		Expect(isUsed()).To(BeFalse())
+		b.advance(1100 * time.Millisecond)
+		Expect(isUsed()).To(BeTrue())
+		failRequests()
+		b.advance(1100 * time.Millisecond)
+		Expect(isUsed()).To(BeFalse(), "the second suspension is longer")
+		b.advance(1100 * time.Millisecond)
+		Expect(isUsed()).To(BeTrue())
 	})
 
-	// Symptom: new work at a target that is to be switched off.
-	It("that are leaving get no new work", func() {
-		b := newBook(table(2, model), 1, nil)
-		b.follow(1)
-		t := table(2, model, 0)
-		p, _ := t.Pool("p")
-		b.SetPool(p, t)
+	// Guards against new requests at a target that will be switched off.
+	It("get no new requests while they are leaving", func() {
+		b := newTestLedger(newTable(2, modelPool), 1, nil)
+		b.addFollowers(1)
+		table := newTable(2, modelPool, 0)
+		pool, _ := table.Pool("p")
+		b.SetPool(pool, table)
 		for range 10 {
-			_, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: urgent})
+			_, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: urgent})
 			Expect(g.GetTarget()).To(Equal(uint64(101)))
 		}
 	})
 
-	It("that join take one request at first", func() {
-		b := newBook(table(1, model), 1, nil)
-		b.follow(1)
-		b.fill(1, 10, hot)
-		t := table(2, model)
-		p, _ := t.Pool("p")
-		b.SetPool(p, t)
-		b.fill(1, 1, hot)
+	It("get only one request at first after they join the pool", func() {
+		b := newTestLedger(newTable(1, modelPool), 1, nil)
+		b.addFollowers(1)
+		b.fillSlots(1, 10, busyTeam)
+		table := newTable(2, modelPool)
+		pool, _ := table.Pool("p")
+		b.SetPool(pool, table)
+		b.fillSlots(1, 1, busyTeam)
 		Expect(b.TicketCount(101)).To(Equal(1))
-		_, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: urgent})
+		_, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: urgent})
 		Expect(g.GetTarget()).NotTo(Equal(uint64(101)))
 	})
 
-	It("are all tried before an ask without any is refused", func() {
-		b := newBook(table(2, model), 1, nil)
-		b.follow(1)
-		_, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: urgent, Excluded: []uint64{100}})
+	It("are chosen among those that the request does not exclude", func() {
+		b := newTestLedger(newTable(2, modelPool), 1, nil)
+		b.addFollowers(1)
+		_, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: urgent, Excluded: []uint64{100}})
 		Expect(g.GetTarget()).To(Equal(uint64(101)))
 	})
 })
--- a/internal/core/ledger/waiting.go
+++ b/internal/core/ledger/waiting.go
@@ -8,8 +8,9 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/fairqueue"
 )
 
-// ask grants, refuses or queues one ask; nil means queued.
-func (l *Ledger) ask(now time.Time, router uint32, f *follower, a *peerv1.Ask) *peerv1.Grant {
+// requestTicket grants, refuses or queues one request. A nil result means that the request is
+// queued.
+func (l *Ledger) requestTicket(now time.Time, router uint32, f *follower, a *peerv1.Ask) *peerv1.Grant {
 	if t, ok := f.tickets[a.GetId()]; ok {
 		return &peerv1.Grant{Id: a.GetId(), Target: t.target}
 	}
@@ -22,34 +23,34 @@
 	if l.allExcluded(now, it) {
 		it.Excluded = nil
 	}
-	if l.queue.Contains(router, a.GetId()) || l.waitsPatiently(router, a.GetId()) {
+	if l.queue.Contains(router, a.GetId()) || l.isWaitingForCache(router, a.GetId()) {
 		return nil
 	}
-	if !l.mustWait(it) {
-		if l.isPatient(now, it) {
-			l.patient = append(l.patient, it)
+	if !l.mustQueue(it) {
+		if l.shouldWaitForCache(now, it) {
+			l.cacheWaiters = append(l.cacheWaiters, it)
 			return nil
 		}
-		if uid, ok := l.place(now, it); ok {
-			return l.grant(now, f, it, uid)
+		if uid, ok := l.chooseTarget(now, it); ok {
+			return l.grantTicket(now, f, it, uid)
 		}
 	}
-	if refusal := l.shed(it); refusal != nil {
+	if refusal := l.shedRequest(it); refusal != nil {
 		return refusal
 	}
 	l.queue.Push(it)
 	return nil
 }
 
-// allExcluded reports whether an ask excludes every target that is up. In a small
-// pool each may have failed the request once; to wait for another would be to
-// wait until the deadline, so then any will do again.
+// allExcluded reports whether a request excludes every usable target. In a small pool each
+// target may have failed the request once. Waiting for another target would then last until the
+// deadline, so the caller of allExcluded allows all targets again.
 func (l *Ledger) allExcluded(now time.Time, it fairqueue.Item) bool {
 	if len(it.Excluded) == 0 {
 		return false
 	}
-	for i := range l.ordered {
-		if l.takes(now, i, it) {
+	for i := range l.targetsByIndex {
+		if l.acceptsWork(now, i, it) {
 			return false
 		}
 	}
@@ -60,62 +61,68 @@
 	return fairqueue.Priority(min(p, uint32(fairqueue.Urgent)))
 }
 
-// mustWait keeps an ask behind waiting ones of its class or a higher one;
-// otherwise a later ask would overtake them when a ticket comes back.
-func (l *Ledger) mustWait(it fairqueue.Item) bool {
-	return l.queue.HasWaiting(it.Priority) || l.teamFull(it.Team)
+// mustQueue reports whether a request has to queue behind waiting requests of its class or a
+// higher one, or because its team is at its limit. Without the queue a later request would
+// overtake the waiting ones when a ticket is released.
+func (l *Ledger) mustQueue(it fairqueue.Item) bool {
+	return l.queue.HasWaiting(it.Priority) || l.isTeamAtLimit(it.Team)
 }
 
-func (l *Ledger) teamFull(team uint64) bool {
+func (l *Ledger) isTeamAtLimit(team uint64) bool {
 	_, limit := l.teams.TeamLimits(team)
 	return limit > 0 && l.teamOpen[team] >= limit
 }
 
-func (l *Ledger) grant(now time.Time, f *follower, it fairqueue.Item, uid uint64) *peerv1.Grant {
+// grantTicket grants a request the target and records the chat's placement.
+func (l *Ledger) grantTicket(now time.Time, f *follower, it fairqueue.Item, uid uint64) *peerv1.Grant {
 	l.open(f, it.ID, ticket{target: uid, team: it.Team})
 	t := l.target(uid)
-	t.granted++
-	t.recent = append(t.recent[t.staleGrants(now):], now)
-	l.memory.put(it.Chat, visit{target: uid, at: now})
+	t.grantsSinceReport++
+	t.recentGrants = append(t.recentGrants[t.expiredGrants(now):], now)
+	l.historyCache.put(it.Chat, placement{target: uid, placedAt: now})
 	return &peerv1.Grant{Id: it.ID, Target: uid}
 }
 
-// shed refuses an ask that can't be answered in time. The answer is given at
-// once, with the time after which the queue will have drained.
-func (l *Ledger) shed(it fairqueue.Item) *peerv1.Grant {
+// shedRequest returns a refusal if the queue is full or the request can't be served before its
+// deadline, otherwise nil. The refusal is sent at once and carries the time after which the
+// queue will have drained.
+func (l *Ledger) shedRequest(it fairqueue.Item) *peerv1.Grant {
 	wait := l.expectedWait(it)
 	remaining := it.Deadline.Sub(it.ArrivedAt)
 	switch {
 	case l.queue.Len() >= l.settings.MaxQueued:
-		return l.refuse(it, code.QueueFull, wait)
+		return l.newRefusal(it, code.QueueFull, wait)
 	case wait > remaining:
-		return l.refuse(it, code.DeadlineTooShort, wait)
+		return l.newRefusal(it, code.DeadlineTooShort, wait)
 	default:
 		return nil
 	}
 }
 
-func (l *Ledger) refuse(it fairqueue.Item, c code.Code, wait time.Duration) *peerv1.Grant {
+// newRefusal returns a refusal. Its retry time has random jitter, so that refused callers do not
+// retry at the same time.
+func (l *Ledger) newRefusal(it fairqueue.Item, c code.Code, wait time.Duration) *peerv1.Grant {
 	jitter := 1 + 0.5*l.rand.Float64()
 	after := time.Duration(float64(max(wait, minRetryAfter)) * jitter)
 	return &peerv1.Grant{Id: it.ID, Code: uint32(c), RetryAfterMillis: uint32(after.Milliseconds())}
 }
 
-// minRetryAfter keeps refused callers from asking again at once.
+// minRetryAfter is the shortest retry time in a refusal. It keeps refused callers from retrying
+// immediately.
 const minRetryAfter = 500 * time.Millisecond
 
-// expectedWait estimates how long an ask would wait from the drain rate.
+// expectedWait estimates from the rate of releases how long a request would wait in the queue.
 func (l *Ledger) expectedWait(it fairqueue.Item) time.Duration {
-	perSecond := l.drain.perSecond(it.ArrivedAt)
+	perSecond := l.releaseRate.perSecond(it.ArrivedAt)
 	ahead := l.queue.CountAhead(it.Team, it.Priority)
 	if perSecond <= 0 {
-		return 0 // nothing is known yet: let it wait, its deadline bounds it
+		return 0 // no release was observed yet: the request waits, at most until its deadline
 	}
 	return time.Duration(float64(ahead+1) / perSecond * float64(time.Second))
 }
 
-func (l *Ledger) waitsPatiently(router uint32, id uint64) bool {
-	for _, it := range l.patient {
+func (l *Ledger) isWaitingForCache(router uint32, id uint64) bool {
+	for _, it := range l.cacheWaiters {
 		if it.Router == router && it.ID == id {
 			return true
 		}
@@ -123,53 +130,53 @@
 	return false
 }
 
-// withdraw forgets the waiting asks for which gone is true and returns them.
-func (l *Ledger) withdraw(gone func(fairqueue.Item) bool) []fairqueue.Item {
-	removed := l.queue.Remove(gone)
-	kept := l.patient[:0]
-	for _, it := range l.patient {
-		if gone(it) {
+// removeWaiting removes the waiting requests that match and returns them.
+func (l *Ledger) removeWaiting(match func(fairqueue.Item) bool) []fairqueue.Item {
+	removed := l.queue.Remove(match)
+	kept := l.cacheWaiters[:0]
+	for _, it := range l.cacheWaiters {
+		if match(it) {
 			removed = append(removed, it)
 		} else {
 			kept = append(kept, it)
 		}
 	}
-	l.patient = kept
+	l.cacheWaiters = kept
 	return removed
 }
 
-// servePatient grants the asks whose target has room again, and moves those that
-// have waited long enough on.
-func (l *Ledger) servePatient(now time.Time) []Delivery {
+// grantCacheWaiters grants the requests whose cached target has room again. Requests whose wait
+// is over are granted another target or moved to the queue.
+func (l *Ledger) grantCacheWaiters(now time.Time) []Delivery {
 	var out []Delivery
-	kept := l.patient[:0]
-	for _, it := range l.patient {
-		if l.isPatient(now, it) {
+	kept := l.cacheWaiters[:0]
+	for _, it := range l.cacheWaiters {
+		if l.shouldWaitForCache(now, it) {
 			kept = append(kept, it)
 			continue
 		}
-		if uid, ok := l.place(now, it); ok && !l.mustWait(it) {
+		if uid, ok := l.chooseTarget(now, it); ok && !l.mustQueue(it) {
 			f := l.followers[it.Router]
-			out = append(out, Delivery{Router: it.Router, Incarnation: f.incarnation, Grant: l.grant(now, f, it, uid)})
+			out = append(out, Delivery{Router: it.Router, Incarnation: f.incarnation, Grant: l.grantTicket(now, f, it, uid)})
 			continue
 		}
 		l.queue.Push(it)
 	}
-	l.patient = kept
+	l.cacheWaiters = kept
 	return out
 }
 
-// serve grants waiting asks while tickets are free.
-func (l *Ledger) serve(now time.Time) []Delivery {
-	out := l.servePatient(now)
+// grantWaiting grants waiting requests while targets have room.
+func (l *Ledger) grantWaiting(now time.Time) []Delivery {
+	out := l.grantCacheWaiters(now)
 	for l.queue.Len() > 0 {
 		var uid uint64
 		it, ok := l.queue.PopNext(func(it fairqueue.Item) fairqueue.Decision {
-			if l.teamFull(it.Team) {
+			if l.isTeamAtLimit(it.Team) {
 				return fairqueue.SkipTeam
 			}
 			var free bool
-			uid, free = l.place(now, it)
+			uid, free = l.chooseTarget(now, it)
 			switch {
 			case free:
 				return fairqueue.Accept
@@ -186,7 +193,7 @@
 		if !known {
 			continue
 		}
-		out = append(out, Delivery{Router: it.Router, Incarnation: f.incarnation, Grant: l.grant(now, f, it, uid)})
+		out = append(out, Delivery{Router: it.Router, Incarnation: f.incarnation, Grant: l.grantTicket(now, f, it, uid)})
 	}
 	return out
 }
--- a/internal/core/ledger/waiting_test.go
+++ b/internal/core/ledger/waiting_test.go
@@ -10,112 +10,113 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-var _ = Describe("waiting asks", func() {
-	full := func(fleet int) *book {
-		b := newBook(table(1, `{"protocol":"model","boundMultiple":10,"maxPerTarget":8}`), fleet, nil)
-		b.follow(1)
+var _ = Describe("waiting requests", func() {
+	newCappedLedger := func(fleet int) *testLedger {
+		b := newTestLedger(newTable(1, `{"protocol":"model","boundMultiple":10,"maxPerTarget":8}`), fleet, nil)
+		b.addFollowers(1)
 		return b
 	}
 
-	// Symptom: another team's lookups wait behind a hot team. Sequence: the hot
-	// team queues 50, then a calm one asks. Cause: first come, first served.
-	It("share places between teams, and serve urgent ones first", func() {
-		b := full(1)
-		ids := b.fill(1, 7, hot)
+	// Guards against requests of a quiet team waiting behind the backlog of a busy team. The
+	// busy team queues 50 requests before the quiet team's first; first-come-first-served order
+	// would let the quiet team wait for all of them.
+	It("share slots fairly between teams, with a reserve for urgent requests", func() {
+		b := newCappedLedger(1)
+		ids := b.fillSlots(1, 7, busyTeam)
 		for range 50 {
-			_, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: normal})
+			_, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: normal})
 			Expect(g).To(BeNil())
 		}
-		calmID, g := b.ask(1, &peerv1.Ask{Team: calm, Priority: normal})
+		quietID, g := b.requestTicket(1, &peerv1.Ask{Team: quietTeam, Priority: normal})
 		Expect(g).To(BeNil())
-		_, g = b.ask(1, &peerv1.Ask{Team: calm, Priority: urgent})
-		Expect(g.GetTarget()).NotTo(BeZero(), "a place is kept for urgent requests")
-		b.release(ids[0], peerv1.Outcome_OUTCOME_DONE)
-		served := b.release(ids[1], peerv1.Outcome_OUTCOME_DONE)
-		served = append(served, b.release(ids[2], peerv1.Outcome_OUTCOME_DONE)...)
-		var got []uint64
-		for _, d := range served {
-			got = append(got, d.Grant.GetId())
+		_, g = b.requestTicket(1, &peerv1.Ask{Team: quietTeam, Priority: urgent})
+		Expect(g.GetTarget()).NotTo(BeZero(), "a slot is reserved for urgent requests")
+		b.releaseTicket(ids[0], peerv1.Outcome_OUTCOME_DONE)
+		granted := b.releaseTicket(ids[1], peerv1.Outcome_OUTCOME_DONE)
+		granted = append(granted, b.releaseTicket(ids[2], peerv1.Outcome_OUTCOME_DONE)...)
+		var grantedIDs []uint64
+		for _, d := range granted {
+			grantedIDs = append(grantedIDs, d.Grant.GetId())
 		}
-		Expect(got).To(ContainElement(calmID))
+		Expect(grantedIDs).To(ContainElement(quietID))
 	})
 
-	// Symptom: chats wait behind bulk work. Sequence: bulk asks queue first.
-	It("are served by class", func() {
-		b := newBook(table(2, model), 1, nil)
-		b.follow(1)
-		ids := b.fill(1, 2, limited)
-		_, g := b.ask(1, &peerv1.Ask{Team: limited, Priority: bulk})
+	// Guards against urgent requests waiting behind bulk requests that were queued first.
+	It("are granted in the order of their priority class", func() {
+		b := newTestLedger(newTable(2, modelPool), 1, nil)
+		b.addFollowers(1)
+		ids := b.fillSlots(1, 2, limitedTeam)
+		_, g := b.requestTicket(1, &peerv1.Ask{Team: limitedTeam, Priority: bulk})
 		Expect(g).To(BeNil())
-		urgentID, g := b.ask(1, &peerv1.Ask{Team: limited, Priority: urgent})
+		urgentID, g := b.requestTicket(1, &peerv1.Ask{Team: limitedTeam, Priority: urgent})
 		Expect(g).To(BeNil())
-		served := b.release(ids[0], peerv1.Outcome_OUTCOME_DONE)
-		Expect(served).To(HaveLen(1))
-		Expect(served[0].Grant.GetId()).To(Equal(urgentID))
+		granted := b.releaseTicket(ids[0], peerv1.Outcome_OUTCOME_DONE)
+		Expect(granted).To(HaveLen(1))
+		Expect(granted[0].Grant.GetId()).To(Equal(urgentID))
 	})
 
-	// Symptom: a caller waits a minute for a refusal. Sequence: the queue is longer
-	// than the deadline. Cause: the answer is held back although it is certain.
-	It("that can't be served in time are refused at once, with the time to come back", func() {
-		b := full(1)
-		ids := b.fill(1, 7, hot)
+	// Guards against holding back a refusal that is certain: the queue is longer than the
+	// deadline allows, so the caller must not wait for the deadline.
+	It("are refused at once with a retry time if they can't be served before their deadline", func() {
+		b := newCappedLedger(1)
+		ids := b.fillSlots(1, 7, busyTeam)
 		for range 10 {
-			b.ask(1, &peerv1.Ask{Team: hot, Priority: normal})
+			b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: normal})
 		}
 		b.now = b.now.Add(2 * time.Second)
-		b.release(ids[0], peerv1.Outcome_OUTCOME_DONE)
-		_, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: normal, DeadlineMillis: 1000})
+		b.releaseTicket(ids[0], peerv1.Outcome_OUTCOME_DONE)
+		_, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: normal, DeadlineMillis: 1000})
 		Expect(code.Code(g.GetCode())).To(Equal(code.DeadlineTooShort))
 		Expect(g.GetRetryAfterMillis()).To(BeNumerically(">", 1000))
 	})
 
 	It("are refused at their deadline", func() {
-		b := full(1)
-		b.fill(1, 7, hot)
-		_, g := b.ask(1, &peerv1.Ask{Team: hot, Priority: normal, DeadlineMillis: 500})
+		b := newCappedLedger(1)
+		b.fillSlots(1, 7, busyTeam)
+		_, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Priority: normal, DeadlineMillis: 500})
 		Expect(g).To(BeNil())
-		late := b.wait(time.Second)
-		Expect(late).To(HaveLen(1))
-		Expect(code.Code(late[0].Grant.GetCode())).To(Equal(code.DeadlineTooShort))
+		deferred := b.advance(time.Second)
+		Expect(deferred).To(HaveLen(1))
+		Expect(code.Code(deferred[0].Grant.GetCode())).To(Equal(code.DeadlineTooShort))
 	})
 
-	// Symptom: a team exceeds its limit by the number of routers. Sequence: it asks
-	// through several. Cause: each router knows only its own sliver.
-	It("keep a team's limit over the whole fleet", func() {
-		b := newBook(table(2, model), 2, nil)
-		b.follow(1, 2)
-		b.fill(1, 1, limited)
-		ids := b.fill(2, 1, limited)
-		_, g := b.ask(1, &peerv1.Ask{Team: limited, Priority: urgent})
+	// Guards against a team that exceeds its limit by sending through several routers, each of
+	// which knows only its own share of the requests.
+	It("keep the limit of a team over the whole fleet", func() {
+		b := newTestLedger(newTable(2, modelPool), 2, nil)
+		b.addFollowers(1, 2)
+		b.fillSlots(1, 1, limitedTeam)
+		ids := b.fillSlots(2, 1, limitedTeam)
+		_, g := b.requestTicket(1, &peerv1.Ask{Team: limitedTeam, Priority: urgent})
 		Expect(g).To(BeNil())
-		Expect(b.fill(1, 1, calm)).To(HaveLen(1), "other teams go on")
-		Expect(b.release(ids[0], peerv1.Outcome_OUTCOME_DONE)).To(HaveLen(1))
+		Expect(b.fillSlots(1, 1, quietTeam)).To(HaveLen(1), "other teams are still granted tickets")
+		Expect(b.releaseTicket(ids[0], peerv1.Outcome_OUTCOME_DONE)).To(HaveLen(1))
 	})
 
-	// Symptom: a long prefix is built anew although its engine frees a place at
-	// once. Cause: the request spills without a wait.
-	It("wait a little for the target that holds their chat's cache", func() {
-		b := newBook(table(2, `{"protocol":"model","boundMultiple":1.25,"maxPerTarget":2}`), 1, nil)
-		b.follow(1)
-		id, first := b.ask(1, &peerv1.Ask{Team: hot, Chat: 42, Priority: normal})
+	// Guards against computing a long prefix again although the engine with the cached prefix
+	// frees a slot at once.
+	It("wait for a short time for the target that holds their chat's cache", func() {
+		b := newTestLedger(newTable(2, `{"protocol":"model","boundMultiple":1.25,"maxPerTarget":2}`), 1, nil)
+		b.addFollowers(1)
+		id, first := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Chat: 42, Priority: normal})
 		for b.TicketCount(first.GetTarget()) < 1 {
-			b.fill(1, 1, hot)
+			b.fillSlots(1, 1, busyTeam)
 		}
-		_, g := b.ask(1, &peerv1.Ask{Team: hot, Chat: 42, Priority: normal})
+		_, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Chat: 42, Priority: normal})
 		Expect(g).To(BeNil())
-		served := b.release(id, peerv1.Outcome_OUTCOME_DONE)
-		Expect(served).To(HaveLen(1))
-		Expect(served[0].Grant.GetTarget()).To(Equal(first.GetTarget()))
+		granted := b.releaseTicket(id, peerv1.Outcome_OUTCOME_DONE)
+		Expect(granted).To(HaveLen(1))
+		Expect(granted[0].Grant.GetTarget()).To(Equal(first.GetTarget()))
 	})
 
-	It("spill to another target when the wait is over", func() {
-		b := newBook(table(2, `{"protocol":"model","boundMultiple":1.25,"maxPerTarget":2}`), 1, nil)
-		b.follow(1)
-		_, first := b.ask(1, &peerv1.Ask{Team: hot, Chat: 42, Priority: normal})
-		_, g := b.ask(1, &peerv1.Ask{Team: hot, Chat: 42, Priority: normal})
+	It("are placed on another target when the wait for the cache is over", func() {
+		b := newTestLedger(newTable(2, `{"protocol":"model","boundMultiple":1.25,"maxPerTarget":2}`), 1, nil)
+		b.addFollowers(1)
+		_, first := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Chat: 42, Priority: normal})
+		_, g := b.requestTicket(1, &peerv1.Ask{Team: busyTeam, Chat: 42, Priority: normal})
 		Expect(g).To(BeNil())
-		served := b.wait(400 * time.Millisecond)
-		Expect(served).To(HaveLen(1))
-		Expect(served[0].Grant.GetTarget()).NotTo(Equal(first.GetTarget()))
+		granted := b.advance(400 * time.Millisecond)
+		Expect(granted).To(HaveLen(1))
+		Expect(granted[0].Grant.GetTarget()).NotTo(Equal(first.GetTarget()))
 	})
 })
--- a/internal/core/router/requests.go
+++ b/internal/core/router/requests.go
@@ -27,7 +27,7 @@
 	}
 	team, _ := c.table.Team(ev.Team)
 	c.requests[ev.ID] = &request{arrived: ev, pool: ev.Pool}
-	c.client(ev.Pool).RequestTicket(&peerv1.Ask{
+	c.client(ev.Pool).Ask(&peerv1.Ask{
 		Id: ev.ID, Chat: ev.Chat, Team: team.UID, Priority: uint32(ev.Priority), Excluded: ev.Excluded,
 	}, ev.Deadline)
 }
@@ -282,7 +282,7 @@
 		return
 	}
 	team, _ := c.table.Team(r.arrived.Team)
-	c.client(pool).RequestTicket(&peerv1.Ask{
+	c.client(pool).Ask(&peerv1.Ask{
 		Id: r.arrived.ID, Chat: r.arrived.Chat, Team: team.UID,
 		Priority: uint32(r.arrived.Priority), Excluded: r.arrived.Excluded,
 	}, r.arrived.Deadline)
--- a/internal/core/ticket/placements.go
+++ b/internal/core/ticket/placements.go
@@ -7,62 +7,64 @@
 )
 
 const (
-	// maxPlacements bounds the chats that a router remembers per pool.
+	// maxPlacements is the maximum number of chats whose placements a router remembers per pool.
 	maxPlacements = 20_000
-	// placementsPerExchange bounds what one exchange carries of them.
+	// placementsPerExchange is the maximum number of placements in one exchange.
 	placementsPerExchange = 500
 )
 
+// placement records that a chat ran at a target.
 type placement struct {
-	target uint64
-	at     time.Time
+	target   uint64
+	placedAt time.Time
 }
 
-// placements is where this router's chats ran. The routers together know what
-// their pool's owner knows: every grant went through one of them. So a new owner
-// learns from its followers where the chats are, and nothing need be kept for it.
+// placements records on which targets this router's chats ran. Every grant of a pool goes
+// through one of the routers, so together they know all placements. A new owner learns them from
+// its followers and needs no stored copy. Two generations approximate least-recently-used
+// eviction.
 type placements struct {
-	young, older map[uint64]placement
-	unsent       []uint64 // chats that the present owner has still to learn
+	newer, older map[uint64]placement
+	unsent       []uint64 // chats whose placements the current owner has not received
 }
 
 func newPlacements() placements {
-	return placements{young: make(map[uint64]placement), older: make(map[uint64]placement)}
+	return placements{newer: make(map[uint64]placement), older: make(map[uint64]placement)}
 }
 
-func (p *placements) put(chat, target uint64, now time.Time) {
-	if len(p.young) >= maxPlacements/2 {
-		p.older, p.young = p.young, make(map[uint64]placement)
+func (p *placements) record(chat, target uint64, now time.Time) {
+	if len(p.newer) >= maxPlacements/2 {
+		p.older, p.newer = p.newer, make(map[uint64]placement)
 	}
-	p.young[chat] = placement{target: target, at: now}
+	p.newer[chat] = placement{target: target, placedAt: now}
 }
 
-// resend starts over for an owner that knows nothing.
-func (p *placements) resend() {
-	all := make(map[uint64]placement, len(p.young)+len(p.older))
-	for chat, v := range p.older {
-		all[chat] = v
+// markAllUnsent schedules all placements to be sent to a new owner.
+func (p *placements) markAllUnsent() {
+	all := make(map[uint64]placement, len(p.newer)+len(p.older))
+	for chat, found := range p.older {
+		all[chat] = found
 	}
-	for chat, v := range p.young {
-		all[chat] = v
+	for chat, found := range p.newer {
+		all[chat] = found
 	}
 	p.unsent = sortedKeys(all)
 }
 
-func (p *placements) pending() bool { return len(p.unsent) > 0 }
+func (p *placements) hasUnsent() bool { return len(p.unsent) > 0 }
 
-// next returns some placements that the owner has still to learn.
-func (p *placements) next(now time.Time) []*peerv1.Placement {
+// nextBatch returns the next unsent placements and marks them as sent.
+func (p *placements) nextBatch(now time.Time) []*peerv1.Placement {
 	n := min(len(p.unsent), placementsPerExchange)
 	var out []*peerv1.Placement
 	for _, chat := range p.unsent[:n] {
-		v, ok := p.young[chat]
+		found, ok := p.newer[chat]
 		if !ok {
-			v, ok = p.older[chat]
+			found, ok = p.older[chat]
 		}
 		if ok {
 			out = append(out, &peerv1.Placement{
-				Chat: chat, Target: v.target, AgeSeconds: uint32(now.Sub(v.at).Seconds()),
+				Chat: chat, Target: found.target, AgeSeconds: uint32(now.Sub(found.placedAt).Seconds()),
 			})
 		}
 	}
--- a/internal/core/ticket/ticket.go
+++ b/internal/core/ticket/ticket.go
@@ -1,6 +1,5 @@
-// Package ticket is a router's side of load bounding for one pool: it asks the
-// pool's owner for tickets, gives them back, and moves to another owner without
-// losing one.
+// Package ticket is a router's side of load bounding. For one pool it requests tickets from the
+// pool's owner, releases them, and moves to another owner without losing a ticket.
 package ticket
 
 import (
@@ -10,187 +9,191 @@
 	peerv1 "github.com/hemlockdyke/hemlockdyke/gen/hemlockdyke/peer/v1"
 )
 
-// ProtocolVersion is the version of the peer protocol. A peer that speaks another one
-// is refused, since it may mean something else by the same fields.
+// ProtocolVersion is the version of the peer protocol. A peer of another version is refused,
+// since the same fields may have another meaning in it.
 const ProtocolVersion = 1
 
-// retransmitAfter is how long an exchange may stay unanswered before it is sent
-// again, and failAfter unanswered sends the owner counts as failed.
+// retransmitTimeout is how long an exchange may stay unanswered before it is sent again. After
+// maxUnansweredSends unanswered sends the owner counts as failed.
 const (
-	retransmitAfter = 250 * time.Millisecond
-	failAfter       = 2
-	// failedPause is the pause after a send that failed instead of going unanswered.
-	failedPause = 50 * time.Millisecond
+	retransmitTimeout  = 250 * time.Millisecond
+	maxUnansweredSends = 2
+	// failedCallDelay is the delay before an exchange is sent again after its call failed.
+	failedCallDelay = 50 * time.Millisecond
 )
 
+// openTicket is a ticket that this router holds.
 type openTicket struct {
 	target uint64
 	team   uint64
 }
 
-// Client asks for the tickets of one pool. It has at most one exchange under
-// way: what comes up meanwhile goes with the next one, so messages batch by
-// themselves as the rate grows. It is not safe for concurrent use.
+// Client requests and releases the tickets of one pool. At most one exchange is in flight.
+// Requests and releases that arrive meanwhile are sent with the next exchange, so the batches
+// grow with the rate of requests. Client is not safe for concurrent use.
 type Client struct {
 	pool        string
 	self        uint32
 	incarnation uint64
 
-	owner     uint32
-	known     bool // the owner has this router's inventory
-	sequence  uint64
-	inFlight  *peerv1.ExchangeRequest
-	sentAt    time.Time
-	unreplied int
+	owner           uint32
+	inventoryKnown  bool // the owner has this router's inventory
+	sequence        uint64
+	inFlight        *peerv1.ExchangeRequest
+	sentAt          time.Time
+	unansweredSends int
 
-	asks     map[uint64]*peerv1.Ask // neither granted nor refused yet
-	unsent   map[uint64]bool
-	open     map[uint64]openTicket
-	releases []*peerv1.Release
-	held     time.Time // since when a release has waited to be sent
-	hold     time.Duration
-	deadline map[uint64]time.Time
+	pending             map[uint64]*peerv1.Ask // requests that are neither granted nor refused yet
+	unsentRequests      map[uint64]bool
+	heldTickets         map[uint64]openTicket
+	releases            []*peerv1.Release
+	releaseWaitingSince time.Time // since when the oldest release waits, zero if none
+	releaseDelay        time.Duration
+	deadlines           map[uint64]time.Time
 
 	placements placements
 }
 
-// New returns a Client without an owner. hold is how long a release may wait for
-// an ask to travel with: the owner's margin has to allow for it.
-func New(pool string, self uint32, incarnation uint64, hold time.Duration) *Client {
+// New returns a Client without an owner for router self. A release waits up to releaseDelay for
+// a request that it can be sent with. The owner's release margin has to allow for this delay.
+func New(pool string, self uint32, incarnation uint64, releaseDelay time.Duration) *Client {
 	return &Client{
-		pool: pool, self: self, incarnation: incarnation, hold: hold,
-		asks:     make(map[uint64]*peerv1.Ask),
-		unsent:   make(map[uint64]bool),
-		open:     make(map[uint64]openTicket),
-		deadline: make(map[uint64]time.Time),
+		pool: pool, self: self, incarnation: incarnation, releaseDelay: releaseDelay,
+		pending:        make(map[uint64]*peerv1.Ask),
+		unsentRequests: make(map[uint64]bool),
+		heldTickets:    make(map[uint64]openTicket),
+		deadlines:      make(map[uint64]time.Time),
 
 		placements: newPlacements(),
 	}
 }
 
-// Owner returns the router that this client follows, 0 if none.
+// Owner returns the router that this client follows, or 0 if there is none.
 func (c *Client) Owner() uint32 { return c.owner }
 
-// LastSequence returns the number of the last exchange built.
+// LastSequence returns the sequence number of the last exchange that was built.
 func (c *Client) LastSequence() uint64 { return c.sequence }
 
-// HeldTickets returns the number of tickets held.
-func (c *Client) HeldTickets() int { return len(c.open) }
+// HeldTickets returns the number of tickets that this router holds.
+func (c *Client) HeldTickets() int { return len(c.heldTickets) }
 
-// PendingRequests returns the number of asks without an answer.
-func (c *Client) PendingRequests() int { return len(c.asks) }
+// PendingRequests returns the number of requests that are neither granted nor refused yet.
+func (c *Client) PendingRequests() int { return len(c.pending) }
 
-// SetOwner moves to another owner. Everything still open goes to the new one with
-// the next exchange. Releases not yet sent are dropped: the new owner learns the
-// inventory, and the old one drops this router.
+// SetOwner moves the client to another owner. The next exchange carries the inventory and all
+// pending requests to the new owner. Releases that were not sent are dropped: they are missing
+// from the inventory that the new owner gets, and the old owner removes this router.
 func (c *Client) SetOwner(owner uint32) {
 	if owner == c.owner {
 		return
 	}
 	c.owner = owner
-	c.forget()
+	c.resetExchange()
 }
 
-// forget makes the next exchange carry the inventory and every open ask.
-func (c *Client) forget() {
-	c.known = false
+// resetExchange makes the next exchange carry the inventory, all placements and all pending
+// requests.
+func (c *Client) resetExchange() {
+	c.inventoryKnown = false
 	c.inFlight = nil
-	c.unreplied = 0
+	c.unansweredSends = 0
 	c.releases = nil
-	c.placements.resend()
-	for id := range c.asks {
-		c.unsent[id] = true
+	c.placements.markAllUnsent()
+	for id := range c.pending {
+		c.unsentRequests[id] = true
 	}
 }
 
-// RequestTicket adds a request that needs a ticket until a deadline.
-func (c *Client) RequestTicket(a *peerv1.Ask, deadline time.Time) {
-	c.asks[a.GetId()] = a
-	c.unsent[a.GetId()] = true
-	c.deadline[a.GetId()] = deadline
+// Ask adds a request for a ticket. ReleaseTicket withdraws it. The exchange that carries the
+// request tells the owner the remaining time until the deadline.
+func (c *Client) Ask(a *peerv1.Ask, deadline time.Time) {
+	c.pending[a.GetId()] = a
+	c.unsentRequests[a.GetId()] = true
+	c.deadlines[a.GetId()] = deadline
 }
 
-// ReleaseTicket gives a ticket back or withdraws an ask.
+// ReleaseTicket releases the ticket of a request or withdraws the request.
 func (c *Client) ReleaseTicket(id uint64, outcome peerv1.Outcome) {
-	_, held := c.open[id]
-	_, asked := c.asks[id]
-	if !held && !asked {
+	_, isHeld := c.heldTickets[id]
+	_, isPending := c.pending[id]
+	if !isHeld && !isPending {
 		return
 	}
-	sent := held || !c.unsent[id]
-	c.drop(id)
-	delete(c.open, id)
-	if sent {
+	ownerKnowsRequest := isHeld || !c.unsentRequests[id]
+	c.removePending(id)
+	delete(c.heldTickets, id)
+	if ownerKnowsRequest {
 		c.releases = append(c.releases, &peerv1.Release{Id: id, Outcome: outcome})
 	}
 }
 
-func (c *Client) drop(id uint64) {
-	delete(c.asks, id)
-	delete(c.unsent, id)
-	delete(c.deadline, id)
+// removePending removes a request that was answered or withdrawn.
+func (c *Client) removePending(id uint64) {
+	delete(c.pending, id)
+	delete(c.unsentRequests, id)
+	delete(c.deadlines, id)
 }
 
-// NextExchange returns the exchange to send now, or nil. It repeats an unanswered one
-// with the same sequence number and content.
+// NextExchange returns the exchange to send now, or nil if there is none. An unanswered exchange
+// is returned again with the same sequence number and content.
 func (c *Client) NextExchange(now time.Time) *peerv1.ExchangeRequest {
 	if c.owner == 0 {
 		return nil
 	}
 	if c.inFlight != nil {
-		if now.Sub(c.sentAt) < retransmitAfter {
+		if now.Sub(c.sentAt) < retransmitTimeout {
 			return nil
 		}
-		c.unreplied++
+		c.unansweredSends++
 		c.sentAt = now
 		return c.inFlight
 	}
-	if c.known && len(c.unsent) == 0 && !c.placements.pending() && !c.releasesDue(now) {
+	if c.inventoryKnown && len(c.unsentRequests) == 0 && !c.placements.hasUnsent() && !c.releasesDue(now) {
 		return nil
 	}
-	c.inFlight = c.build(now)
+	c.inFlight = c.buildExchange(now)
 	c.sentAt = now
 	return c.inFlight
 }
 
-// releasesDue reports whether the releases have to go now, with or without an ask.
+// releasesDue reports whether the waiting releases have to be sent now, even without a request.
 func (c *Client) releasesDue(now time.Time) bool {
 	if len(c.releases) == 0 {
 		return false
 	}
-	if c.held.IsZero() {
-		c.held = now
+	if c.releaseWaitingSince.IsZero() {
+		c.releaseWaitingSince = now
 	}
-	return now.Sub(c.held) >= c.hold
+	return now.Sub(c.releaseWaitingSince) >= c.releaseDelay
 }
 
-func (c *Client) build(now time.Time) *peerv1.ExchangeRequest {
+func (c *Client) buildExchange(now time.Time) *peerv1.ExchangeRequest {
 	c.sequence++
 	req := &peerv1.ExchangeRequest{
 		Protocol: ProtocolVersion, Pool: c.pool, Router: c.self, Incarnation: c.incarnation,
-		Sequence: c.sequence, Releases: c.releases, Placements: c.placements.next(now),
+		Sequence: c.sequence, Releases: c.releases, Placements: c.placements.nextBatch(now),
 	}
 	c.releases = nil
-	c.held = time.Time{}
-	for _, id := range sortedKeys(c.unsent) {
-		a := c.asks[id]
-		a.DeadlineMillis = uint32(max(c.deadline[id].Sub(now).Milliseconds(), 0))
+	c.releaseWaitingSince = time.Time{}
+	for _, id := range sortedKeys(c.unsentRequests) {
+		a := c.pending[id]
+		a.DeadlineMillis = uint32(max(c.deadlines[id].Sub(now).Milliseconds(), 0))
 		req.Asks = append(req.Asks, a)
 	}
-	clear(c.unsent)
-	if c.known {
+	clear(c.unsentRequests)
+	if c.inventoryKnown {
 		return req
 	}
 	req.HasInventory = true
-	for _, id := range sortedKeys(c.open) {
-		t := c.open[id]
+	for _, id := range sortedKeys(c.heldTickets) {
+		t := c.heldTickets[id]
 		req.Inventory = append(req.Inventory, &peerv1.OpenTicket{Id: id, Target: t.target, Team: t.team})
 	}
 	return req
 }
 
-// sortedKeys makes messages the same for the same state; the asks keep the
-// order in which they arrived because ids rise.
+// sortedKeys returns the keys in ascending order, which makes messages deterministic. Request
+// IDs ascend, so requests are sent in the order in which they arrived.
 func sortedKeys[V any](m map[uint64]V) []uint64 {
 	keys := make([]uint64, 0, len(m))
 	for k := range m {
@@ -200,55 +203,56 @@
 	return keys
 }
 
-// HandleFailedCall takes the news that a call to the owner failed. A refused connection
-// fails at once, so the next try need not wait for the whole retransmit time.
+// HandleFailedCall records that a call to the owner failed. A refused connection fails at once,
+// so the next send need not wait for the whole retransmit timeout.
 func (c *Client) HandleFailedCall(now time.Time, from uint32, sequence uint64) {
 	if from == c.owner && c.inFlight != nil && c.inFlight.GetSequence() == sequence {
-		c.sentAt = now.Add(failedPause - retransmitAfter)
+		c.sentAt = now.Add(failedCallDelay - retransmitTimeout)
 	}
 }
 
-// HandleReply takes in the owner's reply and returns its grants. A reply to anything
-// but the exchange under way is late and changes nothing.
+// HandleReply processes a reply of the owner and returns the grants and refusals of pending
+// requests. A reply to any exchange except the one in flight is late and is ignored.
 func (c *Client) HandleReply(now time.Time, from uint32, resp *peerv1.ExchangeResponse) []*peerv1.Grant {
 	if from != c.owner || c.inFlight == nil || resp.GetSequence() != c.inFlight.GetSequence() {
 		return nil
 	}
-	hadInventory := c.inFlight.GetHasInventory()
+	sentInventory := c.inFlight.GetHasInventory()
 	c.inFlight = nil
-	c.unreplied = 0
+	c.unansweredSends = 0
 	if resp.GetWantInventory() {
-		c.forget()
+		c.resetExchange()
 		return nil
 	}
-	c.known = c.known || hadInventory
-	return c.take(now, resp.GetGrants())
+	c.inventoryKnown = c.inventoryKnown || sentInventory
+	return c.recordGrants(now, resp.GetGrants())
 }
 
-// HandleDelivery takes in grants of asks that had to wait at the owner.
+// HandleDelivery processes grants and refusals of requests that were queued at the owner and
+// returns those of pending requests.
 func (c *Client) HandleDelivery(now time.Time, from uint32, grants []*peerv1.Grant) []*peerv1.Grant {
 	if from != c.owner {
 		return nil
 	}
-	return c.take(now, grants)
+	return c.recordGrants(now, grants)
 }
 
-// take records grants. One whose ask is gone was withdrawn meanwhile: its ticket
-// goes back, or the owner would count it for ever.
-func (c *Client) take(now time.Time, grants []*peerv1.Grant) []*peerv1.Grant {
+// recordGrants records grants and returns those of pending requests. If a request was withdrawn
+// meanwhile, its ticket is released: otherwise the owner would count it for ever.
+func (c *Client) recordGrants(now time.Time, grants []*peerv1.Grant) []*peerv1.Grant {
 	var out []*peerv1.Grant
 	for _, g := range grants {
-		a, ok := c.asks[g.GetId()]
+		a, ok := c.pending[g.GetId()]
 		if !ok {
-			if _, held := c.open[g.GetId()]; !held && g.GetTarget() != 0 {
+			if _, isHeld := c.heldTickets[g.GetId()]; !isHeld && g.GetTarget() != 0 {
 				c.releases = append(c.releases, &peerv1.Release{Id: g.GetId(), Outcome: peerv1.Outcome_OUTCOME_UNUSED})
 			}
 			continue
 		}
-		c.drop(g.GetId())
+		c.removePending(g.GetId())
 		if g.GetTarget() != 0 {
-			c.open[g.GetId()] = openTicket{target: g.GetTarget(), team: a.GetTeam()}
-			c.placements.put(a.GetChat(), g.GetTarget(), now)
+			c.heldTickets[g.GetId()] = openTicket{target: g.GetTarget(), team: a.GetTeam()}
+			c.placements.record(a.GetChat(), g.GetTarget(), now)
 		}
 		out = append(out, g)
 	}
@@ -256,4 +260,4 @@
 }
 
 // HasOwnerFailed reports whether the owner left several sends unanswered.
-func (c *Client) HasOwnerFailed() bool { return c.unreplied >= failAfter }
+func (c *Client) HasOwnerFailed() bool { return c.unansweredSends >= maxUnansweredSends }
