--- a/internal/core/router/configuration.go
+++ b/internal/core/router/configuration.go
@@ -12,69 +12,71 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-// pushFanout is the number of peers that a router passes a new change on to. Two
-// reach 340 routers in about nine rounds; gossip catches the rest.
+// pushFanout is the number of peers to which a router forwards a new change. A fanout of two
+// reaches 340 routers in about nine rounds. Routers that it misses pull the change after gossip
+// shows them the higher revision.
 const pushFanout = 2
 
-// pullTimeout is how long an unanswered pull keeps another one from starting.
+// pullTimeout is how long an unanswered pull prevents another one.
 const pullTimeout = 2 * time.Second
 
 func (c *Core) handlePush(m *peerv1.PushRequest) (proto.Message, error) {
-	c.applyAll(DecodeChanges(m.GetChanges()))
+	c.applyChanges(DecodeChanges(m.GetChanges()))
 	return &peerv1.PushResponse{Router: c.settings.Self, Revision: c.config.Revision()}, nil
 }
 
 func (c *Core) handlePull(m *peerv1.PullRequest) (proto.Message, error) {
 	resp := &peerv1.PullResponse{Head: c.config.Revision()}
-	changes, kept := c.config.ChangesSince(m.GetAfterRevision())
-	if kept {
+	changes, available := c.config.ChangesSince(m.GetAfterRevision())
+	if available {
 		resp.Changes = EncodeChanges(changes)
 		return resp, nil
 	}
 	resp.IsSnapshot = true
 	resp.SnapshotRevision = c.config.Revision()
-	resp.Snapshot = resourcesToWire(c.config.Resources())
+	resp.Snapshot = encodeResources(c.config.Resources())
 	return resp, nil
 }
 
-func (c *Core) pulled(resp *peerv1.PullResponse) {
+func (c *Core) handlePullReply(resp *peerv1.PullResponse) {
 	if resp.GetIsSnapshot() {
-		c.load(resp.GetSnapshotRevision(), resourcesFromWire(resp.GetSnapshot()))
+		c.loadSnapshot(resp.GetSnapshotRevision(), decodeResources(resp.GetSnapshot()))
 		return
 	}
-	c.applyAll(DecodeChanges(resp.GetChanges()))
+	c.applyChanges(DecodeChanges(resp.GetChanges()))
 }
 
-// pullIfBehind asks a peer that has a higher revision for what is missing.
+// pullIfBehind requests the missing changes from the peer with the highest revision, if that is
+// higher than this router's.
 func (c *Core) pullIfBehind(now time.Time) {
 	highest, at := c.members.HighestRevision()
 	if highest <= c.config.Revision() {
 		return
 	}
-	if !c.pulling.IsZero() && now.Sub(c.pulling) < pullTimeout {
+	if !c.pullStartedAt.IsZero() && now.Sub(c.pullStartedAt) < pullTimeout {
 		return
 	}
-	c.pulling = now
+	c.pullStartedAt = now
 	c.emit(CallPeer{To: at, Message: &peerv1.PullRequest{
 		Protocol: ticket.ProtocolVersion, AfterRevision: c.config.Revision(),
 	}})
 }
 
-func (c *Core) storeWasRead(now time.Time, ev StoreReadCompleted) {
+func (c *Core) handleStoreRead(now time.Time, ev StoreReadCompleted) {
 	if ev.Failed {
 		return
 	}
-	c.storeRead = now
+	c.storeReadAt = now
 	if ev.Snapshot != nil {
-		c.load(ev.Snapshot.Revision, ev.Snapshot.Resources)
+		c.loadSnapshot(ev.Snapshot.Revision, ev.Snapshot.Resources)
 	}
-	c.applyAll(ev.Changes)
-	c.fromStore = c.fromStore || c.config.Revision() > 0
+	c.applyChanges(ev.Changes)
+	c.loadedFromStore = c.loadedFromStore || c.config.Revision() > 0
 }
 
-// applyAll puts the changes in force that come next, publishes once, and passes
-// them on.
-func (c *Core) applyAll(changes []resource.Change) {
+// applyChanges applies the changes that follow the current revision. If there are any, it
+// publishes the new table once and forwards the applied changes to peers.
+func (c *Core) applyChanges(changes []resource.Change) {
 	var applied []resource.Change
 	for _, change := range changes {
 		if c.config.Apply(change) == config.Applied {
@@ -88,20 +90,21 @@
 	for _, change := range applied {
 		table = table.Apply(change.Revision, change.Resources)
 	}
-	c.publish(table)
-	wire := EncodeChanges(applied)
+	c.publishTable(table)
+	encoded := EncodeChanges(applied)
 	for _, to := range c.members.RandomPeers(pushFanout) {
-		c.emit(CallPeer{To: to, Message: &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: wire}})
+		c.emit(CallPeer{To: to, Message: &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: encoded}})
 	}
 }
 
-func (c *Core) load(revision uint64, resources []resource.Resource) {
+func (c *Core) loadSnapshot(revision uint64, resources []resource.Resource) {
 	if c.config.LoadSnapshot(revision, resources) == config.Applied {
-		c.publish(routing.Build(revision, resources))
+		c.publishTable(routing.Build(revision, resources))
 	}
 }
 
-func (c *Core) publish(table *routing.Table) {
+// publishTable applies a routing table to the ledgers and to traffic.
+func (c *Core) publishTable(table *routing.Table) {
 	c.table = table
 	for name, l := range c.ledgers {
 		if p, ok := c.table.Pool(name); ok {
@@ -111,25 +114,25 @@
 	c.emit(PublishTable{Table: c.table})
 }
 
-// EncodeChanges encodes changes for a peer.
+// EncodeChanges converts changes to peer messages.
 func EncodeChanges(changes []resource.Change) []*peerv1.Change {
 	out := make([]*peerv1.Change, len(changes))
 	for i, ch := range changes {
-		out[i] = &peerv1.Change{Revision: ch.Revision, Resources: resourcesToWire(ch.Resources)}
+		out[i] = &peerv1.Change{Revision: ch.Revision, Resources: encodeResources(ch.Resources)}
 	}
 	return out
 }
 
-// DecodeChanges decodes a peer's changes.
+// DecodeChanges converts peer messages to changes.
 func DecodeChanges(changes []*peerv1.Change) []resource.Change {
 	out := make([]resource.Change, len(changes))
 	for i, ch := range changes {
-		out[i] = resource.Change{Revision: ch.GetRevision(), Resources: resourcesFromWire(ch.GetResources())}
+		out[i] = resource.Change{Revision: ch.GetRevision(), Resources: decodeResources(ch.GetResources())}
 	}
 	return out
 }
 
-func resourcesToWire(resources []resource.Resource) []*peerv1.Resource {
+func encodeResources(resources []resource.Resource) []*peerv1.Resource {
 	out := make([]*peerv1.Resource, len(resources))
 	for i, r := range resources {
 		out[i] = &peerv1.Resource{
@@ -140,7 +143,7 @@
 	return out
 }
 
-func resourcesFromWire(resources []*peerv1.Resource) []resource.Resource {
+func decodeResources(resources []*peerv1.Resource) []resource.Resource {
 	out := make([]resource.Resource, len(resources))
 	for i, r := range resources {
 		out[i] = resource.Resource{
--- a/internal/core/router/core.go
+++ b/internal/core/router/core.go
@@ -15,31 +15,34 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-// TickInterval is how often the core expects a Tick.
+// TickInterval is the interval at which the core expects Tick events.
 const TickInterval = 50 * time.Millisecond
 
-// Settings configure a Core.
+// Settings configures a Core.
 type Settings struct {
 	Self        uint32
 	Incarnation uint64
-	Routers     []uint32 // every listed router, Self included
+	Routers     []uint32 // all listed routers, including Self
 	Seed        uint64
 
-	GossipInterval   time.Duration
-	GossipFanout     int
-	PollInterval     time.Duration
-	SuspectTimeout   time.Duration
+	GossipInterval time.Duration
+	GossipFanout   int           // peers per gossip round
+	PollInterval   time.Duration // of the configuration store
+	// SuspectTimeout is how long a router counts as alive after its heartbeat advanced.
+	SuspectTimeout time.Duration
+	// FreshnessTimeout is how long the configuration counts as fresh after the store was read or
+	// after the heartbeats of a majority of routers advanced.
 	FreshnessTimeout time.Duration
 
-	// ReleaseDelay is how long the release of a ticket may wait for an ask to travel
-	// with. It saves a call per request in a large fleet, whose owners' margin then
-	// allows for the releases that wait.
+	// ReleaseDelay is how long the release of a ticket may wait for a request that it can be
+	// sent with. In a large fleet this saves a call per request. The release margin of the
+	// owners allows for the delay.
 	ReleaseDelay time.Duration
 
 	Ledger ledger.Settings
 }
 
-// DefaultSettings returns the settings of router self in a fleet.
+// DefaultSettings returns the settings of router self in a fleet of the listed routers.
 func DefaultSettings(self uint32, routers []uint32) Settings {
 	return Settings{
 		Self: self, Incarnation: 1, Routers: routers, Seed: uint64(self),
@@ -51,13 +54,13 @@
 
 // request is a request that waits for a ticket or holds one.
 type request struct {
-	arrived RequestArrived
-	pool    string
-	granted uint64 // target UID
+	event         RequestArrived
+	pool          string
+	grantedTarget uint64 // UID of the granted target, 0 while the request waits
 }
 
-// Core is the state of one router. It is not safe for concurrent use: the
-// control goroutine owns it.
+// Core is the state of one router. It is not safe for concurrent use: the control goroutine owns
+// it.
 type Core struct {
 	settings Settings
 	rand     *rand.Rand
@@ -66,97 +69,96 @@
 	table   *routing.Table
 	members *member.View
 
-	ledgers  map[string]*ledger.Ledger
-	clients  map[string]*ticket.Client
-	requests map[uint64]*request
-	budgets  map[string]*retry.Budget
-
-	// failedOwner holds the time until which an owner that left exchanges
-	// unanswered is passed over, although its heartbeats may still arrive by
-	// way of others.
-	failedOwner map[uint32]time.Time
-
-	nextGossip time.Time
-	nextPoll   time.Time
-	nextProbe  time.Time
-	storeRead  time.Time
-	fromStore  bool
-	pulling    time.Time // when the pull under way began; zero if none
-	leaving    bool
-	ready      Readiness
-	readySent  bool
-
-	repeats []repeated
-	actions []Action
+	ledgers      map[string]*ledger.Ledger
+	clients      map[string]*ticket.Client
+	requests     map[uint64]*request
+	retryBudgets map[string]*retry.Budget
+
+	// avoidOwnerUntil holds the time until which a router that left exchanges unanswered is not
+	// used as an owner. Its heartbeats may still arrive through other routers.
+	avoidOwnerUntil map[uint32]time.Time
+
+	nextGossipAt    time.Time
+	nextPollAt      time.Time
+	nextProbeAt     time.Time
+	storeReadAt     time.Time
+	loadedFromStore bool
+	pullStartedAt   time.Time // when the pull in flight was started, zero if there is none
+	shuttingDown    bool
+	readiness       Readiness
+	readinessSent   bool
+
+	pendingResends []delayedCall
+	actions        []Action
 }
 
-// repeated is a failed message that is to be sent again.
-type repeated struct {
-	due  time.Time
-	send CallPeer
+// delayedCall is a failed call that is made again at dueAt.
+type delayedCall struct {
+	dueAt time.Time
+	call  CallPeer
 }
 
 // New returns a Core that has no configuration yet.
 func New(now time.Time, s Settings) *Core {
 	rnd := rand.New(rand.NewPCG(s.Seed, uint64(s.Self)))
 	c := &Core{
-		settings:    s,
-		rand:        rnd,
-		config:      config.New(),
-		table:       routing.Build(0, nil),
-		members:     member.New(now, s.Self, s.Incarnation, s.Routers, s.SuspectTimeout, rnd),
-		ledgers:     make(map[string]*ledger.Ledger),
-		clients:     make(map[string]*ticket.Client),
-		requests:    make(map[uint64]*request),
-		budgets:     make(map[string]*retry.Budget),
-		failedOwner: make(map[uint32]time.Time),
+		settings:        s,
+		rand:            rnd,
+		config:          config.New(),
+		table:           routing.Build(0, nil),
+		members:         member.New(now, s.Self, s.Incarnation, s.Routers, s.SuspectTimeout, rnd),
+		ledgers:         make(map[string]*ledger.Ledger),
+		clients:         make(map[string]*ticket.Client),
+		requests:        make(map[uint64]*request),
+		retryBudgets:    make(map[string]*retry.Budget),
+		avoidOwnerUntil: make(map[uint32]time.Time),
 	}
 	if len(s.Routers) > 1 {
-		c.nextPoll = now.Add(c.jittered(firstPoll))
+		c.nextPollAt = now.Add(c.jitter(firstPollDelay))
 	}
 	return c
 }
 
-// firstPoll is how long a starting router leaves its peers the time to hand it the
-// configuration. A peer's compressed answer costs a fraction of reading every row
-// from the table service, which 31 routers of a new data centre would do at once.
-const firstPoll = 400 * time.Millisecond
+// firstPollDelay gives the peers of a starting router time to send it the configuration before
+// it reads the store. A compressed answer of a peer costs a fraction of reading every row from
+// the table service, and all 31 routers of a new data centre would read the rows at once.
+const firstPollDelay = 400 * time.Millisecond
 
-// Step takes one event and returns the actions that follow. The slice is valid
-// until the next call.
+// Step processes one event and returns the resulting actions. The slice is valid until the next
+// call.
 func (c *Core) Step(now time.Time, ev Event) []Action {
 	c.actions = c.actions[:0]
 	switch ev := ev.(type) {
 	case RequestArrived:
-		c.arrived(now, ev)
+		c.handleRequestArrived(now, ev)
 	case RequestEnded:
-		c.ended(ev)
+		c.handleRequestEnded(ev)
 	case LoadReported:
-		c.reported(now, ev)
+		c.handleLoadReport(now, ev)
 	case CallReceived:
-		c.callIn(now, ev)
+		c.handleCall(now, ev)
 	case CallCompleted:
-		c.callOut(now, ev)
+		c.handleCallCompleted(now, ev)
 	case StoreReadCompleted:
-		c.storeWasRead(now, ev)
+		c.handleStoreRead(now, ev)
 	case Tick:
-		c.tick(now)
+		c.handleTick(now)
 	case Shutdown:
-		c.leaving = true
+		c.shuttingDown = true
 		c.members.MarkLeaving()
-		c.announce(now)
+		c.broadcastHeartbeats(now)
 	}
-	c.exchange(now)
-	c.updateReady(now)
+	c.sendExchanges(now)
+	c.updateReadiness(now)
 	return c.actions
 }
 
 func (c *Core) emit(a Action) { c.actions = append(c.actions, a) }
 
-// Table returns the routing table in force.
+// Table returns the routing table that is applied.
 func (c *Core) Table() *routing.Table { return c.table }
 
-// Revision returns the configuration revision in force.
+// Revision returns the configuration revision that is applied.
 func (c *Core) Revision() uint64 { return c.config.Revision() }
 
 // Revisions returns the last known revision of every listed router.
@@ -166,105 +168,107 @@
 	return out
 }
 
-// IsIncarnationAlive reports whether a process of a router may still run: its
+// IsIncarnationAlive reports whether a process of a router may still be running: the router's
 // heartbeats arrive and it has not restarted.
 func (c *Core) IsIncarnationAlive(now time.Time, id uint32, incarnation uint64) bool {
 	return c.members.IsAlive(now, id) && c.members.Incarnation(id) == incarnation
 }
 
-// OpenRequests returns the number of requests that wait or run.
+// OpenRequests returns the number of requests that wait for a ticket or hold one.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
-// updateReady decides whether this router may take new work. One that has
-// neither read the store nor heard from a majority for a while may miss a drain
-// or a change that is in force elsewhere: callers would be sent to a target that
-// is already gone. It refuses until it is sure again.
-func (c *Core) updateReady(now time.Time) {
+// updateReadiness determines whether this router may accept new requests. A router that has
+// neither read the store nor heard from a majority within FreshnessTimeout may miss a drain or
+// another applied change, and would send requests to a target that has already exited. It
+// refuses new requests until its configuration is known to be fresh.
+func (c *Core) updateReadiness(now time.Time) {
 	next := Readiness{Ready: true}
 	switch {
-	case c.leaving:
+	case c.shuttingDown:
 		next = Readiness{Reason: code.ShuttingDown}
-	case c.config.Revision() == 0 || !c.current(now):
+	case c.config.Revision() == 0 || !c.isConfigCurrent(now):
 		next = Readiness{Reason: code.NotReady}
-	case !c.fresh(now):
+	case !c.isConfigFresh(now):
 		next = Readiness{Reason: code.StaleConfig}
 	}
-	if next != c.ready || !c.readySent {
-		c.ready, c.readySent = next, true
+	if next != c.readiness || !c.readinessSent {
+		c.readiness, c.readinessSent = next, true
 		c.emit(next)
 		if next.Ready {
-			c.announce(now)
+			c.broadcastHeartbeats(now)
 		}
 	}
 }
 
-// current reports whether the first configuration is known to be up to date: it
-// came from the store, or a majority has been heard and nobody has a higher one.
-func (c *Core) current(now time.Time) bool {
-	if c.fromStore {
+// isConfigCurrent reports whether the first configuration is known to be up to date: it came
+// from the store, or a majority of routers was heard and none has a higher revision.
+func (c *Core) isConfigCurrent(now time.Time) bool {
+	if c.loadedFromStore {
 		return true
 	}
 	highest, _ := c.members.HighestRevision()
 	return c.members.HasHeardMajority(now, c.settings.FreshnessTimeout) && c.config.Revision() >= highest
 }
 
-func (c *Core) fresh(now time.Time) bool {
-	if !c.storeRead.IsZero() && now.Sub(c.storeRead) <= c.settings.FreshnessTimeout {
+// isConfigFresh reports whether the store was read or a majority of routers was heard within
+// FreshnessTimeout.
+func (c *Core) isConfigFresh(now time.Time) bool {
+	if !c.storeReadAt.IsZero() && now.Sub(c.storeReadAt) <= c.settings.FreshnessTimeout {
 		return true
 	}
 	return c.members.HasHeardMajority(now, c.settings.FreshnessTimeout)
 }
 
-// jittered returns a period of up to a quarter more or less than d. Without it
-// the timers of many routers fall into step after an outage and their reads
-// arrive at the store together.
-func (c *Core) jittered(d time.Duration) time.Duration {
+// jitter returns a random duration within a quarter of d, above or below. Without jitter the
+// timers of many routers would synchronise after an outage, and their reads would arrive at the
+// store together.
+func (c *Core) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + 0.5*c.rand.Float64()))
 }
 
-func (c *Core) tick(now time.Time) {
-	if !now.Before(c.nextGossip) {
-		c.nextGossip = now.Add(c.jittered(c.settings.GossipInterval))
-		c.gossip(now)
+func (c *Core) handleTick(now time.Time) {
+	if !now.Before(c.nextGossipAt) {
+		c.nextGossipAt = now.Add(c.jitter(c.settings.GossipInterval))
+		c.sendGossip(now)
 	}
-	if !now.Before(c.nextPoll) {
-		c.nextPoll = now.Add(c.jittered(c.settings.PollInterval))
+	if !now.Before(c.nextPollAt) {
+		c.nextPollAt = now.Add(c.jitter(c.settings.PollInterval))
 		c.emit(ReadStore{AfterRevision: c.config.Revision()})
 	}
-	c.expire(now)
-	c.sendRepeats(now)
-	c.followOwners(now)
-	for _, name := range c.ledgerNames() {
-		c.dropSilent(now, name)
-		c.deliver(now, name, c.ledgers[name].Tick(now))
+	c.refuseExpired(now)
+	c.sendDueCalls(now)
+	c.updateOwners(now)
+	for _, name := range c.ledgerPools() {
+		c.removeSilentFollowers(now, name)
+		c.deliverGrants(now, name, c.ledgers[name].Tick(now))
 	}
-	if !now.Before(c.nextProbe) {
-		c.nextProbe = now.Add(c.jittered(probeInterval))
-		c.probe(now)
+	if !now.Before(c.nextProbeAt) {
+		c.nextProbeAt = now.Add(c.jitter(probeInterval))
+		c.probeTargets(now)
 	}
 	c.pullIfBehind(now)
 }
 
-// dropSilent removes the followers of a ledger that have gone silent.
-func (c *Core) dropSilent(now time.Time, pool string) {
+// removeSilentFollowers removes the followers of a ledger that have gone silent.
+func (c *Core) removeSilentFollowers(now time.Time, pool string) {
 	l := c.ledgers[pool]
 	for _, id := range l.SilentFollowers(now.Add(-c.settings.SuspectTimeout)) {
 		if !c.members.IsAlive(now, id) {
-			c.deliver(now, pool, l.RemoveFollower(now, id, false))
-			c.nextProbe = now // its ghosts hold places until the targets report
+			c.deliverGrants(now, pool, l.RemoveFollower(now, id, false))
+			c.nextProbeAt = now // its orphans hold slots until the targets report
 		}
 	}
 }
 
-// probeInterval is the mean time between two looks at the targets' own counts,
-// while a ledger needs them.
+// probeInterval is the mean interval between two probes of the targets while a ledger needs
+// their load reports.
 const probeInterval = 500 * time.Millisecond
 
-// probe asks for the counts of the targets of ledgers that need them. In quiet
-// times none does, so probes cost nothing. Plain services report no load, and a
-// probe would be a request to their application.
-func (c *Core) probe(now time.Time) {
-	for _, name := range c.ledgerNames() {
+// probeTargets requests load reports from the targets of ledgers that need them. Most of the
+// time no ledger does, so probes cost nothing then. Plain services report no load, and a probe
+// would be a request to their application.
+func (c *Core) probeTargets(now time.Time) {
+	for _, name := range c.ledgerPools() {
 		p, ok := c.table.Pool(name)
 		if !ok || p.Spec.Protocol != resource.ProtocolModel || !c.ledgers[name].NeedsLoadReports(now) {
 			continue
@@ -275,14 +279,16 @@
 	}
 }
 
-func (c *Core) gossip(now time.Time) { c.gossipWith(now, c.settings.GossipFanout) }
+func (c *Core) sendGossip(now time.Time) { c.sendHeartbeats(now, c.settings.GossipFanout) }
 
-// announce tells every router at once that this one is ready or is leaving.
-// Spread by gossip the news takes seconds, in which some routers follow one owner
-// and some another, and each owner has only a share of the places.
-func (c *Core) announce(now time.Time) { c.gossipWith(now, c.members.Size()) }
+// broadcastHeartbeats tells every router at once that this router is ready or shutting down. By
+// gossip the news would take seconds. During that time the routers would follow different
+// owners, each of which may grant only a share of the slots.
+func (c *Core) broadcastHeartbeats(now time.Time) { c.sendHeartbeats(now, c.members.Size()) }
 
-func (c *Core) gossipWith(now time.Time, partners int) {
+// sendHeartbeats advances this router's heartbeat and sends all known heartbeats to randomly chosen
+// routers.
+func (c *Core) sendHeartbeats(now time.Time, partners int) {
 	c.members.AdvanceHeartbeat(now, c.config.Revision())
 	for _, to := range c.members.RandomPeers(partners) {
 		c.emit(CallPeer{To: to, Message: &peerv1.GossipRequest{
@@ -291,8 +297,8 @@
 	}
 }
 
-// TicketCounts returns the requests that this router, as an owner, counts against each
-// target of a pool.
+// TicketCounts returns the number of tickets that this router, as the owner of a pool, counts
+// against each of the pool's targets.
 func (c *Core) TicketCounts(pool string) map[uint64]int {
 	out := make(map[uint64]int)
 	l, ok := c.ledgers[pool]
--- a/internal/core/router/events.go
+++ b/internal/core/router/events.go
@@ -1,8 +1,7 @@
-// Package router is the decision core of one router: it joins configuration,
-// membership, load bounding and retry budgets behind one function,
-// Core.Step(now, event) []Action. It does no I/O, starts no goroutine, reads no
-// clock and draws randomness only from its seed, so the same code runs in the
-// daemon and, many times over, inside one test process.
+// Package router is the decision core of one router. It combines configuration, membership, load
+// bounding and retry budgets behind one function, Core.Step(now, event) []Action. It does no
+// I/O, starts no goroutines, reads no clock and draws randomness only from its seed. The same
+// code therefore runs in the daemon and, in many instances, inside one test process.
 package router
 
 import (
@@ -22,7 +21,8 @@
 
 // Events from the traffic path.
 type (
-	// RequestArrived: a request needs a target. The same ID arrives again for a retry.
+	// RequestArrived reports a request that needs a target. A retry has the ID of the first
+	// attempt.
 	RequestArrived struct {
 		ID       uint64
 		Pool     string
@@ -33,12 +33,12 @@
 		Excluded []uint64
 		Retry    bool
 	}
-	// RequestEnded: the request no longer needs its ticket, or its ask is withdrawn.
+	// RequestEnded reports that a request no longer needs its ticket or no longer waits for one.
 	RequestEnded struct {
 		ID      uint64
 		Outcome peerv1.Outcome
 	}
-	// LoadReported: a target answered a Probe with its own count of open requests.
+	// LoadReported reports a target's own count of open requests, the answer to ProbeTarget.
 	LoadReported struct {
 		Pool         string
 		Target       uint64
@@ -46,17 +46,17 @@
 	}
 )
 
-// CallID identifies an incoming call that waits for a Respond action.
+// CallID identifies an incoming call that is answered by an AnswerCall action.
 type CallID uint64
 
 // Events from other processes.
 type (
-	// CallReceived: a peer calls. Message is one of the peer service's requests.
+	// CallReceived reports a call of a peer. Message is one of the peer service's requests.
 	CallReceived struct {
 		Call    CallID
 		Message proto.Message
 	}
-	// CallCompleted: a call that the core asked for has ended, with a Reply or failed.
+	// CallCompleted reports that a call requested by CallPeer succeeded with a Reply or failed.
 	CallCompleted struct {
 		To      uint32
 		Request proto.Message
@@ -66,19 +66,19 @@
 
 // Events from the platform and the clock.
 type (
-	// StoreReadCompleted: the configuration store was read.
+	// StoreReadCompleted reports the result of ReadStore.
 	StoreReadCompleted struct {
 		Failed   bool
 		Changes  []resource.Change
-		Snapshot *Snapshot // set when the changes are no longer kept
+		Snapshot *Snapshot // set if the store no longer keeps the changes
 	}
-	// Tick: time has passed. The core expects one every TickInterval.
+	// Tick reports that time has passed. The core expects one every TickInterval.
 	Tick struct{}
-	// Shutdown: this router is to stop.
+	// Shutdown reports that this router is to stop.
 	Shutdown struct{}
 )
 
-// Snapshot is a whole configuration.
+// Snapshot is a complete configuration at a revision.
 type Snapshot struct {
 	Revision  uint64
 	Resources []resource.Resource
@@ -98,7 +98,7 @@
 
 // The actions.
 type (
-	// GrantTarget gives a request its target.
+	// GrantTarget assigns a target to a request.
 	GrantTarget struct {
 		ID     uint64
 		Target routing.Target
@@ -110,27 +110,29 @@
 		Code       code.Code
 		RetryAfter time.Duration
 	}
-	// CallPeer calls a peer. The result comes back as CallOut.
+	// CallPeer calls a peer. The result is returned as CallCompleted.
 	CallPeer struct {
 		To      uint32
 		Message proto.Message
 	}
-	// AnswerCall answers a CallIn. Err is nil or a *code.Error.
+	// AnswerCall answers a CallReceived. Err is nil or a *code.Error.
 	AnswerCall struct {
 		Call    CallID
 		Message proto.Message
 		Err     error
 	}
-	// ProbeTarget asks for a target's own count of open requests.
+	// ProbeTarget requests a target's own count of open requests. The result is returned as
+	// LoadReported; a failed probe has no result.
 	ProbeTarget struct {
 		Pool   string
 		Target routing.Target
 	}
-	// ReadStore asks for the configuration after a revision.
+	// ReadStore requests the configuration changes after a revision. The result is returned as
+	// StoreReadCompleted.
 	ReadStore struct{ AfterRevision uint64 }
-	// PublishTable puts a routing table in force for traffic.
+	// PublishTable applies a routing table to traffic.
 	PublishTable struct{ Table *routing.Table }
-	// Readiness tells the balancer whether to send traffic here.
+	// Readiness tells the balancer whether to send traffic to this router.
 	Readiness struct {
 		Ready  bool
 		Reason code.Code
--- a/internal/core/router/fleet_test.go
+++ b/internal/core/router/fleet_test.go
@@ -18,13 +18,13 @@
 const (
 	poolName = "drafting"
 	teamName = "dealers"
-	// maxPerTarget is the cap that the fleet must keep.
+	// maxPerTarget is the cap of open requests per target that the fleet must keep.
 	maxPerTarget = 6
-	// patience is the time from a request to its deadline.
-	patience = 8 * time.Second
+	// requestTimeout is the time from a request's arrival to its deadline.
+	requestTimeout = 8 * time.Second
 )
 
-// store stands in for the table service: a list of accepted changes.
+// store is a fake table service that holds the list of accepted changes.
 type store struct {
 	down    bool
 	changes []resource.Change
@@ -40,14 +40,14 @@
 	return core.StoreReadCompleted{Changes: s.changes[after:]}
 }
 
-// openRequest is a request that a router has been granted a target for.
+// openRequest is a request that was granted a target.
 type openRequest struct {
 	router int
 	id     uint64
 	target uint64
 }
 
-// fleet is a fleet of router cores that keeps books of what each was granted.
+// fleet is a fleet of router cores. It records what each of them was granted.
 type fleet struct {
 	clock    *fakenet.Clock
 	net      *fakenet.Net
@@ -56,29 +56,30 @@
 	routers  []uint32
 	settings func(*core.Settings)
 
-	nextID  uint64
-	waiting map[uint64]int // router of each request without a decision
-	decided map[uint64]bool
-	open    map[uint64]openRequest
-	faults  []string // broken invariants
-	history []string // what was done to the fleet, for the report of a failure
-
-	leaving map[uint64]time.Time // since when a target is leaving
-	cut     map[[2]int]bool
-	loss    float64
-	starts  uint64
-	// slack is by how much the cap may be passed while routers can't reach their
-	// owner and the owner has not noticed yet.
-	slack int
-	// lateAfter is how long after its mark a leaving target may still be granted.
-	lateAfter time.Duration
+	nextID     uint64
+	undecided  map[uint64]int // the router of each request that is neither granted nor refused
+	decided    map[uint64]bool
+	open       map[uint64]openRequest
+	violations []string // violated invariants
+	history    []string // steps of the schedule, printed on failure
+
+	leaving      map[uint64]time.Time // when a target was marked as leaving
+	cut          map[[2]int]bool      // cut links, by sender and receiver
+	loss         float64              // fraction of messages that are lost
+	incarnations uint64
+	// allowedExcess is the number of requests by which the cap may be exceeded while routers
+	// can't reach their owner and the owner has not detected it yet.
+	allowedExcess int
+	// maxLeavingGrantDelay is how long after it was marked as leaving a target may still be
+	// granted.
+	maxLeavingGrantDelay time.Duration
 }
 
-func newFleet(routers, targets int, tweak func(*core.Settings)) *fleet {
+func newFleet(routers, targets int, configure func(*core.Settings)) *fleet {
 	f := &fleet{
-		clock: fakenet.NewClock(), store: &store{}, rand: rand.New(rand.NewPCG(1, 2)), settings: tweak,
-		waiting: make(map[uint64]int), decided: make(map[uint64]bool), open: make(map[uint64]openRequest),
-		leaving: make(map[uint64]time.Time), cut: make(map[[2]int]bool), lateAfter: 6 * time.Second,
+		clock: fakenet.NewClock(), store: &store{}, rand: rand.New(rand.NewPCG(1, 2)), settings: configure,
+		undecided: make(map[uint64]int), decided: make(map[uint64]bool), open: make(map[uint64]openRequest),
+		leaving: make(map[uint64]time.Time), cut: make(map[[2]int]bool), maxLeavingGrantDelay: 6 * time.Second,
 	}
 	f.net = fakenet.New(f.clock, func(int, int) time.Duration { return time.Millisecond })
 	f.net.Lost = func(a, b int) bool { return f.cut[[2]int{a, b}] || (f.loss > 0 && f.rand.Float64() < f.loss) }
@@ -88,7 +89,7 @@
 			f.clock.After(time.Millisecond, func() { f.net.Step(node, f.store.since(a.AfterRevision)) })
 		},
 	}
-	f.accept(baseResources(targets))
+	f.acceptChange(baseResources(targets))
 	for i := range routers {
 		f.routers = append(f.routers, uint32(i+1))
 	}
@@ -99,14 +100,14 @@
 }
 
 func (f *fleet) newCore(i int) *core.Core {
-	f.starts++
+	f.incarnations++
 	s := core.DefaultSettings(f.routers[i], f.routers)
-	s.Incarnation, s.Seed = f.starts, f.starts
+	s.Incarnation, s.Seed = f.incarnations, f.incarnations
 	f.settings(&s)
 	return core.New(f.clock.Now(), s)
 }
 
-func res(kind resource.Kind, name string, uid uint64, spec any) resource.Resource {
+func newResource(kind resource.Kind, name string, uid uint64, spec any) resource.Resource {
 	encoded, err := json.Marshal(spec)
 	if err != nil {
 		panic(err)
@@ -115,15 +116,15 @@
 }
 
 func targetResource(uid uint64, leaving bool) resource.Resource {
-	return res(resource.KindTarget, fmt.Sprintf("engine-%d", uid), uid, resource.TargetSpec{
+	return newResource(resource.KindTarget, fmt.Sprintf("engine-%d", uid), uid, resource.TargetSpec{
 		Pool: poolName, Address: "127.0.0.1:1", Leaving: leaving,
 	})
 }
 
 func baseResources(targets int) []resource.Resource {
 	out := []resource.Resource{
-		res(resource.KindPool, poolName, 1, resource.PoolSpec{Protocol: resource.ProtocolModel, MaxPerTarget: maxPerTarget}),
-		res(resource.KindTeam, teamName, 2, resource.TeamSpec{Weight: 1}),
+		newResource(resource.KindPool, poolName, 1, resource.PoolSpec{Protocol: resource.ProtocolModel, MaxPerTarget: maxPerTarget}),
+		newResource(resource.KindTeam, teamName, 2, resource.TeamSpec{Weight: 1}),
 	}
 	for i := range targets {
 		out = append(out, targetResource(uint64(100+i), false))
@@ -131,83 +132,83 @@
 	return out
 }
 
-// accept stores a change, as a controller would.
-func (f *fleet) accept(resources []resource.Resource) resource.Change {
+// acceptChange stores a change, as a controller would.
+func (f *fleet) acceptChange(resources []resource.Resource) resource.Change {
 	change := resource.Change{Revision: uint64(len(f.store.changes)) + 1, Resources: resources}
 	f.store.changes = append(f.store.changes, change)
 	return change
 }
 
-// push sends a change to some routers, as the accepting controller would.
-func (f *fleet) push(change resource.Change, to ...int) {
+// pushChange sends a change to some routers, as the controller that accepted it would.
+func (f *fleet) pushChange(change resource.Change, to ...int) {
 	m := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
 	for _, node := range to {
 		f.net.Deliver(fakenet.Outside, node, m, func(core.AnswerCall) {})
 	}
 }
 
-// drain accepts that a target is leaving and pushes it to every router.
-func (f *fleet) drain(uid uint64) {
+// drainTarget marks a target as leaving and pushes the change to every router.
+func (f *fleet) drainTarget(uid uint64) {
 	if _, ok := f.leaving[uid]; ok {
 		return
 	}
-	f.note("drain target %d", uid)
+	f.recordStep("drain target %d", uid)
 	f.leaving[uid] = f.clock.Now()
-	change := f.accept([]resource.Resource{targetResource(uid, true)})
+	change := f.acceptChange([]resource.Resource{targetResource(uid, true)})
 	for i := range f.routers {
-		f.push(change, i)
+		f.pushChange(change, i)
 	}
 }
 
-func (f *fleet) ask(node int, priority fairqueue.Priority) uint64 {
+func (f *fleet) sendRequest(node int, priority fairqueue.Priority) uint64 {
 	f.nextID++
-	f.note("ask %d at router %d, priority %d", f.nextID, node+1, priority)
+	f.recordStep("request %d at router %d, priority %d", f.nextID, node+1, priority)
 	if !f.net.Up(node) {
 		return f.nextID
 	}
-	f.waiting[f.nextID] = node
+	f.undecided[f.nextID] = node
 	f.net.Step(node, core.RequestArrived{
 		ID: f.nextID, Pool: poolName, Team: teamName, Chat: f.nextID % 17, Priority: priority,
-		Deadline: f.clock.Now().Add(patience),
+		Deadline: f.clock.Now().Add(requestTimeout),
 	})
 	return f.nextID
 }
 
 func (f *fleet) onGrant(node int, a core.GrantTarget) {
-	f.decide(a.ID)
-	f.note("granted %d: target %d", a.ID, a.Target.UID)
+	f.recordDecision(a.ID)
+	f.recordStep("granted %d: target %d", a.ID, a.Target.UID)
 	f.open[a.ID] = openRequest{router: node, id: a.ID, target: a.Target.UID}
-	if n := f.openAt(a.Target.UID); n > maxPerTarget+f.slack {
-		f.fault("target %d carries %d of at most %d", a.Target.UID, n, maxPerTarget+f.slack)
+	if n := f.openRequestsAt(a.Target.UID); n > maxPerTarget+f.allowedExcess {
+		f.reportViolation("target %d has %d open requests, limit %d", a.Target.UID, n, maxPerTarget+f.allowedExcess)
 	}
-	if since, ok := f.leaving[a.Target.UID]; ok && f.clock.Now().Sub(since) > f.lateAfter {
-		f.fault("target %d got new work %s after it began to leave", a.Target.UID, f.clock.Now().Sub(since))
+	if since, ok := f.leaving[a.Target.UID]; ok && f.clock.Now().Sub(since) > f.maxLeavingGrantDelay {
+		f.reportViolation("target %d was granted %s after it was marked as leaving", a.Target.UID, f.clock.Now().Sub(since))
 	}
 }
 
 func (f *fleet) onRefuse(_ int, a core.RefuseRequest) {
-	f.note("refused %d: %d", a.ID, a.Code)
-	f.decide(a.ID)
+	f.recordStep("refused %d: %d", a.ID, a.Code)
+	f.recordDecision(a.ID)
 }
 
-func (f *fleet) decide(id uint64) {
+func (f *fleet) recordDecision(id uint64) {
 	if f.decided[id] {
-		f.fault("request %d was decided twice", id)
+		f.reportViolation("request %d was decided twice", id)
 	}
 	f.decided[id] = true
-	delete(f.waiting, id)
+	delete(f.undecided, id)
 }
 
-func (f *fleet) note(format string, args ...any) {
+func (f *fleet) recordStep(format string, args ...any) {
 	f.history = append(f.history, fmt.Sprintf("%s: ", f.clock.Elapsed())+fmt.Sprintf(format, args...))
 }
 
-func (f *fleet) fault(format string, args ...any) {
-	f.faults = append(f.faults, fmt.Sprintf("%s: ", f.clock.Elapsed())+fmt.Sprintf(format, args...))
+func (f *fleet) reportViolation(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf("%s: ", f.clock.Elapsed())+fmt.Sprintf(format, args...))
 }
 
-// openAt counts the requests that really are open at a target.
-func (f *fleet) openAt(uid uint64) int {
+// openRequestsAt returns the actual number of open requests at a target.
+func (f *fleet) openRequestsAt(uid uint64) int {
 	n := 0
 	for _, r := range f.open {
 		if r.target == uid {
@@ -218,14 +219,14 @@
 }
 
 func (f *fleet) onProbe(node int, a core.ProbeTarget) {
-	open := f.openAt(a.Target.UID)
+	open := f.openRequestsAt(a.Target.UID)
 	f.clock.After(2*time.Millisecond, func() {
 		f.net.Step(node, core.LoadReported{Pool: poolName, Target: a.Target.UID, OpenRequests: open})
 	})
 }
 
-// finish ends one open request, chosen by a number.
-func (f *fleet) finish(choice int, outcome peerv1.Outcome) {
+// endRequest ends the open request with index choice modulo their number.
+func (f *fleet) endRequest(choice int, outcome peerv1.Outcome) {
 	if len(f.open) == 0 {
 		return
 	}
@@ -236,7 +237,7 @@
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
 	r := f.open[ids[choice%len(ids)]]
 	delete(f.open, r.id)
-	f.note("ended %d", r.id)
+	f.recordStep("ended %d", r.id)
 	f.net.Step(r.router, core.RequestEnded{ID: r.id, Outcome: outcome})
 }
 
@@ -245,46 +246,46 @@
 	if !f.net.Up(node) {
 		return
 	}
-	f.note("kill router %d", node+1)
+	f.recordStep("kill router %d", node+1)
 	f.net.Kill(node)
 	for id, r := range f.open {
 		if r.router == node {
 			delete(f.open, id)
 		}
 	}
-	for id, router := range f.waiting {
+	for id, router := range f.undecided {
 		if router == node {
-			delete(f.waiting, id)
+			delete(f.undecided, id)
 		}
 	}
 }
 
 func (f *fleet) restart(node int) {
 	if !f.net.Up(node) {
-		f.note("restart router %d", node+1)
+		f.recordStep("restart router %d", node+1)
 		f.net.Restart(node, f.newCore(node))
 	}
 }
 
-func (f *fleet) pause(node int) {
+func (f *fleet) stall(node int) {
 	if f.net.Up(node) {
-		f.note("pause router %d", node+1)
+		f.recordStep("stall router %d", node+1)
 		f.net.Pause(node)
 	}
 }
 
 func (f *fleet) resume(node int) {
 	if f.net.Up(node) && f.net.Paused(node) {
-		f.note("resume router %d", node+1)
+		f.recordStep("resume router %d", node+1)
 		f.net.Resume(node)
 	}
 }
 
 func (f *fleet) advance(d time.Duration) { f.clock.Run(f.clock.Elapsed() + d) }
 
-// heal ends every fault and lets all requests end.
-func (f *fleet) heal() {
-	f.note("heal")
+// endFaults ends every fault and lets all requests end.
+func (f *fleet) endFaults() {
+	f.recordStep("end all faults")
 	f.loss = 0
 	clear(f.cut)
 	f.store.down = false
@@ -292,9 +293,9 @@
 		f.restart(i)
 		f.resume(i)
 	}
-	f.advance(patience + time.Second) // waiting requests get a target or pass their deadline
+	f.advance(requestTimeout + time.Second) // every waiting request is granted or refused at its deadline
 	for len(f.open) > 0 {
-		f.finish(0, peerv1.Outcome_OUTCOME_DONE)
+		f.endRequest(0, peerv1.Outcome_OUTCOME_DONE)
 		f.advance(10 * time.Millisecond)
 	}
 	f.advance(15 * time.Second)
--- a/internal/core/router/guards_test.go
+++ b/internal/core/router/guards_test.go
@@ -15,20 +15,20 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-// lone is one core whose peers are played by the test.
-type lone struct {
+// testCore is one core. The test plays its peers.
+type testCore struct {
 	*core.Core
 	now time.Time
 }
 
-// Rendezvous hashing over the two names router 2 the owner of the pool.
+// Rendezvous hashing makes router 2 the owner of the pool.
 const ownerID, followerID = 2, 1
 
-// newOwner returns the core of the owner, configured with targets 100 and up.
-func newOwner(targets int) *lone {
+// newOwner returns the core of the owner, configured with targets whose UIDs start at 100.
+func newOwner(targets int) *testCore {
 	s := core.DefaultSettings(ownerID, []uint32{ownerID, followerID})
 	s.Incarnation = 7
-	l := &lone{Core: core.New(start, s), now: start}
+	l := &testCore{Core: core.New(start, s), now: start}
 	l.step(core.StoreReadCompleted{Changes: []resource.Change{{Revision: 1, Resources: baseResources(targets)}}})
 	l.step(core.Tick{})
 	return l
@@ -36,12 +36,12 @@
 
 var start = time.Unix(1000, 0)
 
-func (l *lone) step(ev core.Event) []core.Action {
+func (l *testCore) step(ev core.Event) []core.Action {
 	return append([]core.Action(nil), l.Step(l.now, ev)...)
 }
 
-// find returns the first action of a kind that matches.
-func find[A core.Action](actions []core.Action, match func(A) bool) (A, bool) {
+// findAction returns the first action of type A that matches.
+func findAction[A core.Action](actions []core.Action, match func(A) bool) (A, bool) {
 	for _, a := range actions {
 		if found, ok := a.(A); ok && match(found) {
 			return found, true
@@ -51,8 +51,8 @@
 	return none, false
 }
 
-func sent[M proto.Message](actions []core.Action) (M, bool) {
-	a, ok := find(actions, func(a core.CallPeer) bool { _, is := a.Message.(M); return is })
+func sentMessage[M proto.Message](actions []core.Action) (M, bool) {
+	a, ok := findAction(actions, func(a core.CallPeer) bool { _, is := a.Message.(M); return is })
 	if !ok {
 		var none M
 		return none, false
@@ -60,16 +60,16 @@
 	return a.Message.(M), true
 }
 
-func anyOf[A core.Action](A) bool { return true }
+func matchAny[A core.Action](A) bool { return true }
 
-func (l *lone) ask(id uint64) []core.Action {
+func (l *testCore) sendRequest(id uint64) []core.Action {
 	return l.step(core.RequestArrived{
 		ID: id, Pool: poolName, Team: teamName, Chat: id, Priority: fairqueue.Normal, Deadline: l.now.Add(time.Minute),
 	})
 }
 
-// followedBy makes the other router a follower that holds n tickets.
-func (l *lone) followedBy(n int) {
+// addFollower makes the other router a follower that requests n tickets.
+func (l *testCore) addFollower(n int) {
 	req := &peerv1.ExchangeRequest{
 		Protocol: ticket.ProtocolVersion, Pool: poolName, Router: followerID, Incarnation: 3, Sequence: 1, HasInventory: true,
 	}
@@ -79,7 +79,7 @@
 	l.step(core.CallReceived{Call: 1, Message: req})
 }
 
-func (l *lone) heldInAll() int {
+func (l *testCore) totalTickets() int {
 	total := 0
 	for _, n := range l.TicketCounts(poolName) {
 		total += n
@@ -87,93 +87,93 @@
 	return total
 }
 
-// asFollower returns a core whose pool the other router owns, and its first
-// exchange answered.
-func asFollower() *lone {
+// newFollower returns a core that follows the other router as the pool's owner. Its first
+// exchange is answered.
+func newFollower() *testCore {
 	s := core.DefaultSettings(followerID, []uint32{ownerID, followerID})
 	s.Incarnation = 7
-	l := &lone{Core: core.New(start, s), now: start}
+	l := &testCore{Core: core.New(start, s), now: start}
 	actions := l.step(core.StoreReadCompleted{Changes: []resource.Change{{Revision: 1, Resources: baseResources(2)}}})
 	actions = append(actions, l.step(core.Tick{})...)
-	req, ok := sent[*peerv1.ExchangeRequest](actions)
+	req, ok := sentMessage[*peerv1.ExchangeRequest](actions)
 	Expect(ok).To(BeTrue(), "the core follows the owner")
 	l.step(core.CallCompleted{To: ownerID, Request: req, Reply: &peerv1.ExchangeResponse{Sequence: req.GetSequence()}})
 	return l
 }
 
 var _ = Describe("a router that follows an owner", func() {
-	// Symptom: new work at a target that is drained. Sequence: the owner has an older
-	// configuration and grants the target. Cause: the grant is taken as it comes.
-	It("gives a ticket for a leaving target back and asks again without it", func() {
-		l := asFollower()
+	// Guards against new requests at a drained target: the owner has an older configuration and
+	// grants a target that this router knows to be leaving.
+	It("releases a ticket for a leaving target and requests another one that excludes the target", func() {
+		l := newFollower()
 		l.step(core.StoreReadCompleted{Changes: []resource.Change{{Revision: 2, Resources: []resource.Resource{targetResource(100, true)}}}})
-		req, ok := sent[*peerv1.ExchangeRequest](l.ask(1))
+		req, ok := sentMessage[*peerv1.ExchangeRequest](l.sendRequest(1))
 		Expect(ok).To(BeTrue())
 		actions := l.step(core.CallCompleted{To: ownerID, Request: req, Reply: &peerv1.ExchangeResponse{
 			Sequence: req.GetSequence(), Grants: []*peerv1.Grant{{Id: 1, Target: 100}},
 		}})
-		_, granted := find(actions, anyOf[core.GrantTarget])
+		_, granted := findAction(actions, matchAny[core.GrantTarget])
 		Expect(granted).To(BeFalse())
-		again, ok := sent[*peerv1.ExchangeRequest](actions)
+		resent, ok := sentMessage[*peerv1.ExchangeRequest](actions)
 		Expect(ok).To(BeTrue())
-		Expect(again.GetReleases()).To(HaveLen(1))
-		Expect(again.GetAsks()[0].GetExcluded()).To(ContainElement(uint64(100)))
+		Expect(resent.GetReleases()).To(HaveLen(1))
+		Expect(resent.GetAsks()[0].GetExcluded()).To(ContainElement(uint64(100)))
 	})
 
-	// Symptom: a new process dispatches a request that its old process asked for.
-	// Sequence: the owner's late grant arrives after a restart.
-	It("refuses grants meant for an earlier process", func() {
-		l := asFollower()
-		l.ask(1)
+	// Guards against a new process that dispatches a request of its old process: the owner's
+	// delayed grant arrives after a restart.
+	It("refuses grants that are addressed to an earlier process", func() {
+		l := newFollower()
+		l.sendRequest(1)
 		deliver := &peerv1.DeliverRequest{
 			Protocol: ticket.ProtocolVersion, Pool: poolName, Owner: ownerID, Incarnation: 6,
 			Grants: []*peerv1.Grant{{Id: 1, Target: 100}},
 		}
 		actions := l.step(core.CallReceived{Call: 1, Message: deliver})
-		_, granted := find(actions, anyOf[core.GrantTarget])
+		_, granted := findAction(actions, matchAny[core.GrantTarget])
 		Expect(granted).To(BeFalse())
-		r, ok := find(actions, anyOf[core.AnswerCall])
+		r, ok := findAction(actions, matchAny[core.AnswerCall])
 		Expect(ok).To(BeTrue())
 		Expect(r.Err).To(BeAssignableToTypeOf(&code.Error{}))
 		deliver.Incarnation = 7
-		_, granted = find(l.step(core.CallReceived{Call: 2, Message: deliver}), anyOf[core.GrantTarget])
+		_, granted = findAction(l.step(core.CallReceived{Call: 2, Message: deliver}), matchAny[core.GrantTarget])
 		Expect(granted).To(BeTrue())
 	})
 
 	It("refuses peers of another protocol version", func() {
-		l := asFollower()
+		l := newFollower()
 		for _, m := range []proto.Message{
 			&peerv1.ExchangeRequest{Protocol: 9}, &peerv1.GossipRequest{}, &peerv1.PushRequest{Protocol: 2},
 		} {
-			r, ok := find(l.step(core.CallReceived{Call: 1, Message: m}), anyOf[core.AnswerCall])
+			r, ok := findAction(l.step(core.CallReceived{Call: 1, Message: m}), matchAny[core.AnswerCall])
 			Expect(ok).To(BeTrue())
 			Expect(r.Err).To(MatchError(ContainSubstring("7001")))
 		}
 	})
 
-	// Symptom: heartbeats or tickets of a process that is no router of the fleet.
+	// Guards against heartbeats and tickets of a process that is not a router of the fleet.
 	It("refuses routers that are not listed", func() {
-		l := asFollower()
+		l := newFollower()
 		for _, m := range []proto.Message{
 			&peerv1.ExchangeRequest{Protocol: ticket.ProtocolVersion, Router: 99, HasInventory: true},
 			&peerv1.GossipRequest{Protocol: ticket.ProtocolVersion, Router: 99},
 		} {
-			r, _ := find(l.step(core.CallReceived{Call: 1, Message: m}), anyOf[core.AnswerCall])
+			r, _ := findAction(l.step(core.CallReceived{Call: 1, Message: m}), matchAny[core.AnswerCall])
 			Expect(r.Err).To(MatchError(ContainSubstring("7002")))
 		}
 	})
 })
 
 var _ = Describe("a router that owns a pool", func() {
-	full := func() (*lone, *peerv1.DeliverRequest) {
+	newFullOwner := func() (*testCore, *peerv1.DeliverRequest) {
 		l := newOwner(1)
-		l.followedBy(maxPerTarget + 2) // two more than there are places
-		Expect(l.heldInAll()).To(BeNumerically(">", 0))
+		l.addFollower(maxPerTarget + 2) // two more than there are slots
+		Expect(l.totalTickets()).To(BeNumerically(">", 0))
 		actions := l.step(core.CallReceived{Call: 2, Message: &peerv1.ExchangeRequest{
 			Protocol: ticket.ProtocolVersion, Pool: poolName, Router: followerID, Incarnation: 3, Sequence: 2,
 			Releases: []*peerv1.Release{{Id: 1}},
 		}})
-		r, ok := find(actions, anyOf[core.AnswerCall])
+		r, ok := findAction(actions, matchAny[core.AnswerCall])
 		Expect(ok).To(BeTrue())
 		resp := r.Message.(*peerv1.ExchangeResponse)
 		Expect(resp.GetGrants()).NotTo(BeEmpty())
@@ -182,26 +182,25 @@
 		}
 	}
 
-	// Symptom: a request waits until its deadline although its place is counted.
-	// Sequence: the message with its late grant is lost.
-	It("sends late grants again until they arrive, but not at once", func() {
-		l, deliver := full()
+	// Guards against a request that waits until its deadline although its ticket is counted: the
+	// message with its delayed grant was lost.
+	It("resends the grants of queued requests until they arrive, after a delay", func() {
+		l, deliver := newFullOwner()
 		actions := l.step(core.CallCompleted{To: followerID, Request: deliver})
-		_, again := sent[*peerv1.DeliverRequest](actions)
-		Expect(again).To(BeFalse(), "a refused connection would be tried thousands of times")
+		_, resent := sentMessage[*peerv1.DeliverRequest](actions)
+		Expect(resent).To(BeFalse(), "without a delay, a refused connection would be retried thousands of times")
 		l.now = l.now.Add(400 * time.Millisecond)
-		_, again = sent[*peerv1.DeliverRequest](l.step(core.Tick{}))
-		Expect(again).To(BeTrue())
+		_, resent = sentMessage[*peerv1.DeliverRequest](l.step(core.Tick{}))
+		Expect(resent).To(BeTrue())
 	})
 
-	// Symptom: a dead router's places are lost for good. Sequence: it dies and never
-	// returns. Cause: nobody takes its tickets back.
-	It("gives the places of a silent router back in the end", func() {
-		l, _ := full()
+	// Guards against losing the slots of a router that dies and never returns.
+	It("frees the slots of a silent router after a timeout", func() {
+		l, _ := newFullOwner()
 		for range 400 {
 			l.now = l.now.Add(50 * time.Millisecond)
 			l.step(core.Tick{})
 		}
-		Expect(l.heldInAll()).To(BeZero())
+		Expect(l.totalTickets()).To(BeZero())
 	})
 })
--- a/internal/core/router/peers.go
+++ b/internal/core/router/peers.go
@@ -10,14 +10,14 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-func (c *Core) callIn(now time.Time, ev CallReceived) {
-	reply, err := c.handle(now, ev.Message)
+func (c *Core) handleCall(now time.Time, ev CallReceived) {
+	reply, err := c.handleMessage(now, ev.Message)
 	c.emit(AnswerCall{Call: ev.Call, Message: reply, Err: err})
 }
 
-func (c *Core) handle(now time.Time, m proto.Message) (proto.Message, error) {
+func (c *Core) handleMessage(now time.Time, m proto.Message) (proto.Message, error) {
 	if p, ok := m.(interface{ GetProtocol() uint32 }); ok && p.GetProtocol() != ticket.ProtocolVersion {
-		return nil, code.New(code.BadProtocol, "protocol %d, want %d", p.GetProtocol(), ticket.ProtocolVersion)
+		return nil, code.New(code.BadProtocol, "protocol version %d, want %d", p.GetProtocol(), ticket.ProtocolVersion)
 	}
 	switch m := m.(type) {
 	case *peerv1.ExchangeRequest:
@@ -31,7 +31,7 @@
 	case *peerv1.PullRequest:
 		return c.handlePull(m)
 	}
-	return nil, code.New(code.BadProtocol, "unexpected message")
+	return nil, code.New(code.BadProtocol, "unexpected message type")
 }
 
 func (c *Core) handleExchange(now time.Time, m *peerv1.ExchangeRequest) (proto.Message, error) {
@@ -40,11 +40,11 @@
 	}
 	if m.GetUnfollow() {
 		if l, ok := c.ledgers[m.GetPool()]; ok && !l.HasNewerExchange(m.GetRouter(), m.GetSequence()) {
-			c.deliver(now, m.GetPool(), l.RemoveFollower(now, m.GetRouter(), true))
+			c.deliverGrants(now, m.GetPool(), l.RemoveFollower(now, m.GetRouter(), true))
 		}
 		return &peerv1.ExchangeResponse{}, nil
 	}
-	l, ok := c.ledger(now, m.GetPool())
+	l, ok := c.ledgerFor(now, m.GetPool())
 	if !ok {
 		return nil, code.New(code.UnknownPool, "no pool %q at revision %d", m.GetPool(), c.config.Revision())
 	}
@@ -52,16 +52,17 @@
 	if err != nil {
 		return nil, err
 	}
-	c.deliver(now, m.GetPool(), deliveries)
+	c.deliverGrants(now, m.GetPool(), deliveries)
 	return resp, nil
 }
 
-// handleDeliver refuses grants meant for an earlier process of this router.
+// handleDeliver processes grants of queued requests. It refuses grants that are addressed to
+// another process of this router.
 func (c *Core) handleDeliver(now time.Time, m *peerv1.DeliverRequest) (proto.Message, error) {
 	if m.GetIncarnation() != c.settings.Incarnation {
-		return nil, code.New(code.OldIncarnation, "grants are for incarnation %d", m.GetIncarnation())
+		return nil, code.New(code.OldIncarnation, "grants are addressed to incarnation %d of this router", m.GetIncarnation())
 	}
-	c.granted(now, m.GetPool(), c.client(m.GetPool()).HandleDelivery(now, m.GetOwner(), m.GetGrants()))
+	c.handleGrants(now, m.GetPool(), c.clientFor(m.GetPool()).HandleDelivery(now, m.GetOwner(), m.GetGrants()))
 	return &peerv1.DeliverResponse{}, nil
 }
 
@@ -69,93 +70,93 @@
 	if !c.members.IsListed(m.GetRouter()) {
 		return nil, code.New(code.UnknownRouter, "router %d is not listed", m.GetRouter())
 	}
-	c.merge(now, m.GetHeartbeats())
+	c.mergeHeartbeats(now, m.GetHeartbeats())
 	return &peerv1.GossipResponse{Heartbeats: c.members.Heartbeats()}, nil
 }
 
-// merge takes in heartbeats. The tickets of a router that restarted become
-// ghosts at once: its requests were cut off with the old process.
-func (c *Core) merge(now time.Time, heartbeats []*peerv1.Heartbeat) {
+// mergeHeartbeats processes heartbeats. The tickets of a router that restarted become orphans at
+// once, since its requests were cut off with the old process.
+func (c *Core) mergeHeartbeats(now time.Time, heartbeats []*peerv1.Heartbeat) {
 	for _, id := range c.members.MergeHeartbeats(now, heartbeats) {
-		delete(c.failedOwner, id)
-		for _, name := range c.ledgerNames() {
+		delete(c.avoidOwnerUntil, id)
+		for _, name := range c.ledgerPools() {
 			if c.ledgers[name].FollowerIncarnation(id) < c.members.Incarnation(id) {
-				c.deliver(now, name, c.ledgers[name].RemoveFollower(now, id, false))
-				c.nextProbe = now
+				c.deliverGrants(now, name, c.ledgers[name].RemoveFollower(now, id, false))
+				c.nextProbeAt = now
 			}
 		}
 	}
 	c.pullIfBehind(now)
 }
 
-func (c *Core) callOut(now time.Time, ev CallCompleted) {
+func (c *Core) handleCallCompleted(now time.Time, ev CallCompleted) {
 	switch req := ev.Request.(type) {
 	case *peerv1.ExchangeRequest:
 		if req.GetUnfollow() {
-			c.repeatUnfollow(now, ev)
+			c.resendUnfollow(now, ev)
 			return
 		}
 		if resp, ok := ev.Reply.(*peerv1.ExchangeResponse); ok && resp != nil {
-			c.granted(now, req.GetPool(), c.client(req.GetPool()).HandleReply(now, ev.To, resp))
+			c.handleGrants(now, req.GetPool(), c.clientFor(req.GetPool()).HandleReply(now, ev.To, resp))
 		} else {
-			c.client(req.GetPool()).HandleFailedCall(now, ev.To, req.GetSequence())
+			c.clientFor(req.GetPool()).HandleFailedCall(now, ev.To, req.GetSequence())
 		}
 	case *peerv1.DeliverRequest:
 		if ev.Reply == nil {
-			c.redeliver(now, ev.To, req)
+			c.resendDelivery(now, ev.To, req)
 		}
 	case *peerv1.GossipRequest:
 		if resp, ok := ev.Reply.(*peerv1.GossipResponse); ok && resp != nil {
-			c.merge(now, resp.GetHeartbeats())
+			c.mergeHeartbeats(now, resp.GetHeartbeats())
 		}
 	case *peerv1.PullRequest:
-		c.pulling = time.Time{}
+		c.pullStartedAt = time.Time{}
 		if resp, ok := ev.Reply.(*peerv1.PullResponse); ok && resp != nil {
-			c.pulled(resp)
+			c.handlePullReply(resp)
 		}
 	}
 }
 
-// repeatUnfollow tells an old owner again that this router has left it. If the
-// message were lost for good, the old owner would count the router's last tickets
-// for as long as both live.
-func (c *Core) repeatUnfollow(now time.Time, ev CallCompleted) {
+// resendUnfollow resends a failed unfollow message to a former owner. If the message were lost
+// for good, the former owner would count the router's last tickets for as long as both processes
+// live.
+func (c *Core) resendUnfollow(now time.Time, ev CallCompleted) {
 	req, ok := ev.Request.(*peerv1.ExchangeRequest)
-	if ok && ev.Reply == nil && c.client(req.GetPool()).Owner() != ev.To && c.members.IsAlive(now, ev.To) {
-		c.repeat(now, CallPeer{To: ev.To, Message: req})
+	if ok && ev.Reply == nil && c.clientFor(req.GetPool()).Owner() != ev.To && c.members.IsAlive(now, ev.To) {
+		c.scheduleResend(now, CallPeer{To: ev.To, Message: req})
 	}
 }
 
-// redeliver sends late grants again while their router is the same process and
-// alive. Until they arrive the router's request waits although its ticket is
-// counted.
-func (c *Core) redeliver(now time.Time, to uint32, req *peerv1.DeliverRequest) {
+// resendDelivery resends the grants of queued requests while their router is alive and has not
+// restarted. Until they arrive the request waits although its ticket is counted.
+func (c *Core) resendDelivery(now time.Time, to uint32, req *peerv1.DeliverRequest) {
 	l, ok := c.ledgers[req.GetPool()]
 	if ok && l.FollowerIncarnation(to) == req.GetIncarnation() && c.members.IsAlive(now, to) {
-		c.repeat(now, CallPeer{To: to, Message: req})
+		c.scheduleResend(now, CallPeer{To: to, Message: req})
 	}
 }
 
-// repeatPause is the pause before a failed message is sent again.
-const repeatPause = 250 * time.Millisecond
+// resendDelay is the delay before a failed message is sent again.
+const resendDelay = 250 * time.Millisecond
 
-// repeat sends a message again after a pause. Without one, a dead peer that
-// refuses connections would be called thousands of times until it is suspected.
-func (c *Core) repeat(now time.Time, s CallPeer) {
-	c.repeats = append(c.repeats, repeated{due: now.Add(c.jittered(repeatPause)), send: s})
+// scheduleResend schedules a failed message to be sent again after resendDelay. Without the
+// delay, a dead peer that refuses connections would be called thousands of times until it is
+// suspected.
+func (c *Core) scheduleResend(now time.Time, s CallPeer) {
+	c.pendingResends = append(c.pendingResends, delayedCall{dueAt: now.Add(c.jitter(resendDelay)), call: s})
 }
 
-// sendRepeats sends the messages that are due again, unless nobody needs them
-// any more.
-func (c *Core) sendRepeats(now time.Time) {
-	kept := c.repeats[:0]
-	for _, r := range c.repeats {
+// sendDueCalls resends the messages that are due. Messages to routers that are no longer alive
+// are dropped.
+func (c *Core) sendDueCalls(now time.Time) {
+	kept := c.pendingResends[:0]
+	for _, r := range c.pendingResends {
 		switch {
-		case r.due.After(now):
+		case r.dueAt.After(now):
 			kept = append(kept, r)
-		case c.members.IsAlive(now, r.send.To):
-			c.emit(r.send)
+		case c.members.IsAlive(now, r.call.To):
+			c.emit(r.call)
 		}
 	}
-	c.repeats = kept
+	c.pendingResends = kept
 }
--- a/internal/core/router/requests.go
+++ b/internal/core/router/requests.go
@@ -14,30 +14,32 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-// ownerPenalty is how long an owner that did not answer is passed over.
-const ownerPenalty = 5 * time.Second
+// failedOwnerTimeout is how long a router that left exchanges unanswered is not used as an
+// owner.
+const failedOwnerTimeout = 5 * time.Second
 
-// retryLater is the Retry-After of refusals that no queue explains.
-const retryLater = time.Second
+// defaultRetryAfter is the Retry-After of refusals that are not caused by a queue.
+const defaultRetryAfter = time.Second
 
-func (c *Core) arrived(now time.Time, ev RequestArrived) {
-	if refusal, bad := c.check(ev); bad {
-		c.emit(RefuseRequest{ID: ev.ID, Code: refusal, RetryAfter: c.jittered(retryLater)})
+func (c *Core) handleRequestArrived(now time.Time, ev RequestArrived) {
+	if refusal, refused := c.checkRequest(ev); refused {
+		c.emit(RefuseRequest{ID: ev.ID, Code: refusal, RetryAfter: c.jitter(defaultRetryAfter)})
 		return
 	}
 	team, _ := c.table.Team(ev.Team)
-	c.requests[ev.ID] = &request{arrived: ev, pool: ev.Pool}
-	c.client(ev.Pool).Ask(&peerv1.Ask{
+	c.requests[ev.ID] = &request{event: ev, pool: ev.Pool}
+	c.clientFor(ev.Pool).Ask(&peerv1.Ask{
 		Id: ev.ID, Chat: ev.Chat, Team: team.UID, Priority: uint32(ev.Priority), Excluded: ev.Excluded,
 	}, ev.Deadline)
 }
 
-// check refuses what can't or must not go on. Retries are checked against their
-// budgets here; new work also against this router's own state. A router that is
-// stopping still serves: the balancer keeps sending for a while.
-func (c *Core) check(ev RequestArrived) (code.Code, bool) {
-	if !ev.Retry && c.readySent && !c.ready.Ready && c.ready.Reason != code.ShuttingDown {
-		return c.ready.Reason, true
+// checkRequest reports whether a request is refused, and with which code. Retries are checked
+// against their retry budgets. New requests are also checked against this router's readiness. A
+// router that is shutting down still serves requests, since the balancer keeps sending them for
+// a while.
+func (c *Core) checkRequest(ev RequestArrived) (code.Code, bool) {
+	if !ev.Retry && c.readinessSent && !c.readiness.Ready && c.readiness.Reason != code.ShuttingDown {
+		return c.readiness.Reason, true
 	}
 	if _, ok := c.table.Pool(ev.Pool); !ok {
 		return code.UnknownPool, true
@@ -45,7 +47,7 @@
 	if _, ok := c.table.Team(ev.Team); !ok {
 		return code.UnknownTeam, true
 	}
-	pool, team := c.budget("pool/"+ev.Pool), c.budget("team/"+ev.Team)
+	pool, team := c.retryBudget("pool/"+ev.Pool), c.retryBudget("team/"+ev.Team)
 	if !ev.Retry {
 		pool.Deposit()
 		team.Deposit()
@@ -59,47 +61,47 @@
 	return code.OK, false
 }
 
-func (c *Core) budget(key string) *retry.Budget {
-	b, ok := c.budgets[key]
+func (c *Core) retryBudget(key string) *retry.Budget {
+	b, ok := c.retryBudgets[key]
 	if !ok {
 		b = retry.NewBudget()
-		c.budgets[key] = b
+		c.retryBudgets[key] = b
 	}
 	return b
 }
 
-func (c *Core) ended(ev RequestEnded) {
+func (c *Core) handleRequestEnded(ev RequestEnded) {
 	r, ok := c.requests[ev.ID]
 	if !ok {
 		return
 	}
 	delete(c.requests, ev.ID)
-	c.client(r.pool).ReleaseTicket(ev.ID, ev.Outcome)
+	c.clientFor(r.pool).ReleaseTicket(ev.ID, ev.Outcome)
 }
 
-// expire refuses requests that still wait at their deadline. The owner does so
-// too, but an ask or its refusal may be under way for long, or no owner answers.
-func (c *Core) expire(now time.Time) {
-	var late []uint64
+// refuseExpired refuses requests that still wait at their deadline. The owner refuses them too,
+// but the request or the refusal may be delayed in transit, or no owner may answer.
+func (c *Core) refuseExpired(now time.Time) {
+	var expired []uint64
 	for id, r := range c.requests {
-		if r.granted == 0 && !r.arrived.Deadline.After(now) {
-			late = append(late, id)
+		if r.grantedTarget == 0 && !r.event.Deadline.After(now) {
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(late)
-	for _, id := range late {
-		c.ended(RequestEnded{ID: id, Outcome: peerv1.Outcome_OUTCOME_UNUSED})
-		c.emit(RefuseRequest{ID: id, Code: code.DeadlineTooShort, RetryAfter: c.jittered(retryLater)})
+	slices.Sort(expired)
+	for _, id := range expired {
+		c.handleRequestEnded(RequestEnded{ID: id, Outcome: peerv1.Outcome_OUTCOME_UNUSED})
+		c.emit(RefuseRequest{ID: id, Code: code.DeadlineTooShort, RetryAfter: c.jitter(defaultRetryAfter)})
 	}
 }
 
-func (c *Core) reported(now time.Time, ev LoadReported) {
+func (c *Core) handleLoadReport(now time.Time, ev LoadReported) {
 	if l, ok := c.ledgers[ev.Pool]; ok {
-		c.deliver(now, ev.Pool, l.ApplyLoadReport(ev.Target, ev.OpenRequests, now))
+		c.deliverGrants(now, ev.Pool, l.ApplyLoadReport(ev.Target, ev.OpenRequests, now))
 	}
 }
 
-func (c *Core) client(pool string) *ticket.Client {
+func (c *Core) clientFor(pool string) *ticket.Client {
 	cl, ok := c.clients[pool]
 	if !ok {
 		cl = ticket.New(pool, c.settings.Self, c.settings.Incarnation, c.settings.ReleaseDelay)
@@ -108,35 +110,36 @@
 	return cl
 }
 
-// followOwners points each pool's client at the live router that ranks first for
-// the pool. Routers whose views differ follow different owners for a while; the
-// ledger's rules keep the bound meanwhile.
-func (c *Core) followOwners(now time.Time) {
+// updateOwners makes each pool's client follow the live router that ranks first for the pool.
+// Routers with different views follow different owners for a while. The ledger keeps the bound
+// in that case.
+func (c *Core) updateOwners(now time.Time) {
 	pools := c.table.PoolNames()
 	if len(pools) == 0 {
 		return
 	}
-	live := c.ownersInReach(now)
+	live := c.reachableRouters(now)
 	for _, name := range pools {
 		owner, ok := rendezvous.First(rendezvous.Hash(name), live)
 		if !ok {
 			owner = c.settings.Self
 		}
-		cl := c.client(name)
+		cl := c.clientFor(name)
 		old := cl.Owner()
 		if old == owner {
 			continue
 		}
 		cl.SetOwner(owner)
-		c.leaveOwner(now, name, old)
+		c.unfollowOwner(now, name, old)
 	}
 }
 
-func (c *Core) ownersInReach(now time.Time) []uint32 {
+// reachableRouters returns the live routers except those that recently left exchanges unanswered.
+func (c *Core) reachableRouters(now time.Time) []uint32 {
 	live := c.members.LiveRouters(now)
 	out := live[:0]
 	for _, id := range live {
-		if now.Before(c.failedOwner[id]) {
+		if now.Before(c.avoidOwnerUntil[id]) {
 			continue
 		}
 		out = append(out, id)
@@ -144,32 +147,32 @@
 	return out
 }
 
-// leaveOwner tells the old owner that this router follows another one. Its
-// tickets there become ghosts, which still count against their targets but no
-// longer feed the old owner's mean.
-func (c *Core) leaveOwner(now time.Time, pool string, old uint32) {
+// unfollowOwner tells the old owner that this router follows another one. The router's tickets
+// there become orphans: they still count against their targets but are no longer included in the
+// old owner's mean.
+func (c *Core) unfollowOwner(now time.Time, pool string, old uint32) {
 	switch old {
 	case 0:
 	case c.settings.Self:
 		if l, ok := c.ledgers[pool]; ok {
-			c.deliver(now, pool, l.RemoveFollower(now, c.settings.Self, true))
+			c.deliverGrants(now, pool, l.RemoveFollower(now, c.settings.Self, true))
 		}
 	default:
 		c.emit(CallPeer{To: old, Message: &peerv1.ExchangeRequest{
 			Protocol: ticket.ProtocolVersion, Pool: pool, Router: c.settings.Self,
-			Incarnation: c.settings.Incarnation, Sequence: c.client(pool).LastSequence(), Unfollow: true,
+			Incarnation: c.settings.Incarnation, Sequence: c.clientFor(pool).LastSequence(), Unfollow: true,
 		}})
 	}
 }
 
-// exchange sends what the clients have to say. The router's own ledger is
-// called directly.
-func (c *Core) exchange(now time.Time) {
-	for _, name := range c.clientNames() {
+// sendExchanges sends the exchanges of all clients. The router's own ledgers are called
+// directly.
+func (c *Core) sendExchanges(now time.Time) {
+	for _, name := range c.clientPools() {
 		cl := c.clients[name]
 		if cl.HasOwnerFailed() && cl.Owner() != c.settings.Self {
-			c.failedOwner[cl.Owner()] = now.Add(ownerPenalty)
-			c.followOwners(now)
+			c.avoidOwnerUntil[cl.Owner()] = now.Add(failedOwnerTimeout)
+			c.updateOwners(now)
 		}
 		for {
 			req := cl.NextExchange(now)
@@ -187,8 +190,10 @@
 	}
 }
 
+// exchangeWithSelf processes an exchange in this router's own ledger. It returns false if the
+// ledger does not answer the exchange.
 func (c *Core) exchangeWithSelf(now time.Time, pool string, req *peerv1.ExchangeRequest) bool {
-	l, ok := c.ledger(now, pool)
+	l, ok := c.ledgerFor(now, pool)
 	if !ok {
 		return false
 	}
@@ -196,12 +201,14 @@
 	if err != nil {
 		return false
 	}
-	c.granted(now, pool, c.clients[pool].HandleReply(now, c.settings.Self, resp))
-	c.deliver(now, pool, deliveries)
+	c.handleGrants(now, pool, c.clients[pool].HandleReply(now, c.settings.Self, resp))
+	c.deliverGrants(now, pool, deliveries)
 	return true
 }
 
-func (c *Core) ledger(now time.Time, pool string) (*ledger.Ledger, bool) {
+// ledgerFor returns the ledger of a pool and creates it if necessary. It returns false if the pool
+// does not exist.
+func (c *Core) ledgerFor(now time.Time, pool string) (*ledger.Ledger, bool) {
 	if l, ok := c.ledgers[pool]; ok {
 		return l, true
 	}
@@ -213,23 +220,23 @@
 	s.ReleaseDelay = c.settings.ReleaseDelay
 	l := ledger.New(now, s, p, c.table, c.rand)
 	c.ledgers[pool] = l
-	c.nextProbe = now // the targets know what earlier owners granted
+	c.nextProbeAt = now // the targets report what earlier owners granted
 	return l, true
 }
 
-// giveBack refuses a request although it was granted a target: this router may
-// have been paused since it last heard of the configuration, and the target may
-// have been drained and handed over meanwhile.
-func (c *Core) giveBack(pool string, r *request) {
-	delete(c.requests, r.arrived.ID)
-	c.client(pool).ReleaseTicket(r.arrived.ID, peerv1.Outcome_OUTCOME_UNUSED)
-	c.emit(RefuseRequest{ID: r.arrived.ID, Code: code.StaleConfig, RetryAfter: c.jittered(retryLater)})
+// refuseStaleGrant refuses a request although a target was granted. This router may have stalled
+// since it last received a configuration, and the target may have been drained and reassigned
+// meanwhile.
+func (c *Core) refuseStaleGrant(pool string, r *request) {
+	delete(c.requests, r.event.ID)
+	c.clientFor(pool).ReleaseTicket(r.event.ID, peerv1.Outcome_OUTCOME_UNUSED)
+	c.emit(RefuseRequest{ID: r.event.ID, Code: code.StaleConfig, RetryAfter: c.jitter(defaultRetryAfter)})
 }
 
-// granted turns the owner's answers into actions. A grant for a target that this
-// router knows to be leaving or gone is given back: the owner may have an older
-// configuration.
-func (c *Core) granted(now time.Time, pool string, grants []*peerv1.Grant) {
+// handleGrants turns grants and refusals of the owner into actions. A ticket for a target that
+// this router knows to be leaving or removed from the target list is released: the owner may
+// have an older configuration.
+func (c *Core) handleGrants(now time.Time, pool string, grants []*peerv1.Grant) {
 	for _, g := range grants {
 		r, ok := c.requests[g.GetId()]
 		if !ok {
@@ -243,21 +250,22 @@
 			})
 			continue
 		}
-		if !c.fresh(now) {
-			c.giveBack(pool, r)
+		if !c.isConfigFresh(now) {
+			c.refuseStaleGrant(pool, r)
 			continue
 		}
-		p, target, usable := c.usable(pool, g.GetTarget())
+		p, target, usable := c.usableTarget(pool, g.GetTarget())
 		if !usable {
-			c.askAgain(pool, r, g.GetTarget())
+			c.requestAnotherTicket(pool, r, g.GetTarget())
 			continue
 		}
-		r.granted = g.GetTarget()
+		r.grantedTarget = g.GetTarget()
 		c.emit(GrantTarget{ID: g.GetId(), Target: target, Pool: p})
 	}
 }
 
-func (c *Core) usable(pool string, uid uint64) (*routing.Pool, routing.Target, bool) {
+// usableTarget returns a target and its pool, and whether the target is listed and not leaving.
+func (c *Core) usableTarget(pool string, uid uint64) (*routing.Pool, routing.Target, bool) {
 	p, ok := c.table.Pool(pool)
 	if !ok {
 		return nil, routing.Target{}, false
@@ -269,32 +277,35 @@
 	return p, p.Targets[i], true
 }
 
-// maxGivenBack bounds how often one request gives tickets back; a fleet that
-// disagrees about the configuration for longer answers "no target".
-const maxGivenBack = 5
+// maxExcludedTargets is the maximum number of targets that a request may exclude. Each ticket
+// for a target that is not usable excludes one more. If the routers still disagree about the
+// configuration after that, the request is refused with code.NoTarget.
+const maxExcludedTargets = 5
 
-func (c *Core) askAgain(pool string, r *request, uid uint64) {
-	c.client(pool).ReleaseTicket(r.arrived.ID, peerv1.Outcome_OUTCOME_UNUSED)
-	r.arrived.Excluded = append(r.arrived.Excluded, uid)
-	if len(r.arrived.Excluded) > maxGivenBack {
-		delete(c.requests, r.arrived.ID)
-		c.emit(RefuseRequest{ID: r.arrived.ID, Code: code.NoTarget, RetryAfter: c.jittered(retryLater)})
+// requestAnotherTicket releases the ticket for an unusable target and requests one for another
+// target.
+func (c *Core) requestAnotherTicket(pool string, r *request, uid uint64) {
+	c.clientFor(pool).ReleaseTicket(r.event.ID, peerv1.Outcome_OUTCOME_UNUSED)
+	r.event.Excluded = append(r.event.Excluded, uid)
+	if len(r.event.Excluded) > maxExcludedTargets {
+		delete(c.requests, r.event.ID)
+		c.emit(RefuseRequest{ID: r.event.ID, Code: code.NoTarget, RetryAfter: c.jitter(defaultRetryAfter)})
 		return
 	}
-	team, _ := c.table.Team(r.arrived.Team)
-	c.client(pool).Ask(&peerv1.Ask{
-		Id: r.arrived.ID, Chat: r.arrived.Chat, Team: team.UID,
-		Priority: uint32(r.arrived.Priority), Excluded: r.arrived.Excluded,
-	}, r.arrived.Deadline)
+	team, _ := c.table.Team(r.event.Team)
+	c.clientFor(pool).Ask(&peerv1.Ask{
+		Id: r.event.ID, Chat: r.event.Chat, Team: team.UID,
+		Priority: uint32(r.event.Priority), Excluded: r.event.Excluded,
+	}, r.event.Deadline)
 }
 
-// deliver sends late grants to the routers that wait for them.
-func (c *Core) deliver(now time.Time, pool string, deliveries []ledger.Delivery) {
+// deliverGrants sends the grants and refusals of queued requests to their routers.
+func (c *Core) deliverGrants(now time.Time, pool string, deliveries []ledger.Delivery) {
 	byRouter := make(map[uint32]*peerv1.DeliverRequest)
 	var order []uint32
 	for _, d := range deliveries {
 		if d.Router == c.settings.Self {
-			c.granted(now, pool, c.client(pool).HandleDelivery(now, c.settings.Self, []*peerv1.Grant{d.Grant}))
+			c.handleGrants(now, pool, c.clientFor(pool).HandleDelivery(now, c.settings.Self, []*peerv1.Grant{d.Grant}))
 			continue
 		}
 		m, ok := byRouter[d.Router]
@@ -312,10 +323,11 @@
 	}
 }
 
-func (c *Core) clientNames() []string { return sortedNames(c.clients) }
-func (c *Core) ledgerNames() []string { return sortedNames(c.ledgers) }
+func (c *Core) clientPools() []string { return sortedNames(c.clients) }
+func (c *Core) ledgerPools() []string { return sortedNames(c.ledgers) }
 
-// sortedNames makes the order of actions the same in every run.
+// sortedNames returns the keys in ascending order, which makes the order of actions
+// deterministic.
 func sortedNames[V any](m map[string]V) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
