--- a/internal/core/fairqueue/fairqueue.go
+++ b/internal/core/fairqueue/fairqueue.go
@@ -1,19 +1,19 @@
-// Package fairqueue orders waiting requests: urgent before normal before bulk,
-// and within a class by weighted fair queueing over teams, so that a team with a
-// long backlog delays only itself.
+// Package fairqueue orders waiting requests: urgent before normal before bulk, and within a
+// priority class by weighted fair queueing over teams. A team with a long backlog therefore
+// delays only its own requests.
 package fairqueue
 
 import "time"
 
-// Priority is a request's class.
+// Priority is the priority class of a request.
 type Priority int
 
-// The classes, lowest first.
+// The priority classes, lowest first.
 const (
 	Bulk Priority = iota
 	Normal
 	Urgent
-	classes
+	numClasses
 )
 
 // Item is one waiting request.
@@ -32,16 +32,17 @@
 // backlog is one team's first-in-first-out queue within a class.
 type backlog struct {
 	items []Item
-	// finish is the virtual time at which the team's last served item ends.
-	finish float64
+	// finishTime is the virtual finish time of the team's last served item.
+	finishTime float64
 }
 
+// class holds the waiting requests of one priority class.
 type class struct {
 	teams map[uint64]*backlog
 	order []uint64 // teams with items, in order of arrival
-	// virtual is the virtual start time of the last served item.
-	virtual float64
-	length  int
+	// virtualTime is the virtual start time of the last served item.
+	virtualTime float64
+	length      int
 }
 
 // itemKey identifies a waiting request.
@@ -52,7 +53,7 @@
 
 // Queue holds waiting requests. It is not safe for concurrent use.
 type Queue struct {
-	class  [classes]class
+	class  [numClasses]class
 	queued map[itemKey]bool
 }
 
@@ -77,7 +78,7 @@
 
 // HasWaiting reports whether requests of class p or a higher one are waiting.
 func (q *Queue) HasWaiting(p Priority) bool {
-	for i := p; i < classes; i++ {
+	for i := p; i < numClasses; i++ {
 		if q.class[i].length > 0 {
 			return true
 		}
@@ -85,26 +86,26 @@
 	return false
 }
 
-// CountAhead returns how many waiting requests would be served before a new one of
-// the team and class: all of higher classes, and in its own class the team's own
-// backlog, stretched by the number of teams that share the class.
+// CountAhead estimates how many waiting requests would be served before a new request of the
+// team and class: all requests of higher classes, the team's own backlog in the class, and of
+// each other team in the class at most as many as the team would then have.
 func (q *Queue) CountAhead(team uint64, p Priority) int {
 	n := 0
-	for i := p + 1; i < classes; i++ {
+	for i := p + 1; i < numClasses; i++ {
 		n += q.class[i].length
 	}
 	c := &q.class[p]
-	own := 0
+	ownItems := 0
 	if b, ok := c.teams[team]; ok {
-		own = len(b.items)
+		ownItems = len(b.items)
 	}
-	others := 0
+	otherItems := 0
 	for id, b := range c.teams {
 		if id != team {
-			others += min(len(b.items), own+1)
+			otherItems += min(len(b.items), ownItems+1)
 		}
 	}
-	return n + own + others
+	return n + ownItems + otherItems
 }
 
 // Push appends an item.
@@ -112,9 +113,9 @@
 	c := &q.class[it.Priority]
 	b, ok := c.teams[it.Team]
 	if !ok {
-		// A team that returns after being idle starts at the present virtual
-		// time: credit saved up while idle would let it starve the others.
-		b = &backlog{finish: c.virtual}
+		// A team that returns after being idle starts at the current virtual time. If it kept
+		// credit for its idle time, it could starve the other teams.
+		b = &backlog{finishTime: c.virtualTime}
 		c.teams[it.Team] = b
 		c.order = append(c.order, it.Team)
 	}
@@ -123,12 +124,12 @@
 	q.queued[itemKey{it.Router, it.ID}] = true
 }
 
-// PopNext removes and returns the first item that take accepts, offering the head
-// of each team's backlog by class and virtual time. It stops a class at the first
-// item that take rejects with Stop.
-func (q *Queue) PopNext(take func(Item) Decision) (Item, bool) {
-	for p := classes - 1; p >= 0; p-- {
-		if it, ok := q.class[p].next(take); ok {
+// PopNext removes and returns the first item that decide accepts. It offers the head of each
+// team's backlog, ordered by class and virtual time. SkipTeam skips a team, StopClass skips the
+// rest of a class.
+func (q *Queue) PopNext(decide func(Item) Decision) (Item, bool) {
+	for p := numClasses - 1; p >= 0; p-- {
+		if it, ok := q.class[p].popNext(decide); ok {
 			delete(q.queued, itemKey{it.Router, it.ID})
 			return it, true
 		}
@@ -136,29 +137,29 @@
 	return Item{}, false
 }
 
-// Decision is the answer to an offered item.
+// Decision is the answer of the function that PopNext offers an item to.
 type Decision int
 
 const (
-	// Accept: serve the item now.
+	// Accept removes the item from the queue and returns it.
 	Accept Decision = iota
-	// SkipTeam: not this team now; offer another team's head.
+	// SkipTeam skips the team of the item.
 	SkipTeam
-	// StopClass: no item of this class can be served now.
+	// StopClass skips the rest of the class.
 	StopClass
 )
 
-func (c *class) next(take func(Item) Decision) (Item, bool) {
+func (c *class) popNext(decide func(Item) Decision) (Item, bool) {
 	skipped := make(map[uint64]bool)
 	for {
-		id, ok := c.earliest(skipped)
+		id, ok := c.earliestTeam(skipped)
 		if !ok {
 			return Item{}, false
 		}
 		head := c.teams[id].items[0]
-		switch take(head) {
+		switch decide(head) {
 		case Accept:
-			c.serve(id)
+			c.popHead(id)
 			return head, true
 		case SkipTeam:
 			skipped[id] = true
@@ -168,33 +169,36 @@
 	}
 }
 
-func (c *class) earliest(skipped map[uint64]bool) (uint64, bool) {
+// earliestTeam returns the team with the lowest virtual finish time, except the skipped teams.
+func (c *class) earliestTeam(skipped map[uint64]bool) (uint64, bool) {
 	var best uint64
 	found := false
 	for _, id := range c.order {
 		if skipped[id] {
 			continue
 		}
-		if !found || c.teams[id].finish < c.teams[best].finish {
+		if !found || c.teams[id].finishTime < c.teams[best].finishTime {
 			best, found = id, true
 		}
 	}
 	return best, found
 }
 
-func (c *class) serve(id uint64) {
+// popHead removes the first item of a team and advances the virtual time.
+func (c *class) popHead(id uint64) {
 	b := c.teams[id]
-	start := max(b.finish, c.virtual)
-	c.virtual = start
-	b.finish = start + 1/float64(max(b.items[0].Weight, 1))
+	start := max(b.finishTime, c.virtualTime)
+	c.virtualTime = start
+	b.finishTime = start + 1/float64(max(b.items[0].Weight, 1))
 	b.items = b.items[1:]
 	c.length--
 	if len(b.items) == 0 {
-		c.drop(id)
+		c.removeTeam(id)
 	}
 }
 
-func (c *class) drop(id uint64) {
+// removeTeam removes a team without items.
+func (c *class) removeTeam(id uint64) {
 	delete(c.teams, id)
 	for i, other := range c.order {
 		if other == id {
@@ -204,11 +208,11 @@
 	}
 }
 
-// Remove takes out every item for which gone is true and returns them.
-func (q *Queue) Remove(gone func(Item) bool) []Item {
+// Remove removes every item that matches and returns the removed items.
+func (q *Queue) Remove(match func(Item) bool) []Item {
 	var removed []Item
 	for i := range q.class {
-		removed = append(removed, q.class[i].remove(gone)...)
+		removed = append(removed, q.class[i].remove(match)...)
 	}
 	for _, it := range removed {
 		delete(q.queued, itemKey{it.Router, it.ID})
@@ -216,13 +220,13 @@
 	return removed
 }
 
-func (c *class) remove(gone func(Item) bool) []Item {
+func (c *class) remove(match func(Item) bool) []Item {
 	var removed []Item
 	for _, id := range append([]uint64(nil), c.order...) {
 		b := c.teams[id]
 		kept := b.items[:0:0]
 		for _, it := range b.items {
-			if gone(it) {
+			if match(it) {
 				removed = append(removed, it)
 				c.length--
 			} else {
@@ -231,7 +235,7 @@
 		}
 		b.items = kept
 		if len(kept) == 0 {
-			c.drop(id)
+			c.removeTeam(id)
 		}
 	}
 	return removed
