--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -1,7 +1,6 @@
-// Package claim decides whether a request with an Idempotency-Key may run. A row
-// in the table service, inserted before dispatch, is the only proof of the right
-// to run. A claim is never taken over: its holder might be paused and still
-// dispatch.
+// Package claim decides whether a request with an Idempotency-Key may be dispatched. A row in
+// the table service, inserted before the dispatch, is the only proof of the right to dispatch. A
+// claim is never taken over: its holder might only be stalled and dispatch the request later.
 package claim
 
 import (
@@ -13,33 +12,32 @@
 // State is the state of a claimed request.
 type State string
 
-// The states of a record.
+// The states of a Record.
 const (
 	Started State = "started"
 	Done    State = "done"
 	Unknown State = "unknown"
 )
 
-// Record is the row of one claimed request.
+// Record is the stored row of one claimed request.
 type Record struct {
-	// ID identifies the claim itself, so that a holder recognises its own row
-	// after a lost reply.
+	// ID identifies the claim. By it a holder recognises its own row after a lost reply.
 	ID          string    `json:"id"`
 	Router      uint32    `json:"router"`
 	Incarnation uint64    `json:"incarnation"`
 	Fingerprint string    `json:"fingerprint"`
 	State       State     `json:"state"`
 	ClaimedAt   time.Time `json:"at"`
-	// Status, ContentType and Body are the recorded answer of a Done request.
+	// Status, ContentType and Body are the recorded response of a Done request.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 }
 
-// InsertResult is how a call to the table service ended.
+// InsertResult is the result of an insert into the table service.
 type InsertResult int
 
-// The results.
+// The insert results. NoReply means that the insert may still take effect.
 const (
 	Committed InsertResult = iota
 	Conflict
@@ -47,20 +45,20 @@
 	NoReply
 )
 
-// ActionKind says what the claim needs next.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// The actions.
+// The action kinds.
 const (
-	// InsertRow the claim's row on condition that no row exists.
+	// InsertRow inserts the claim's row on condition that the key has no row.
 	InsertRow ActionKind = iota
-	// ReadRow the row.
+	// ReadRow reads the row.
 	ReadRow
-	// Dispatch: the request may be dispatched, once.
+	// Dispatch dispatches the request, once.
 	Dispatch
-	// ReplayAnswer the recorded answer.
+	// ReplayAnswer answers with the recorded response.
 	ReplayAnswer
-	// RefuseRequest with Code. The request was not dispatched under this claim.
+	// RefuseRequest answers with Code. The request was not dispatched under this claim.
 	RefuseRequest
 )
 
@@ -69,40 +67,41 @@
 	Kind   ActionKind
 	Code   code.Code
 	Record Record
-	// NeedsCleanup says that the row of this claim may exist or appear later although
-	// the request is refused. It has to be found and deleted, or callers that
-	// come again would be told for ever that the request is in progress.
+	// NeedsCleanup is true if the row of this claim may exist or appear later although the
+	// request is refused. The row has to be found and deleted. Otherwise retries of the request
+	// would be told for ever that it is in progress.
 	NeedsCleanup bool
 }
 
-// maxInserts bounds how often an insert without a reply is repeated.
+// maxInserts is the maximum number of inserts of one claim.
 const maxInserts = 3
 
-// Machine decides one claim. It is not safe for concurrent use.
+// Machine is the state machine of one claim. The caller carries out the returned actions and
+// passes their results to the Handle methods. It is not safe for concurrent use.
 type Machine struct {
-	record  Record
-	inserts int
-	unsure  bool // an insert went unanswered
+	record           Record
+	insertCount      int
+	insertUnanswered bool // an insert got no reply
 }
 
 // New returns the Machine for a record and its first action.
 func New(record Record) (*Machine, Action) {
 	m := &Machine{record: record}
-	return m, m.insert()
+	return m, m.insertRow()
 }
 
-// Record returns the claim's own record.
+// Record returns the record of the claim that the Machine tries to insert.
 func (m *Machine) Record() Record { return m.record }
 
-func (m *Machine) insert() Action {
-	m.inserts++
+func (m *Machine) insertRow() Action {
+	m.insertCount++
 	return Action{Kind: InsertRow, Record: m.record}
 }
 
-// HandleInsert takes the result of an insert. One without a reply is repeated: the
-// second insert conflicts with the first if that took effect, and the row then
-// shows whose it is. Reading alone would not do, since a row that is not there
-// yet may still appear.
+// HandleInsert processes the result of an insert and returns the next action. An insert without
+// a reply is repeated. If the first insert took effect, the second one conflicts with it, and
+// the row then shows its owner. Reading the row instead would not suffice, since a row that does
+// not exist yet may still appear.
 func (m *Machine) HandleInsert(r InsertResult) Action {
 	switch r {
 	case Committed:
@@ -110,20 +109,20 @@
 	case Conflict:
 		return Action{Kind: ReadRow}
 	case NoReply:
-		m.unsure = true
-		if m.inserts < maxInserts {
-			return m.insert()
+		m.insertUnanswered = true
+		if m.insertCount < maxInserts {
+			return m.insertRow()
 		}
 	}
-	return m.refuse(code.ClaimStoreDown)
+	return m.refuseRequest(code.ClaimStoreDown)
 }
 
-func (m *Machine) refuse(c code.Code) Action {
-	return Action{Kind: RefuseRequest, Code: c, NeedsCleanup: m.unsure}
+func (m *Machine) refuseRequest(c code.Code) Action {
+	return Action{Kind: RefuseRequest, Code: c, NeedsCleanup: m.insertUnanswered}
 }
 
-// HandleRow takes the row that conflicted. holderAlive says whether the process that
-// holds the row's claim still runs.
+// HandleRow processes the row that caused a conflict. holderAlive reports whether the process
+// that holds the row's claim still runs.
 func (m *Machine) HandleRow(row Record, holderAlive bool) Action {
 	switch {
 	case row.ID == m.record.ID:
@@ -139,13 +138,13 @@
 	}
 }
 
-// HandleRowDeleted takes the news that the conflicting row has been deleted meanwhile.
+// HandleRowDeleted handles that the conflicting row was deleted meanwhile.
 func (m *Machine) HandleRowDeleted() Action {
-	if m.inserts >= maxInserts {
-		return m.refuse(code.ClaimStoreDown)
+	if m.insertCount >= maxInserts {
+		return m.refuseRequest(code.ClaimStoreDown)
 	}
-	return m.insert()
+	return m.insertRow()
 }
 
-// HandleReadFailure takes the news that the row can't be read.
-func (m *Machine) HandleReadFailure() Action { return m.refuse(code.ClaimStoreDown) }
+// HandleReadFailure handles that the conflicting row can't be read.
+func (m *Machine) HandleReadFailure() Action { return m.refuseRequest(code.ClaimStoreDown) }
