--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -1,6 +1,6 @@
-// Package member tracks which of the listed routers are alive, from heartbeats
-// that spread by gossip. It agrees on nothing: views may differ for seconds, and
-// everything built on them must stay safe while they do.
+// Package member tracks which of the listed routers are alive, using heartbeats that spread by
+// gossip. It provides no agreement: views may differ for seconds, and everything that uses them
+// must remain safe meanwhile.
 package member
 
 import (
@@ -11,53 +11,55 @@
 	peerv1 "github.com/hemlockdyke/hemlockdyke/gen/hemlockdyke/peer/v1"
 )
 
-// peer is what is known of one listed router.
+// peer is the state of one listed router.
 type peer struct {
 	incarnation uint64
 	counter     uint64
 	revision    uint64
 	leaving     bool
-	advanced    time.Time // when the counter last moved, on the local clock
+	advancedAt  time.Time // when the counter last increased, on the local clock
 }
 
 // View is one router's view of the fleet. It is not safe for concurrent use.
 type View struct {
-	self         uint32
-	ids          []uint32
-	peers        map[uint32]*peer
-	suspectAfter time.Duration
-	started      time.Time
-	rand         *rand.Rand
+	self           uint32
+	ids            []uint32
+	peers          map[uint32]*peer
+	suspectTimeout time.Duration
+	startedAt      time.Time
+	rand           *rand.Rand
 }
 
 // New returns the view of router self over the listed ids.
-func New(now time.Time, self uint32, incarnation uint64, ids []uint32, suspectAfter time.Duration, rnd *rand.Rand) *View {
-	s := &View{started: now, self: self, peers: make(map[uint32]*peer), suspectAfter: suspectAfter, rand: rnd}
-	s.ids = append(s.ids, ids...)
-	sort.Slice(s.ids, func(i, j int) bool { return s.ids[i] < s.ids[j] })
-	for _, id := range s.ids {
-		s.peers[id] = &peer{}
+func New(now time.Time, self uint32, incarnation uint64, ids []uint32, suspectTimeout time.Duration, rnd *rand.Rand) *View {
+	v := &View{startedAt: now, self: self, peers: make(map[uint32]*peer), suspectTimeout: suspectTimeout, rand: rnd}
+	v.ids = append(v.ids, ids...)
+	sort.Slice(v.ids, func(i, j int) bool { return v.ids[i] < v.ids[j] })
+	for _, id := range v.ids {
+		v.peers[id] = &peer{}
 	}
-	s.peers[self].incarnation = incarnation
-	return s
+	v.peers[self].incarnation = incarnation
+	return v
 }
 
-// AdvanceHeartbeat advances the router's own heartbeat.
-func (s *View) AdvanceHeartbeat(now time.Time, revision uint64) {
-	me := s.peers[s.self]
-	me.counter++
-	me.advanced = now
-	me.revision = revision
+// AdvanceHeartbeat increments the router's own heartbeat counter and sets its configuration
+// revision.
+func (v *View) AdvanceHeartbeat(now time.Time, revision uint64) {
+	own := v.peers[v.self]
+	own.counter++
+	own.advancedAt = now
+	own.revision = revision
 }
 
-// MarkLeaving marks this router as leaving. The mark is part of its heartbeat.
-func (s *View) MarkLeaving() { s.peers[s.self].leaving = true }
+// MarkLeaving marks this router as shutting down. The mark is part of its heartbeat.
+func (v *View) MarkLeaving() { v.peers[v.self].leaving = true }
 
-// Heartbeats returns the view for a gossip message.
-func (s *View) Heartbeats() []*peerv1.Heartbeat {
-	out := make([]*peerv1.Heartbeat, 0, len(s.ids))
-	for _, id := range s.ids {
-		p := s.peers[id]
+// Heartbeats returns the latest known heartbeat of every router that was heard, for a gossip
+// message.
+func (v *View) Heartbeats() []*peerv1.Heartbeat {
+	out := make([]*peerv1.Heartbeat, 0, len(v.ids))
+	for _, id := range v.ids {
+		p := v.peers[id]
 		if p.counter == 0 {
 			continue
 		}
@@ -68,100 +70,102 @@
 	return out
 }
 
-// MergeHeartbeats takes in heartbeats and returns the routers that restarted, that is,
-// whose incarnation rose. A heartbeat that is not newer changes nothing, so one
-// that travelled slowly can't revive a dead router.
-func (s *View) MergeHeartbeats(now time.Time, heartbeats []*peerv1.Heartbeat) (restarted []uint32) {
-	for _, hb := range heartbeats {
-		p, ok := s.peers[hb.GetRouter()]
-		if !ok || hb.GetRouter() == s.self || !newer(hb, p) {
+// MergeHeartbeats processes heartbeats and returns the routers that restarted, which is seen
+// from a higher incarnation. A heartbeat that is not newer changes nothing: a delayed heartbeat
+// can't make a dead router look alive.
+func (v *View) MergeHeartbeats(now time.Time, heartbeats []*peerv1.Heartbeat) (restarted []uint32) {
+	for _, heartbeat := range heartbeats {
+		p, ok := v.peers[heartbeat.GetRouter()]
+		if !ok || heartbeat.GetRouter() == v.self || !isNewer(heartbeat, p) {
 			continue
 		}
-		if p.incarnation != 0 && hb.GetIncarnation() > p.incarnation {
-			restarted = append(restarted, hb.GetRouter())
+		if p.incarnation != 0 && heartbeat.GetIncarnation() > p.incarnation {
+			restarted = append(restarted, heartbeat.GetRouter())
 		}
 		*p = peer{
-			incarnation: hb.GetIncarnation(),
-			counter:     hb.GetCounter(),
-			revision:    hb.GetRevision(),
-			leaving:     hb.GetLeaving(),
-			advanced:    now,
+			incarnation: heartbeat.GetIncarnation(),
+			counter:     heartbeat.GetCounter(),
+			revision:    heartbeat.GetRevision(),
+			leaving:     heartbeat.GetLeaving(),
+			advancedAt:  now,
 		}
 	}
 	return restarted
 }
 
-func newer(hb *peerv1.Heartbeat, p *peer) bool {
-	if hb.GetIncarnation() != p.incarnation {
-		return hb.GetIncarnation() > p.incarnation
+// isNewer reports whether a heartbeat is newer than the state of its router.
+func isNewer(heartbeat *peerv1.Heartbeat, p *peer) bool {
+	if heartbeat.GetIncarnation() != p.incarnation {
+		return heartbeat.GetIncarnation() > p.incarnation
 	}
-	return hb.GetCounter() > p.counter
+	return heartbeat.GetCounter() > p.counter
 }
 
-// Incarnation returns the latest known incarnation of a router, 0 if none.
-func (s *View) Incarnation(id uint32) uint64 {
-	if p, ok := s.peers[id]; ok {
+// Incarnation returns the latest known incarnation of a router, or 0 if it is unknown.
+func (v *View) Incarnation(id uint32) uint64 {
+	if p, ok := v.peers[id]; ok {
 		return p.incarnation
 	}
 	return 0
 }
 
-// IsListed reports whether id is a router of the fleet.
-func (s *View) IsListed(id uint32) bool {
-	_, ok := s.peers[id]
+// IsListed reports whether id is a listed router of the fleet.
+func (v *View) IsListed(id uint32) bool {
+	_, ok := v.peers[id]
 	return ok
 }
 
-// IsAlive reports whether a router's heartbeat advanced lately. The router itself is
-// alive, and for a while after a start so is everyone: a router that took itself
-// for the only one would count the load of every pool on its own and grant past
-// the bound until it hears from the others.
-func (s *View) IsAlive(now time.Time, id uint32) bool {
-	if id == s.self {
+// IsAlive reports whether a router's heartbeat advanced within the suspect timeout. The router
+// itself is always alive. A router that was never heard counts as alive for the suspect timeout
+// after the start. Otherwise a starting router would consider itself the only live one, own
+// every pool, count only its own requests and exceed the bound until it heard from the others.
+func (v *View) IsAlive(now time.Time, id uint32) bool {
+	if id == v.self {
 		return true
 	}
-	p, ok := s.peers[id]
+	p, ok := v.peers[id]
 	if !ok {
 		return false
 	}
-	since := p.advanced
+	since := p.advancedAt
 	if p.counter == 0 {
-		since = s.started
+		since = v.startedAt
 	}
-	return now.Sub(since) <= s.suspectAfter
+	return now.Sub(since) <= v.suspectTimeout
 }
 
-// LiveRouters returns the routers that are alive and not leaving, in order. This router
-// is among them unless it is leaving.
-func (s *View) LiveRouters(now time.Time) []uint32 {
-	out := make([]uint32, 0, len(s.ids))
-	for _, id := range s.ids {
-		if s.IsAlive(now, id) && !s.peers[id].leaving {
+// LiveRouters returns the routers that are alive and not shutting down, in ascending order. This
+// router is included unless it is shutting down.
+func (v *View) LiveRouters(now time.Time) []uint32 {
+	out := make([]uint32, 0, len(v.ids))
+	for _, id := range v.ids {
+		if v.IsAlive(now, id) && !v.peers[id].leaving {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// HasHeardMajority reports whether the heartbeats of more than half of the listed
-// routers, this one included, advanced within the last span.
-func (s *View) HasHeardMajority(now time.Time, span time.Duration) bool {
+// HasHeardMajority reports whether the heartbeats of more than half of the listed routers,
+// including this one, advanced within the last span.
+func (v *View) HasHeardMajority(now time.Time, span time.Duration) bool {
 	heard := 0
-	for _, id := range s.ids {
-		p := s.peers[id]
-		if id == s.self || (p.counter > 0 && now.Sub(p.advanced) <= span) {
+	for _, id := range v.ids {
+		p := v.peers[id]
+		if id == v.self || (p.counter > 0 && now.Sub(p.advancedAt) <= span) {
 			heard++
 		}
 	}
-	return heard*2 > len(s.ids)
+	return heard*2 > len(v.ids)
 }
 
-// HighestRevision returns the highest revision in any heartbeat and the router that has it.
-func (s *View) HighestRevision() (uint64, uint32) {
+// HighestRevision returns the highest revision in the heartbeats of other routers and the router
+// that has it.
+func (v *View) HighestRevision() (uint64, uint32) {
 	var best uint64
 	var at uint32
-	for _, id := range s.ids {
-		if p := s.peers[id]; id != s.self && p.revision > best {
+	for _, id := range v.ids {
+		if p := v.peers[id]; id != v.self && p.revision > best {
 			best, at = p.revision, id
 		}
 	}
@@ -169,26 +173,26 @@
 }
 
 // Revisions returns the last known revision of every listed router.
-func (s *View) Revisions() map[uint32]uint64 {
-	out := make(map[uint32]uint64, len(s.ids))
-	for _, id := range s.ids {
-		out[id] = s.peers[id].revision
+func (v *View) Revisions() map[uint32]uint64 {
+	out := make(map[uint32]uint64, len(v.ids))
+	for _, id := range v.ids {
+		out[id] = v.peers[id].revision
 	}
 	return out
 }
 
-// RandomPeers returns up to n distinct other routers to gossip with. Silent ones
-// are included, since that is how a recovered router is found again.
-func (s *View) RandomPeers(n int) []uint32 {
-	others := make([]uint32, 0, len(s.ids))
-	for _, id := range s.ids {
-		if id != s.self {
+// RandomPeers returns up to n distinct other routers, chosen at random. Silent routers are
+// included, since gossip with them is how a recovered router is detected.
+func (v *View) RandomPeers(n int) []uint32 {
+	others := make([]uint32, 0, len(v.ids))
+	for _, id := range v.ids {
+		if id != v.self {
 			others = append(others, id)
 		}
 	}
-	s.rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	v.rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	return others[:min(n, len(others))]
 }
 
 // Size returns the number of listed routers.
-func (s *View) Size() int { return len(s.ids) }
+func (v *View) Size() int { return len(v.ids) }
