--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds the configuration that one process has applied. It only
-// moves to higher revisions, whole changes at a time.
+// Package config holds the configuration that one process has applied. The configuration only
+// moves to higher revisions and applies each change completely or not at all.
 package config
 
 import (
@@ -8,29 +8,29 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/resource"
 )
 
-// ApplyResult says what Apply did with a change.
+// ApplyResult is the result of applying a change or loading a snapshot.
 type ApplyResult int
 
 const (
-	// Applied: the change was the next revision and is now in force.
+	// Applied: the change was the next revision and is applied now.
 	Applied ApplyResult = iota
-	// AlreadyApplied: the revision is already in force; nothing changed.
+	// AlreadyApplied: this or a higher revision is applied already; nothing changed.
 	AlreadyApplied
-	// Gap: changes between the current revision and this one are missing.
+	// Gap: changes between the current revision and this one are missing; nothing changed.
 	Gap
 	// Invalid: a resource does not pass validation; nothing changed.
 	Invalid
 )
 
-// logLength is how many recent changes are kept for peers that lag. At 11,000
-// changes a day it covers more than two hours.
-const logLength = 1024
+// maxLogLength is how many recent changes are kept for peers that lag. At 11,000 changes a day
+// they cover more than two hours.
+const maxLogLength = 1024
 
 // State is the applied configuration. It is not safe for concurrent use.
 type State struct {
 	revision  uint64
 	resources map[resource.Key]resource.Resource
-	log       []resource.Change // consecutive, ending at revision
+	log       []resource.Change // consecutive changes, the last one at revision
 }
 
 // New returns an empty State at revision 0.
@@ -38,11 +38,11 @@
 	return &State{resources: make(map[resource.Key]resource.Resource)}
 }
 
-// Revision returns the revision in force.
+// Revision returns the revision that is applied.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Apply puts the next revision in force. A change that arrives late or twice is
-// reported as Old and cannot revert a newer one.
+// Apply applies the change with the next revision. A delayed or duplicate change is reported as
+// AlreadyApplied and can't revert a newer one.
 func (s *State) Apply(c resource.Change) ApplyResult {
 	if c.Revision <= s.revision {
 		return AlreadyApplied
@@ -56,17 +56,17 @@
 		}
 	}
 	for _, r := range c.Resources {
-		s.put(r)
+		s.applyResource(r)
 	}
 	s.revision = c.Revision
 	s.log = append(s.log, c)
-	if len(s.log) > logLength {
-		s.log = append([]resource.Change(nil), s.log[len(s.log)-logLength/2:]...)
+	if len(s.log) > maxLogLength {
+		s.log = append([]resource.Change(nil), s.log[len(s.log)-maxLogLength/2:]...)
 	}
 	return Applied
 }
 
-func (s *State) put(r resource.Resource) {
+func (s *State) applyResource(r resource.Resource) {
 	if r.Deleted {
 		delete(s.resources, r.Key())
 		return
@@ -92,7 +92,8 @@
 	return Applied
 }
 
-// ChangesSince returns the changes after a revision, and false if they are no longer kept.
+// ChangesSince returns the changes after a revision, or false if the state no longer keeps all
+// of them.
 func (s *State) ChangesSince(after uint64) ([]resource.Change, bool) {
 	if after >= s.revision {
 		return nil, true
@@ -119,7 +120,7 @@
 	return out
 }
 
-// Get returns one resource.
+// Get returns one resource, and whether it exists.
 func (s *State) Get(k resource.Key) (resource.Resource, bool) {
 	r, ok := s.resources[k]
 	return r, ok
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -12,39 +12,40 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-func team(name string, revision uint64, deleted bool) resource.Resource {
+func newTeam(name string, revision uint64, deleted bool) resource.Resource {
 	return resource.Resource{
 		Kind: resource.KindTeam, Deleted: deleted, Spec: fmt.Appendf(nil, `{"weight":%d}`, revision%100),
 		Metadata: resource.Metadata{Name: name, ResourceVersion: revision},
 	}
 }
 
-// accepted is a line of changes and the configuration after each.
-func accepted(t *rapid.T, n int) ([]resource.Change, [][]resource.Resource) {
+// newHistory returns n consecutive changes and the configuration after each of them, starting
+// with the empty one.
+func newHistory(t *rapid.T, n int) ([]resource.Change, [][]resource.Resource) {
 	s := config.New()
 	var changes []resource.Change
 	states := [][]resource.Resource{nil}
 	for i := range n {
 		revision := uint64(i + 1)
 		name := fmt.Sprintf("team-%d", rapid.IntRange(0, 4).Draw(t, "team"))
-		ch := resource.Change{Revision: revision, Resources: []resource.Resource{
-			team(name, revision, rapid.IntRange(0, 3).Draw(t, "delete") == 0),
+		change := resource.Change{Revision: revision, Resources: []resource.Resource{
+			newTeam(name, revision, rapid.IntRange(0, 3).Draw(t, "delete") == 0),
 		}}
-		s.Apply(ch)
-		changes = append(changes, ch)
+		s.Apply(change)
+		changes = append(changes, change)
 		states = append(states, s.Resources())
 	}
 	return changes, states
 }
 
 var _ = Describe("the configuration of a router", func() {
-	// Symptom: a drained target gets work again. Sequence: changes arrive late, twice
-	// and out of order, snapshots of any age in between. Cause: an older state is
-	// applied over a newer one.
-	It("never reverts and is whole at every revision, in 10,000 random schedules", func() {
+	// Guards against new requests at a drained target: changes arrive late, twice and out of
+	// order, with snapshots of any age in between, and an older state must not replace a newer
+	// one.
+	It("never reverts and is complete at every revision, in 10,000 random schedules", func() {
 		testkit.Check("10000", func(t *rapid.T) {
 			const n = 12
-			changes, states := accepted(t, n)
+			changes, states := newHistory(t, n)
 			s := config.New()
 			for range 20 {
 				before := s.Revision()
@@ -64,18 +65,18 @@
 		})
 	})
 
-	It("refuses a change with an invalid resource whole", func() {
+	It("refuses a change completely if one resource is invalid", func() {
 		s := config.New()
-		bad := resource.Change{Revision: 1, Resources: []resource.Resource{team("good", 1, false), team("BAD", 1, false)}}
+		bad := resource.Change{Revision: 1, Resources: []resource.Resource{newTeam("good", 1, false), newTeam("BAD", 1, false)}}
 		Expect(s.Apply(bad)).To(Equal(config.Invalid))
 		Expect(s.Resources()).To(BeEmpty())
 		Expect(s.Revision()).To(BeZero())
 	})
 
-	It("hands out the changes that a peer is missing, as long as it keeps them", func() {
+	It("returns the changes that a peer is missing while it keeps them", func() {
 		s := config.New()
 		for i := range 1500 {
-			s.Apply(resource.Change{Revision: uint64(i + 1), Resources: []resource.Resource{team("a", uint64(i+1), false)}})
+			s.Apply(resource.Change{Revision: uint64(i + 1), Resources: []resource.Resource{newTeam("a", uint64(i+1), false)}})
 		}
 		missing, kept := s.ChangesSince(1490)
 		Expect(kept).To(BeTrue())
