--- a/internal/core/plannedchange/plannedchange.go
+++ b/internal/core/plannedchange/plannedchange.go
@@ -1,6 +1,6 @@
-// Package plannedchange is the state machine of a planned change to a target. It
-// can be entered from any phase on another VM: every step states what shall be,
-// and looks at what is before it goes on.
+// Package plannedchange is the state machine of a planned change to a target. Another VM can
+// continue it from any phase: each step compares the desired state with the observed state
+// before it acts.
 package plannedchange
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/resource"
 )
 
-// Phase is how far a planned change has come.
+// Phase is the progress of a planned change.
 type Phase string
 
 // The phases.
 const (
 	Pending  Phase = "Pending"
-	Draining Phase = "Draining" // the target is leaving; open work finishes
-	Ordering Phase = "Ordering" // the order is sent until the target shows it
+	Draining Phase = "Draining" // the target is marked as leaving; its open requests finish
+	Ordering Phase = "Ordering" // the order is sent until the target's state shows it
 	Done     Phase = "Done"
 )
 
@@ -24,65 +24,66 @@
 type Status struct {
 	Phase              Phase  `json:"phase"`
 	ObservedGeneration uint64 `json:"observedGeneration"`
-	// FencingToken is the fencing number of the last order sent.
+	// FencingToken is the fencing token of the last order that was sent.
 	FencingToken uint64 `json:"fencing,omitempty"`
 	Message      string `json:"message,omitempty"`
 }
 
-// Observation is what the world looks like at a step.
+// Observation is the observed state of the target and the fleet at a step.
 type Observation struct {
-	// Leaving says that the target is marked as leaving.
+	// Leaving is true if the target is marked as leaving.
 	Leaving bool
-	// AppliedEverywhere says that the mark is in force at every listed router, or that the
-	// others have been silent for so long that they take no new work.
+	// AppliedEverywhere is true if every listed router has applied the mark, or has been silent
+	// for so long that it accepts no new requests.
 	AppliedEverywhere bool
-	// Reachable says that the target answered; Open is its count of open
-	// requests and State what its last orders left it in.
+	// Reachable is true if the target answered. OpenRequests is then the target's own count of
+	// open requests, and State the state that its last orders produced, by action.
 	Reachable    bool
 	OpenRequests int
 	State        map[string]string
 }
 
-// ActionKind says what to do next.
+// ActionKind is the next action of a planned change.
 type ActionKind int
 
 // The actions.
 const (
-	// Wait and look again.
+	// Wait: observe again later.
 	Wait ActionKind = iota
-	// MarkLeaving marks the target in the configuration.
+	// MarkLeaving: mark the target as leaving in the configuration.
 	MarkLeaving
-	// SendOrder sends the order to the target.
+	// SendOrder: send the order to the target.
 	SendOrder
-	// Finish: nothing is left to do.
+	// Finish: the change is complete.
 	Finish
 )
 
-// OrderValidity is how long an order stays valid on its way to the target. A lease
-// whose remaining time is shorter must not be used to send one.
+// OrderValidity is how long an order in transit to the target stays valid. No order may be sent
+// under a lease with less remaining time.
 const OrderValidity = 2 * time.Second
 
-// drainOrder is the order by which a drained target learns that it may go.
+// drainOrder is the order that tells a drained target that it may exit.
 const drainOrder = "drain"
 
-// Step looks at the world and returns the next status and what to do.
+// Step returns the next status and action for an observation. A new generation of the spec
+// starts the change over.
 func Step(spec resource.PlannedChangeSpec, generation uint64, s Status, o Observation) (Status, ActionKind) {
 	if s.Phase == "" || s.ObservedGeneration != generation {
 		s = Status{Phase: Pending, ObservedGeneration: generation}
 	}
 	switch s.Phase {
 	case Pending:
-		return begin(spec, s)
+		return startChange(spec, s)
 	case Draining:
-		return drain(s, o)
+		return stepDrain(s, o)
 	case Ordering:
-		return order(spec, s, o)
+		return stepOrder(spec, s, o)
 	default:
 		return s, Finish
 	}
 }
 
-func begin(spec resource.PlannedChangeSpec, s Status) (Status, ActionKind) {
+func startChange(spec resource.PlannedChangeSpec, s Status) (Status, ActionKind) {
 	if spec.Action == resource.ActionDrain {
 		s.Phase, s.Message = Draining, "marking the target as leaving"
 		return s, MarkLeaving
@@ -91,9 +92,10 @@
 	return s, SendOrder
 }
 
-// drain waits for the target's open requests. A target that does not answer is
-// not taken for an empty one: requests may still run there.
-func drain(s Status, o Observation) (Status, ActionKind) {
+// stepDrain waits until every router has applied the mark and the target's open requests have
+// finished. A target that does not answer is not assumed to be idle, since requests may still
+// run there.
+func stepDrain(s Status, o Observation) (Status, ActionKind) {
 	switch {
 	case !o.Leaving:
 		return s, MarkLeaving
@@ -111,21 +113,22 @@
 	return s, SendOrder
 }
 
-// order repeats the order until the target shows it: an order or its reply may be lost.
-func order(spec resource.PlannedChangeSpec, s Status, o Observation) (Status, ActionKind) {
+// stepOrder repeats the order until the target's state shows it, since an order or its reply may
+// be lost.
+func stepOrder(spec resource.PlannedChangeSpec, s Status, o Observation) (Status, ActionKind) {
 	if !o.Reachable {
 		s.Message = "the target does not answer"
 		return s, Wait
 	}
 	action, argument := DesiredState(spec)
-	if have, ok := o.State[action]; !ok || have != argument {
+	if current, ok := o.State[action]; !ok || current != argument {
 		return s, SendOrder
 	}
 	s.Phase, s.Message = Done, "the target shows the change"
 	return s, Finish
 }
 
-// DesiredState returns the action and argument that the target shall show.
+// DesiredState returns the action and argument that the target's state has to show.
 func DesiredState(spec resource.PlannedChangeSpec) (action, argument string) {
 	if spec.Action == resource.ActionDrain {
 		return drainOrder, "true"
