--- a/internal/core/burn/burn.go
+++ b/internal/core/burn/burn.go
@@ -1,5 +1,5 @@
-// Package burn measures how fast teams use up their error budgets, over several
-// windows, from counts and histograms that routers can merge.
+// Package burn measures how fast teams use up their error budgets over several windows, based on
+// counts and histograms of the routers that can be merged.
 package burn
 
 import (
@@ -8,43 +8,46 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Windows are the spans over which burn rates are given, shortest first. A high
-// rate over the short one shows a fire, over the long one that it is no blip.
+// Windows returns the windows over which burn rates are computed, shortest first. A high rate
+// over the short window shows an acute problem. A high rate over the long window shows that the
+// problem is not just a short spike.
 func Windows() []time.Duration {
 	return []time.Duration{5 * time.Minute, time.Hour}
 }
 
-// slots is the number of buckets that make up a window.
-const slots = 30
+// slotsPerWindow is the number of buckets in a window.
+const slotsPerWindow = 30
 
-// The histogram holds first-token times from 1 ms to 2 minutes to two digits.
+// The histogram holds first-token times from 1 ms to 2 minutes with two significant digits.
 const (
-	lowest  = 1
-	highest = 120_000
-	digits  = 2
+	minMs  = 1
+	maxMs  = 120_000
+	digits = 2
 )
 
-// Key names a series.
+// Key identifies a series.
 type Key struct {
 	Pool string
 	Team string
 }
 
+// bucket holds the counts of one slot, a fixed part of a window.
 type bucket struct {
-	number    int64 // of the slot since the tracker's start; tells an old bucket
-	good, bad uint64
+	slotNumber int64 // slot to which the counts belong; an older number marks an outdated bucket
+	good, bad  uint64
 }
 
+// window counts requests in a ring of buckets.
 type window struct {
 	slot    time.Duration
-	buckets [slots]bucket
+	buckets [slotsPerWindow]bucket
 }
 
 func (w *window) add(age time.Duration, good bool) {
-	number := w.number(age)
-	b := &w.buckets[number%slots]
-	if b.number != number {
-		*b = bucket{number: number}
+	slotNumber := w.slotNumber(age)
+	b := &w.buckets[slotNumber%slotsPerWindow]
+	if b.slotNumber != slotNumber {
+		*b = bucket{slotNumber: slotNumber}
 	}
 	if good {
 		b.good++
@@ -53,14 +56,15 @@
 	}
 }
 
-// number counts slots from one window before the start, so that an empty bucket
-// never looks like a present one.
-func (w *window) number(age time.Duration) int64 { return int64(age/w.slot) + slots }
+// slotNumber returns the number of the slot at an age, the time since the tracker's start. It
+// counts from one window before the start: an empty bucket has number 0, which then never
+// belongs to a current slot.
+func (w *window) slotNumber(age time.Duration) int64 { return int64(age/w.slot) + slotsPerWindow }
 
 func (w *window) sum(age time.Duration) (good, bad uint64) {
-	oldest := w.number(age) - slots
+	oldest := w.slotNumber(age) - slotsPerWindow
 	for _, b := range w.buckets {
-		if b.number > oldest {
+		if b.slotNumber > oldest {
 			good += b.good
 			bad += b.bad
 		}
@@ -68,11 +72,12 @@
 	return good, bad
 }
 
-// NewHistogram returns an empty histogram of first-token times in milliseconds, of
-// the shape that all samples share.
-func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
+// NewHistogram returns an empty histogram of first-token times in milliseconds. All samples have
+// its range and precision.
+func NewHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(minMs, maxMs, digits) }
 
-// series is the state of one key.
+// series holds the counts and the histogram of one key. The counts are kept per window; the
+// histogram covers all requests since the tracker's start.
 type series struct {
 	windows   []window
 	histogram *hdrhistogram.Histogram
@@ -80,33 +85,37 @@
 
 // Tracker counts the requests of one router. It is not safe for concurrent use.
 type Tracker struct {
-	start  time.Time // spans count from here: the time of day may jump
-	max    int
-	series map[Key]*series
+	startedAt time.Time // ages are measured from here, since the wall clock may jump
+	max       int
+	series    map[Key]*series
 }
 
-// OtherTeams collects the requests of teams beyond the largest number of series.
+// OtherTeams is the team name of the series that collects the requests of teams beyond the
+// maximum number of series.
 const OtherTeams = "(other teams)"
 
-// NewTracker returns an empty Tracker of at most max series: at 31,000 teams one
-// series for each would outgrow the memory of a small VM.
+// NewTracker returns an empty Tracker with at most max series, in addition to one series for
+// OtherTeams in each pool. At 31,000 teams, one series for each team would exceed the memory of
+// a small VM.
 func NewTracker(now time.Time, max int) *Tracker {
-	return &Tracker{start: now, max: max, series: make(map[Key]*series)}
+	return &Tracker{startedAt: now, max: max, series: make(map[Key]*series)}
 }
 
-// RecordRequest counts one request. firstToken is 0 if it had none.
+// RecordRequest counts one request. firstToken is the time to its first token, or 0 if it had
+// none.
 func (t *Tracker) RecordRequest(now time.Time, key Key, good bool, firstToken time.Duration) {
-	s := t.get(key)
+	s := t.seriesFor(key)
 	for i := range s.windows {
-		s.windows[i].add(now.Sub(t.start), good)
+		s.windows[i].add(now.Sub(t.startedAt), good)
 	}
 	if firstToken > 0 {
-		ms := min(max(firstToken.Milliseconds(), lowest), highest)
-		_ = s.histogram.RecordValue(ms) // in range by the line above
+		ms := min(max(firstToken.Milliseconds(), minMs), maxMs)
+		_ = s.histogram.RecordValue(ms) // always in range
 	}
 }
 
-func (t *Tracker) get(key Key) *series {
+// seriesFor returns the series of a key and creates it if necessary.
+func (t *Tracker) seriesFor(key Key) *series {
 	if s, ok := t.series[key]; ok {
 		return s
 	}
@@ -118,13 +127,13 @@
 	}
 	s := &series{histogram: NewHistogram()}
 	for _, w := range Windows() {
-		s.windows = append(s.windows, window{slot: w / slots})
+		s.windows = append(s.windows, window{slot: w / slotsPerWindow})
 	}
 	t.series[key] = s
 	return s
 }
 
-// Count is the requests of one window.
+// Count holds the numbers of good and bad requests in one window.
 type Count struct {
 	Good uint64 `json:"good"`
 	Bad  uint64 `json:"bad"`
@@ -133,17 +142,17 @@
 // Sample is the state of one series at one time.
 type Sample struct {
 	Key       Key
-	Counts    []Count // by window
+	Counts    []Count // one per window, in the order of Windows
 	Histogram *hdrhistogram.Histogram
 }
 
-// Samples returns every series.
+// Samples returns a sample of every series. The histograms are not copied.
 func (t *Tracker) Samples(now time.Time) []Sample {
 	out := make([]Sample, 0, len(t.series))
 	for key, s := range t.series {
 		sample := Sample{Key: key, Histogram: s.histogram}
 		for i := range s.windows {
-			good, bad := s.windows[i].sum(now.Sub(t.start))
+			good, bad := s.windows[i].sum(now.Sub(t.startedAt))
 			sample.Counts = append(sample.Counts, Count{Good: good, Bad: bad})
 		}
 		out = append(out, sample)
@@ -151,14 +160,15 @@
 	return out
 }
 
-// MetServiceLevel reports whether a request met its service level: it was answered, and its
-// first part came within the objective; 0 means that none is set.
+// MetServiceLevel reports whether a request met its service level: it was answered, and the
+// first part of the answer came within the objective. An objective of 0 means that none is set.
 func MetServiceLevel(answered bool, first, objective time.Duration) bool {
 	return answered && (objective <= 0 || first <= objective)
 }
 
-// Rate returns how many times faster than allowed the error budget of an
-// objective, in percent, is used up. 1 uses it up exactly over its period.
+// Rate returns the burn rate: how many times faster than allowed the error budget is used up.
+// objectivePercent is the percentage of requests that must be good. A rate of 1 uses up the
+// budget exactly over its period.
 func Rate(c Count, objectivePercent float64) float64 {
 	total := c.Good + c.Bad
 	if total == 0 || objectivePercent <= 0 || objectivePercent >= 100 {
--- a/internal/core/burn/burn_test.go
+++ b/internal/core/burn/burn_test.go
@@ -11,7 +11,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-var _ = Describe("the tracker of service levels", func() {
+var _ = Describe("the service level tracker", func() {
 	key := burn.Key{Pool: "chat", Team: "t"}
 
 	counts := func(t *burn.Tracker, now time.Time) []burn.Count {
@@ -33,7 +33,7 @@
 		Expect(counts(t, start.Add(2*time.Hour))).To(Equal([]burn.Count{{}, {}}))
 	})
 
-	It("counts from its first moment, whatever the clock shows then", func() {
+	It("counts from its start for any start time", func() {
 		for _, start := range []time.Time{{}, time.Unix(0, 0), time.Unix(1<<33, 0)} {
 			t := burn.NewTracker(start, 10)
 			t.RecordRequest(start, key, true, 0)
@@ -41,7 +41,7 @@
 		}
 	})
 
-	It("keeps no more series than it is allowed, and none of their requests is lost", func() {
+	It("limits the number of series without losing requests", func() {
 		start := time.Unix(1000, 0)
 		t := burn.NewTracker(start, 3)
 		for _, team := range []string{"a", "b", "c", "d", "e"} {
@@ -56,33 +56,33 @@
 		Expect(sum).To(Equal(uint64(5)))
 	})
 
-	It("adds up routers as if one had seen all requests", func() {
+	It("aggregates several routers to the same result as a single one", func() {
 		testkit.Check("100", func(t *rapid.T) {
 			start := time.Unix(1000, 0)
-			whole := burn.NewTracker(start, 100)
+			single := burn.NewTracker(start, 100)
 			parts := []*burn.Tracker{burn.NewTracker(start, 100), burn.NewTracker(start, 100), burn.NewTracker(start, 100)}
 			for range rapid.IntRange(0, 60).Draw(t, "requests") {
 				k := burn.Key{Pool: "chat", Team: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "team")}
 				good := rapid.Bool().Draw(t, "good")
 				first := time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond
-				whole.RecordRequest(start, k, good, first)
+				single.RecordRequest(start, k, good, first)
 				parts[rapid.IntRange(0, 2).Draw(t, "router")].RecordRequest(start, k, good, first)
 			}
-			one, many := burn.NewAggregate(), burn.NewAggregate()
-			for _, s := range whole.Samples(start) {
-				one.AddSample(s)
+			fromOne, fromParts := burn.NewAggregate(), burn.NewAggregate()
+			for _, s := range single.Samples(start) {
+				fromOne.AddSample(s)
 			}
-			for _, p := range parts {
-				for _, s := range p.Samples(start) {
-					many.AddSample(s)
+			for _, part := range parts {
+				for _, s := range part.Samples(start) {
+					fromParts.AddSample(s)
 				}
 			}
 			objective := func(string) float64 { return 99 }
-			Expect(many.Rows(objective)).To(Equal(one.Rows(objective)))
+			Expect(fromParts.Rows(objective)).To(Equal(fromOne.Rows(objective)))
 		})
 	})
 
-	It("says how fast an error budget is used up", func() {
+	It("computes the burn rate and whether a request met its service level", func() {
 		Expect(burn.Rate(burn.Count{Good: 99, Bad: 1}, 99)).To(BeNumerically("~", 1, 0.001))
 		Expect(burn.Rate(burn.Count{Good: 90, Bad: 10}, 99)).To(BeNumerically("~", 10, 0.001))
 		Expect(burn.Rate(burn.Count{}, 99)).To(BeZero())
--- a/internal/core/burn/report.go
+++ b/internal/core/burn/report.go
@@ -8,15 +8,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the service-level burn of the fleet.
+// Report holds the burn rates of the fleet.
 type Report struct {
-	// Routers is how many of the listed routers answered; the others' requests are missing.
+	// Routers is how many of the listed routers answered. The requests of the others are
+	// missing.
 	Routers int   `json:"routers"`
 	Listed  int   `json:"listed"`
 	Lines   []Row `json:"lines"`
 }
 
-// Row is the service level of one team in one pool.
+// Row holds the service level of one team in one pool. The percentiles of the first-token time
+// cover all requests since the routers started.
 type Row struct {
 	Pool             string       `json:"pool"`
 	Team             string       `json:"team"`
@@ -27,7 +29,7 @@
 	FirstTokenP99    int64        `json:"firstTokenP99Ms"`
 }
 
-// WindowRate is the burn over one window.
+// WindowRate holds the counts and the burn rate of one window.
 type WindowRate struct {
 	Window string  `json:"window"`
 	Good   uint64  `json:"good"`
@@ -35,13 +37,13 @@
 	Rate   float64 `json:"rate"`
 }
 
-// Aggregate adds up the samples of many routers.
+// Aggregate sums up the samples of several routers.
 type Aggregate struct{ series map[Key]*Sample }
 
-// NewAggregate returns an empty Sum.
+// NewAggregate returns an empty Aggregate.
 func NewAggregate() *Aggregate { return &Aggregate{series: make(map[Key]*Sample)} }
 
-// AddSample adds one router's sample. Its histogram may be nil: its counts still hold.
+// AddSample adds one router's sample. If its histogram is nil, only the counts are added.
 func (s *Aggregate) AddSample(sample Sample) {
 	sum, ok := s.series[sample.Key]
 	if !ok {
@@ -61,11 +63,12 @@
 	}
 }
 
-// Rows returns the sums by pool and team, with the burn of each team's objective in percent.
+// Rows returns the sums, ordered by pool and team. objective returns the objective of a team in
+// percent.
 func (s *Aggregate) Rows(objective func(team string) float64) []Row {
 	rows := make([]Row, 0, len(s.series))
 	for key, sum := range s.series {
-		rows = append(rows, sum.row(objective(key.Team)))
+		rows = append(rows, sum.newRow(objective(key.Team)))
 	}
 	sort.Slice(rows, func(i, j int) bool {
 		x, y := rows[i], rows[j]
@@ -74,7 +77,7 @@
 	return rows
 }
 
-func (s *Sample) row(objective float64) Row {
+func (s *Sample) newRow(objective float64) Row {
 	row := Row{Pool: s.Key.Pool, Team: s.Key.Team, ObjectivePercent: objective}
 	for i, w := range Windows() {
 		row.Windows = append(row.Windows, WindowRate{
