--- a/internal/core/resource/decode.go
+++ b/internal/core/resource/decode.go
@@ -7,21 +7,21 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// DecodeSpec reads a spec strictly: an unknown field is an error, since a misspelt
-// limit that is silently ignored would leave a target unprotected.
-func DecodeSpec(spec json.RawMessage, into any) error {
+// DecodeSpec decodes a spec strictly. An unknown field is an error: if a misspelt limit were
+// ignored, the target would be unprotected.
+func DecodeSpec(spec json.RawMessage, dst any) error {
 	dec := json.NewDecoder(bytes.NewReader(spec))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(into); err != nil {
+	if err := dec.Decode(dst); err != nil {
 		return code.NewFieldError(code.BadResource, "spec", "%s", err)
 	}
 	if dec.More() {
-		return code.NewFieldError(code.BadResource, "spec", "has text after its end")
+		return code.NewFieldError(code.BadResource, "spec", "has text after the end of the JSON value")
 	}
 	return nil
 }
 
-// CheckReferences verifies that what r refers to exists.
+// CheckReferences returns an error if a resource that r refers to does not exist.
 func CheckReferences(r Resource, exists func(Key) bool) error {
 	switch r.Kind {
 	case KindTarget:
--- a/internal/core/resource/resource.go
+++ b/internal/core/resource/resource.go
@@ -1,4 +1,4 @@
-// Package resource defines the operator resources and their validation.
+// Package resource defines the resources that operators declare and validates them.
 package resource
 
 import (
@@ -23,7 +23,7 @@
 // Kinds lists every kind in the order in which references allow creation.
 func Kinds() []Kind { return []Kind{KindPool, KindTeam, KindTarget, KindPlannedChange} }
 
-// Protocol says how a pool's targets are spoken to.
+// Protocol is the protocol that the targets of a pool speak.
 type Protocol string
 
 // The pool protocols.
@@ -32,7 +32,7 @@
 	ProtocolService Protocol = "service" // plain HTTP
 )
 
-// DefaultBoundMultiple is the load bound of a pool that names none.
+// DefaultBoundMultiple is the BoundMultiple of a pool that does not set it.
 const DefaultBoundMultiple = 1.25
 
 // PoolSpec declares a routing pool.
@@ -40,11 +40,11 @@
 	Protocol Protocol `json:"protocol"`
 	// Model is the model name in chat completion requests; defaults to the pool's name.
 	Model string `json:"model,omitempty"`
-	// BoundMultiple caps a target's outstanding requests at this multiple of the pool mean.
+	// BoundMultiple caps a target's outstanding requests at this multiple of the pool's mean.
 	BoundMultiple float64 `json:"boundMultiple,omitempty"`
 	// MaxPerTarget caps a target's outstanding requests regardless of the mean; 0 means no cap.
 	MaxPerTarget int `json:"maxPerTarget,omitempty"`
-	// ChecksFencing says that the targets refuse orders with an old fencing number.
+	// ChecksFencing is true if the targets refuse orders with an old fencing token.
 	ChecksFencing bool `json:"checksFencing,omitempty"`
 	// IdempotentWrites allows retries of service calls other than GET and HEAD.
 	IdempotentWrites bool `json:"idempotentWrites,omitempty"`
@@ -52,13 +52,14 @@
 
 // TeamSpec declares a team and its service expectations.
 type TeamSpec struct {
-	// Weight is the team's share under weighted fair queueing; defaults to 1.
+	// Weight is the team's share in weighted fair queueing; defaults to 1.
 	Weight int `json:"weight,omitempty"`
 	// MaxOutstanding caps the team's requests in flight over the whole fleet; 0 means no cap.
 	MaxOutstanding int `json:"maxOutstanding,omitempty"`
-	// FirstTokenMillis is the expected time to the first token.
+	// FirstTokenMillis is the objective for the time to the first token, in milliseconds.
 	FirstTokenMillis int `json:"firstTokenMillis,omitempty"`
-	// ObjectivePercent is the share of requests that must meet it, such as 99.
+	// ObjectivePercent is the percentage of requests that must meet FirstTokenMillis, such as
+	// 99.
 	ObjectivePercent float64 `json:"objectivePercent,omitempty"`
 }
 
@@ -67,11 +68,11 @@
 	Pool       string `json:"pool"`
 	Address    string `json:"address"`
 	DataCentre string `json:"dataCentre,omitempty"`
-	// Leaving stops new work to the target; open work finishes.
+	// Leaving stops new requests to the target; open requests finish.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// ChangeAction is what a planned change does.
+// ChangeAction is the action of a planned change.
 type ChangeAction string
 
 // The planned change actions.
@@ -85,7 +86,7 @@
 type PlannedChangeSpec struct {
 	Target string       `json:"target"`
 	Action ChangeAction `json:"action"`
-	// Argument is the role for "role" and the model or adapter version for "load".
+	// Argument is the new role for "role" and the version of the model or adapter for "load".
 	Argument string `json:"argument,omitempty"`
 }
 
@@ -94,15 +95,15 @@
 	Name string `json:"name"`
 	// Generation counts changes of the spec.
 	Generation uint64 `json:"generation,omitempty"`
-	// ResourceVersion is the configuration revision of the last change; a write
-	// that carries it is refused if the resource has changed since.
+	// ResourceVersion is the configuration revision of the last change. A write that carries it
+	// is refused if the resource has changed since.
 	ResourceVersion uint64 `json:"resourceVersion,omitempty"`
-	// UID is unique among all resources ever created. Peers name a target by it,
-	// since a deleted and recreated target must not inherit tickets.
+	// UID is unique among all resources ever created. Peers refer to a target by its UID, since
+	// a deleted and recreated target must not inherit tickets.
 	UID uint64 `json:"uid,omitempty"`
 }
 
-// Resource is one operator resource with its spec still encoded.
+// Resource is one operator resource with its encoded spec.
 type Resource struct {
 	Kind     Kind            `json:"kind"`
 	Metadata Metadata        `json:"metadata"`
@@ -119,13 +120,13 @@
 // Key returns the identity of r.
 func (r Resource) Key() Key { return Key{Kind: r.Kind, Name: r.Metadata.Name} }
 
-// Change is one accepted configuration revision.
+// Change holds the resources of one accepted configuration revision.
 type Change struct {
 	Revision  uint64     `json:"revision"`
 	Resources []Resource `json:"resources"`
 }
 
-// Operation records the outcome of an operator's request.
+// Operation records an accepted request of an operator and the revision that it produced.
 type Operation struct {
 	Name       string    `json:"name"`
 	Revision   uint64    `json:"revision"`
@@ -185,7 +186,7 @@
 		return code.NewFieldError(code.BadResource, "spec.firstTokenMillis", "%d is negative", spec.FirstTokenMillis)
 	}
 	if spec.ObjectivePercent < 0 || spec.ObjectivePercent >= 100 {
-		return code.NewFieldError(code.BadResource, "spec.objectivePercent", "%v is not at least 0 and below 100", spec.ObjectivePercent)
+		return code.NewFieldError(code.BadResource, "spec.objectivePercent", "%v must be at least 0 and below 100", spec.ObjectivePercent)
 	}
 	return nil
 }
@@ -201,7 +202,7 @@
 		return code.NewFieldError(code.BadResource, "spec.pool", "is empty")
 	}
 	if !addressPattern.MatchString(spec.Address) {
-		return code.NewFieldError(code.BadResource, "spec.address", "%q is not an IP number and port", spec.Address)
+		return code.NewFieldError(code.BadResource, "spec.address", "%q is not an IP address and port", spec.Address)
 	}
 	return nil
 }
@@ -218,7 +219,7 @@
 	case ActionDrain:
 	case ActionRole, ActionLoad:
 		if spec.Argument == "" {
-			return code.NewFieldError(code.BadResource, "spec.argument", "is empty, but %q needs one", spec.Action)
+			return code.NewFieldError(code.BadResource, "spec.argument", "is empty, but action %q needs one", spec.Action)
 		}
 	default:
 		return code.NewFieldError(code.BadResource, "spec.action", "%q is not drain, role or load", spec.Action)
