--- a/internal/core/imports_test.go
+++ b/internal/core/imports_test.go
@@ -1,4 +1,4 @@
-// Package core_test checks what the decision packages depend on.
+// Package core_test checks the dependencies of the decision packages.
 package core_test
 
 import (
@@ -12,51 +12,52 @@
 	"testing"
 )
 
-// forbidden are imports that would bring I/O, locks, logs or global state into
-// the decisions: they could then no longer run many times over in one process
-// under a simulated clock.
-var forbidden = []string{"net", "net/http", "os", "sync", "sync/atomic", "io", "log", "context", "math/rand"}
+// forbiddenImports lists imports that would add I/O, locks, logging or global state to the
+// decision packages. With them, many instances could no longer run in one process under a
+// simulated clock.
+var forbiddenImports = []string{"net", "net/http", "os", "sync", "sync/atomic", "io", "log", "context", "math/rand"}
 
-// TestImports also refuses calls that read the wall clock or wait.
+// TestImports checks the imports of the decision packages and refuses calls that read the wall
+// clock or wait.
 func TestImports(t *testing.T) {
-	for _, path := range sources(t, ".") {
+	for _, path := range sourceFiles(t, ".") {
 		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkImports(t, path, file)
+		reportForbiddenImports(t, path, file)
 		ast.Inspect(file, func(n ast.Node) bool {
-			checkCall(t, path, n)
+			reportClockCalls(t, path, n)
 			return true
 		})
 	}
 }
 
-func checkImports(t *testing.T, path string, file *ast.File) {
+func reportForbiddenImports(t *testing.T, path string, file *ast.File) {
 	t.Helper()
-	for _, imp := range file.Imports {
-		name, err := strconv.Unquote(imp.Path.Value)
+	for _, spec := range file.Imports {
+		name, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, bad := range forbidden {
-			if name == bad {
-				t.Errorf("%s imports %s", path, name)
+		for _, forbidden := range forbiddenImports {
+			if name == forbidden {
+				t.Errorf("%s imports %s, which core packages must not import", path, name)
 			}
 		}
 		if strings.Contains(name, "/internal/") && !strings.Contains(name, "/internal/core/") {
-			t.Errorf("%s imports %s", path, name)
+			t.Errorf("%s imports %s, which is not a core package", path, name)
 		}
 	}
 }
 
-// Symptom: a report shows a burn that no request explains; budgets and suspensions end
-// early or never. Sequence: the time of day jumps on a machine. Cause: a span was taken
-// from numbers of the wall clock. Differences of two time.Time go by the steady clock, which
-// can't jump, as long as nobody turns one of them into a number first.
-func TestSpansGoByTheSteadyClock(t *testing.T) {
+// TestDurationsUseMonotonicClock guards against wrong burn rates and against retry budgets and
+// suspensions that end early or never, after the wall clock of a VM jumps. The difference of two
+// time.Time values uses the monotonic clock, which can't jump, unless one of them was converted
+// to a number first.
+func TestDurationsUseMonotonicClock(t *testing.T) {
 	for _, root := range []string{".", "../app/gateway", "../adapter/upstream"} {
-		for _, path := range sources(t, root) {
+		for _, path := range sourceFiles(t, root) {
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 			if err != nil {
 				t.Fatal(err)
@@ -68,7 +69,7 @@
 				}
 				sel, ok := call.Fun.(*ast.SelectorExpr)
 				if ok && strings.HasPrefix(sel.Sel.Name, "Unix") {
-					t.Errorf("%s turns a time into a number of the wall clock by %s", path, sel.Sel.Name)
+					t.Errorf("%s converts a time to a wall clock number with %s", path, sel.Sel.Name)
 				}
 				return true
 			})
@@ -76,8 +77,8 @@
 	}
 }
 
-// sources returns the Go files below a folder, without tests.
-func sources(t *testing.T, root string) []string {
+// sourceFiles returns the Go files in a folder and its subfolders, without tests.
+func sourceFiles(t *testing.T, root string) []string {
 	t.Helper()
 	var out []string
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -92,7 +93,7 @@
 	return out
 }
 
-func checkCall(t *testing.T, path string, n ast.Node) {
+func reportClockCalls(t *testing.T, path string, n ast.Node) {
 	t.Helper()
 	sel, ok := n.(*ast.SelectorExpr)
 	if !ok {
@@ -104,6 +105,6 @@
 	}
 	switch sel.Sel.Name {
 	case "Now", "Sleep", "After", "AfterFunc", "NewTimer", "NewTicker", "Since", "Until":
-		t.Errorf("%s uses time.%s", path, sel.Sel.Name)
+		t.Errorf("%s uses time.%s; core packages take the time as an argument", path, sel.Sel.Name)
 	}
 }
