--- a/internal/core/ledger/ghosts.go
+++ b/internal/core/ledger/ghosts.go
@@ -22,6 +22,7 @@
 	confirmed bool
 }
 
+// orphanTimeout returns how long an orphan is kept.
 func (l *Ledger) orphanTimeout(o orphan) time.Duration {
 	if o.changedOwner || o.confirmed {
 		return l.settings.MovedOrphanTimeout
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -1,6 +1,7 @@
-// Package ledger is the owner's side of load bounding. The owner of a pool counts the pool's
-// open requests per target, grants tickets within the load bound and queues the requests that
-// have to wait. A ticket is the right to send one request to one target.
+// Package ledger is the owner's side of load bounding. Each pool has an owner, which is one of
+// the routers. The routers that request their tickets from it are its followers. The owner
+// counts the pool's open requests per target, grants tickets within the load bound and queues
+// the requests that have to wait. A ticket is the right to send one request to one target.
 //
 // Routers may have different views of the fleet, and the bound must hold nevertheless. The
 // ledger therefore overestimates the count of each target and underestimates the mean of the
--- a/internal/core/ledger/target.go
+++ b/internal/core/ledger/target.go
@@ -53,6 +53,8 @@
 	resetSuspensionsAfter = 200
 )
 
+// recordFailure counts a failed request and suspends the target after suspendAfterFailures
+// consecutive failures. The target is cold after the suspension.
 func (t *target) recordFailure(now time.Time) {
 	t.consecutiveFailures++
 	if t.consecutiveFailures < suspendAfterFailures || t.suspendedUntil.After(now) {
@@ -65,6 +67,7 @@
 	t.warmedUp = false
 }
 
+// recordSuccess counts a successful request.
 func (t *target) recordSuccess() {
 	t.consecutiveFailures = 0
 	t.successes++
@@ -137,6 +140,7 @@
 	return usable
 }
 
+// leastLoadedTarget returns the usable target with the lowest load estimate below the limit.
 func (l *Ledger) leastLoadedTarget(now time.Time, ticketLimit int, it fairqueue.Item) (uint64, bool) {
 	var best uint64
 	lowest := math.MaxInt
@@ -186,6 +190,8 @@
 	return t.ticketCount()
 }
 
+// isRebuilding reports whether inventories of routers are still missing, for at most RebuildTimeout
+// after the ledger was created.
 func (l *Ledger) isRebuilding(now time.Time) bool {
 	return len(l.followers) < l.settings.FleetSize && now.Sub(l.createdAt) < l.settings.RebuildTimeout
 }
--- a/internal/core/router/core.go
+++ b/internal/core/router/core.go
@@ -21,7 +21,7 @@
 // Settings configures a Core.
 type Settings struct {
 	Self        uint32
-	Incarnation uint64
+	Incarnation uint64   // higher after every start of the router
 	Routers     []uint32 // all listed routers, including Self
 	Seed        uint64
 
--- a/internal/core/router/fleet_test.go
+++ b/internal/core/router/fleet_test.go
@@ -30,7 +30,7 @@
 	changes []resource.Change
 }
 
-func (s *store) since(after uint64) core.StoreReadCompleted {
+func (s *store) readAfter(after uint64) core.StoreReadCompleted {
 	if s.down {
 		return core.StoreReadCompleted{Failed: true}
 	}
@@ -86,7 +86,7 @@
 	f.net.Hooks = fakenet.Hooks{
 		Grant: f.onGrant, Refuse: f.onRefuse, Probe: f.onProbe,
 		ReadStore: func(node int, a core.ReadStore) {
-			f.clock.After(time.Millisecond, func() { f.net.Step(node, f.store.since(a.AfterRevision)) })
+			f.clock.After(time.Millisecond, func() { f.net.Step(node, f.store.readAfter(a.AfterRevision)) })
 		},
 	}
 	f.acceptChange(baseResources(targets))
@@ -293,7 +293,7 @@
 		f.restart(i)
 		f.resume(i)
 	}
-	f.advance(requestTimeout + time.Second) // every waiting request is granted or refused at its deadline
+	f.advance(requestTimeout + time.Second) // grants or refuses every waiting request
 	for len(f.open) > 0 {
 		f.endRequest(0, peerv1.Outcome_OUTCOME_DONE)
 		f.advance(10 * time.Millisecond)
--- a/internal/core/ticket/ticket.go
+++ b/internal/core/ticket/ticket.go
@@ -1,5 +1,7 @@
 // Package ticket is a router's side of load bounding. For one pool it requests tickets from the
-// pool's owner, releases them, and moves to another owner without losing a ticket.
+// pool's owner, releases them, and moves to another owner without losing a ticket. The messages
+// to the owner are called exchanges. An exchange carries new requests and releases, its reply
+// carries grants and refusals.
 package ticket
 
 import (
