--- a/cmd/hemlockdyke-bench/main.go
+++ b/cmd/hemlockdyke-bench/main.go
@@ -114,7 +114,7 @@
 			for _, loss := range []float64{0, 0.05} {
 				for seed := range seeds {
 					experiment.RunSpread(experiment.SpreadSettings{
-						Routers: routers, Changes: 40, Interval: 8 * time.Second, PushTo: controller.PushTo,
+						Routers: routers, Changes: 40, Interval: 8 * time.Second, PushTo: controller.PushFanout,
 						StoreDown: down, Loss: loss, Seed: seed + 1,
 					}).Print(os.Stdout)
 				}
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -246,7 +246,7 @@
 	return string(d.Status.Change.Phase)
 }
 
-func (f *fleet) apply(operation string, r resource.Resource) controller.Accepted {
+func (f *fleet) apply(operation string, r resource.Resource) controller.ApplyResult {
 	accepted, err := f.client.Apply(operation, []resource.Resource{r})
 	Expect(err).NotTo(HaveOccurred())
 	return accepted
--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -41,7 +41,7 @@
 type Server struct {
 	settings Settings
 	control  *router.Control
-	traffic  *router.Traffic
+	traffic  *router.Forwarder
 	claims   *router.Claims
 	observer Observer
 	log      *eventlog.Log
@@ -49,7 +49,7 @@
 }
 
 // New returns a Server.
-func New(s Settings, control *router.Control, traffic *router.Traffic, claims *router.Claims, observer Observer, log *eventlog.Log, now func() time.Time) *Server {
+func New(s Settings, control *router.Control, traffic *router.Forwarder, claims *router.Claims, observer Observer, log *eventlog.Log, now func() time.Time) *Server {
 	return &Server{settings: s, control: control, traffic: traffic, claims: claims, observer: observer, log: log, now: now}
 }
 
@@ -320,8 +320,8 @@
 	}
 	s.log.Line(kind).Str("request", req.ID).Str("route", req.Pool.Name).Uint64("chat", req.Chat).Str("team", req.Team).
 		Int("code", int(result.Code)).Str("name", info.Name).Str("ran", info.Execution.String()).Str("target", result.Target).
-		Int("attempts", result.Attempts).Dur("first", result.FirstPart).Dur("total", result.Total).
-		Dur("budget", req.Deadline.Sub(s.now().Add(-result.Total))).Msg("")
+		Int("attempts", result.Attempts).Dur("first", result.FirstPartLatency).Dur("total", result.TotalDuration).
+		Dur("budget", req.Deadline.Sub(s.now().Add(-result.TotalDuration))).Msg("")
 }
 
 // defaultRetryAfter is told to callers when nothing better is known.
--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -65,7 +65,7 @@
 		resources = append(resources, resourceOf(resource.KindTarget, name, `{"pool":"drafting","address":"`+address(e)+`"}`))
 	}
 	store := configstore.New(r.table, time.Now)
-	_, _, err := store.Accept(context.Background(), "base", resources)
+	_, _, err := store.AcceptChange(context.Background(), "base", resources)
 	Expect(err).NotTo(HaveOccurred())
 	r.start(store)
 	return r
@@ -78,7 +78,7 @@
 	log := eventlog.Nop()
 	control := router.NewControl(core.New(time.Now(), core.DefaultSettings(1, []uint32{1})),
 		noPeers{}, store, target.NewOrders(time.Second), log, time.Now)
-	traffic := router.NewTraffic(control, target.New(target.DefaultSettings()), log, time.Now, 300*time.Millisecond)
+	traffic := router.NewForwarder(control, target.New(target.DefaultSettings()), log, time.Now, 300*time.Millisecond)
 	claims := router.NewClaims(r.table, control, 1, 1, log, time.Now)
 	s := callerhttp.New(callerhttp.Settings{MaxBodyBytes: 4096, DefaultDeadline: 5 * time.Second},
 		control, traffic, claims, observer{}, log, time.Now)
--- a/internal/adapter/callerhttp/claimed.go
+++ b/internal/adapter/callerhttp/claimed.go
@@ -16,7 +16,7 @@
 		s.fail(w, req.ID, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderIdempotencyKey, maxID), 0)
 		return
 	}
-	held, decision := s.claims.Take(r.Context(), req, key)
+	held, decision := s.claims.Acquire(r.Context(), req, key)
 	switch decision.Kind {
 	case claim.Replay:
 		writeAnswer(w, req.ID, decision.Record.Status, decision.Record.ContentType, decision.Record.Body)
@@ -29,6 +29,6 @@
 	// the caller's next try.
 	r = r.WithContext(context.WithoutCancel(r.Context()))
 	answer, result := s.runService(r, req)
-	s.claims.Settle(held, answer, result)
+	s.claims.RecordOutcome(held, answer, result)
 	s.respond(w, req, answer, result)
 }
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -34,7 +34,7 @@
 	m.counter("pool." + pool + ".code." + result.Code.Lookup().Name).Inc(1)
 	m.counter("pool." + pool + ".tickets").Inc(int64(result.Attempts)) // one for each attempt
 	if result.Code == code.OK {
-		m.timer("pool." + pool + ".first_part").Update(result.FirstPart)
+		m.timer("pool." + pool + ".first_part").Update(result.FirstPartLatency)
 	}
 	if result.Attempts > 1 {
 		m.counter("pool." + pool + ".retries").Inc(int64(result.Attempts - 1))
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -39,10 +39,10 @@
 
 // Status says what actually holds.
 type Status struct {
-	ObservedGeneration uint64                `json:"observedGeneration"`
-	InForce            *controller.InForce   `json:"inForce,omitempty"`
-	Change             *plannedchange.Status `json:"change,omitempty"`
-	Conditions         []Condition           `json:"conditions"`
+	ObservedGeneration uint64                    `json:"observedGeneration"`
+	InForce            *controller.RolloutStatus `json:"inForce,omitempty"`
+	Change             *plannedchange.Status     `json:"change,omitempty"`
+	Conditions         []Condition               `json:"conditions"`
 }
 
 // Condition is one aspect of a resource's state.
@@ -117,7 +117,7 @@
 		fail(w, err)
 		return
 	}
-	reply(w, controller.Accepted{Operation: op, InForce: s.controller.InForce(r.Context(), op.Revision)})
+	reply(w, controller.ApplyResult{Operation: op, RolloutStatus: s.controller.RolloutStatus(r.Context(), op.Revision)})
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
@@ -145,10 +145,10 @@
 }
 
 func (s *Server) described(ctx context.Context, res resource.Resource) Described {
-	force := s.controller.InForce(ctx, res.Metadata.ResourceVersion)
+	force := s.controller.RolloutStatus(ctx, res.Metadata.ResourceVersion)
 	out := Described{Resource: res, Status: Status{InForce: &force}}
 	everywhere := Condition{Type: "InForceEverywhere", Status: "True", Reason: "AllRouters"}
-	if force.Routers < force.Listed {
+	if force.Applied < force.Listed {
 		everywhere.Status, everywhere.Reason = "False", "RoutersBehind"
 	} else {
 		out.Status.ObservedGeneration = res.Metadata.Generation
@@ -193,7 +193,7 @@
 	ticker := time.NewTicker(watchEvery)
 	defer ticker.Stop()
 	for {
-		changes, whole, err := s.controller.Store().Since(ctx, after)
+		changes, whole, err := s.controller.Store().ChangesSince(ctx, after)
 		switch {
 		case whole != nil:
 			reply(w, []resource.Change{{Revision: whole.Revision, Resources: whole.Resources}})
@@ -215,7 +215,7 @@
 }
 
 func (s *Server) burn(w http.ResponseWriter, r *http.Request) {
-	report, err := s.controller.Burn(r.Context())
+	report, err := s.controller.BurnReport(r.Context())
 	if err != nil {
 		fail(w, storeError(err))
 		return
--- a/internal/app/configstore/configstore.go
+++ b/internal/app/configstore/configstore.go
@@ -66,9 +66,9 @@
 	return row.Version, errors.Wrapf(json.Unmarshal(row.Value, into), "row %s", key)
 }
 
-// Since returns what a router at revision after is missing: the changes, or the
+// ChangesSince returns what a router at revision after is missing: the changes, or the
 // whole configuration if the changes are no longer kept.
-func (s *Store) Since(ctx context.Context, after uint64) ([]resource.Change, *Configuration, error) {
+func (s *Store) ChangesSince(ctx context.Context, after uint64) ([]resource.Change, *Configuration, error) {
 	h, _, err := s.readHead(ctx)
 	if err != nil || h.Revision <= after {
 		return nil, nil, err
@@ -172,10 +172,10 @@
 
 func storeDown(err error) error { return code.New(code.StoreDown, "table service: %s", err) }
 
-// Accept puts resources into the configuration under an operation name chosen by
+// AcceptChange puts resources into the configuration under an operation name chosen by
 // the operator's client. The same name again returns the first outcome. It
 // returns the operation and, if this call made it, the change.
-func (s *Store) Accept(ctx context.Context, name string, resources []resource.Resource) (resource.Operation, *resource.Change, error) {
+func (s *Store) AcceptChange(ctx context.Context, name string, resources []resource.Resource) (resource.Operation, *resource.Change, error) {
 	if err := checkUnique(resources); err != nil {
 		return resource.Operation{}, nil, err
 	}
--- a/internal/app/configstore/configstore_test.go
+++ b/internal/app/configstore/configstore_test.go
@@ -43,12 +43,12 @@
 var _ = Describe("accepting a change", func() {
 	It("counts revisions, generations and UIDs", func() {
 		s := newStore(faketable.New())
-		op, change, err := s.Accept(ctx, "op-1", one(team("a", 1, 0)))
+		op, change, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(op.Revision).To(Equal(uint64(1)))
 		uid := change.Resources[0].Metadata.UID
 		Expect(uid).NotTo(BeZero())
-		_, change, err = s.Accept(ctx, "op-2", one(team("a", 2, 1)))
+		_, change, err = s.AcceptChange(ctx, "op-2", one(team("a", 2, 1)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(change.Resources[0].Metadata).To(Equal(resource.Metadata{Name: "a", Generation: 2, ResourceVersion: 2, UID: uid}))
 	})
@@ -57,9 +57,9 @@
 	// version, both write. Cause: the second overwrites the first unseen.
 	It("refuses one that is based on an older version", func() {
 		s := newStore(faketable.New())
-		_, _, err := s.Accept(ctx, "op-1", one(team("a", 1, 0)))
+		_, _, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
-		_, _, err = s.Accept(ctx, "op-2", one(team("a", 2, 0)))
+		_, _, err = s.AcceptChange(ctx, "op-2", one(team("a", 2, 0)))
 		Expect(codeOf(err)).To(Equal(code.Conflict))
 	})
 
@@ -68,14 +68,14 @@
 	It("refuses one that a rival overtakes before its write", func() {
 		t := faketable.New()
 		s := newStore(t)
-		_, _, err := s.Accept(ctx, "op-1", one(team("a", 1, 0)))
+		_, _, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
 		t.Between = func() {
 			t.Between = nil
-			_, _, err := s.Accept(ctx, "rival", one(team("a", 7, 1)))
+			_, _, err := s.AcceptChange(ctx, "rival", one(team("a", 7, 1)))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		_, _, err = s.Accept(ctx, "op-2", one(team("a", 2, 1)))
+		_, _, err = s.AcceptChange(ctx, "op-2", one(team("a", 2, 1)))
 		Expect(codeOf(err)).To(Equal(code.Conflict))
 	})
 
@@ -83,16 +83,16 @@
 	// names a target twice. Cause: both become targets, with UIDs of their own.
 	It("refuses one that names a resource twice", func() {
 		s := newStore(faketable.New())
-		_, _, err := s.Accept(ctx, "op", []resource.Resource{team("a", 1, 0), team("a", 2, 0)})
+		_, _, err := s.AcceptChange(ctx, "op", []resource.Resource{team("a", 1, 0), team("a", 2, 0)})
 		Expect(codeOf(err)).To(Equal(code.BadResource))
 	})
 
 	It("makes no second change of a repeated operation", func() {
 		t := faketable.New()
 		s := newStore(t)
-		first, _, err := s.Accept(ctx, "op-1", one(team("a", 1, 0)))
+		first, _, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
-		again, change, err := s.Accept(ctx, "op-1", one(team("a", 1, 0)))
+		again, change, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(change).To(BeNil())
 		Expect(again.Revision).To(Equal(first.Revision))
@@ -102,12 +102,12 @@
 	DescribeTable("refuses what would break references",
 		func(r resource.Resource, want code.Code) {
 			s := newStore(faketable.New())
-			_, _, err := s.Accept(ctx, "base", []resource.Resource{
+			_, _, err := s.AcceptChange(ctx, "base", []resource.Resource{
 				{Kind: resource.KindPool, Metadata: resource.Metadata{Name: "p"}, Spec: []byte(`{"protocol":"model"}`)},
 				{Kind: resource.KindTarget, Metadata: resource.Metadata{Name: "t"}, Spec: []byte(`{"pool":"p","address":"127.0.0.1:1"}`)},
 			})
 			Expect(err).NotTo(HaveOccurred())
-			_, _, err = s.Accept(ctx, "op", one(r))
+			_, _, err = s.AcceptChange(ctx, "op", one(r))
 			Expect(codeOf(err)).To(Equal(want))
 		},
 		Entry("a target of no pool", resource.Resource{Kind: resource.KindTarget, Metadata: resource.Metadata{Name: "u"}, Spec: []byte(`{"pool":"q","address":"127.0.0.1:1"}`)}, code.BadReference),
@@ -137,7 +137,7 @@
 			said := make(map[string]error)
 			for i := range 8 {
 				name := fmt.Sprintf("op-%d", i)
-				_, _, said[name] = s.Accept(ctx, name, one(team(fmt.Sprintf("team-%d", i), 1, 0)))
+				_, _, said[name] = s.AcceptChange(ctx, name, one(team(fmt.Sprintf("team-%d", i), 1, 0)))
 			}
 			faulty = false
 			conf, err := s.Load(ctx)
@@ -168,14 +168,14 @@
 	It("returns the changes after a revision, or everything when they are gone", func() {
 		s := newStore(faketable.New())
 		for i := range 300 {
-			_, _, err := s.Accept(ctx, fmt.Sprint(i), one(team(fmt.Sprintf("team-%d", i), 1, 0)))
+			_, _, err := s.AcceptChange(ctx, fmt.Sprint(i), one(team(fmt.Sprintf("team-%d", i), 1, 0)))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		changes, whole, err := s.Since(ctx, 298)
+		changes, whole, err := s.ChangesSince(ctx, 298)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(whole).To(BeNil())
 		Expect(changes).To(HaveLen(2))
-		_, whole, err = s.Since(ctx, 5)
+		_, whole, err = s.ChangesSince(ctx, 5)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(whole.Revision).To(Equal(uint64(300)))
 		Expect(whole.Resources).To(HaveLen(300))
--- a/internal/app/controller/burn.go
+++ b/internal/app/controller/burn.go
@@ -11,8 +11,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-// Burn collects the counts of every reachable router.
-func (c *Controller) Burn(ctx context.Context) (burn.Report, error) {
+// BurnReport collects the counts of every reachable router.
+func (c *Controller) BurnReport(ctx context.Context) (burn.Report, error) {
 	objectives, err := c.objectives(ctx)
 	if err != nil {
 		return burn.Report{}, err
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -36,16 +36,16 @@
 	return &Controller{store: store, peers: peers, routers: routers, log: log}
 }
 
-// Accepted is the answer to a change.
-type Accepted struct {
-	Operation resource.Operation `json:"operation"`
-	InForce   InForce            `json:"inForce"`
+// ApplyResult is the answer to a change.
+type ApplyResult struct {
+	Operation     resource.Operation `json:"operation"`
+	RolloutStatus RolloutStatus      `json:"inForce"`
 }
 
-// InForce says at which routers a revision is in force.
-type InForce struct {
+// RolloutStatus says at which routers a revision is in force.
+type RolloutStatus struct {
 	Revision uint64   `json:"revision"`
-	Routers  int      `json:"routers"`
+	Applied  int      `json:"routers"`
 	Listed   int      `json:"listed"`
 	Behind   []uint32 `json:"behind"`
 }
@@ -54,28 +54,28 @@
 // answer. What was not reached by then is reached by gossip and polls.
 const pushWait = time.Second
 
-// PushTo is how many routers the accepting controller pushes a change to. They
+// PushFanout is how many routers the accepting controller pushes a change to. They
 // pass it on, so that one VM's traffic doesn't grow with the fleet.
-const PushTo = 12
+const PushFanout = 12
 
 // Apply accepts a change and pushes it to every router. The push comes before
 // the answer: a change that a majority already has survives an outage of the
 // table service, since every router that stays ready hears from a majority.
-func (c *Controller) Apply(ctx context.Context, operation string, resources []resource.Resource) (Accepted, error) {
-	op, change, err := c.store.Accept(ctx, operation, resources)
+func (c *Controller) Apply(ctx context.Context, operation string, resources []resource.Resource) (ApplyResult, error) {
+	op, change, err := c.store.AcceptChange(ctx, operation, resources)
 	if err != nil {
-		return Accepted{Operation: op}, err
+		return ApplyResult{Operation: op}, err
 	}
 	c.log.Line(eventlog.ChangeAccepted).Str("operation", operation).Uint64("version", op.Revision).Msg("")
 	if change == nil {
-		return Accepted{Operation: op, InForce: c.InForce(ctx, op.Revision)}, nil
+		return ApplyResult{Operation: op, RolloutStatus: c.RolloutStatus(ctx, op.Revision)}, nil
 	}
 	push := &peerv1.PushRequest{Protocol: ticket.Protocol, Changes: core.ToWire([]resource.Change{*change})}
-	revisions := c.call(ctx, c.some(PushTo), push, func(m proto.Message) uint64 { return m.(*peerv1.PushResponse).GetRevision() })
-	if len(c.routers) > PushTo {
-		return Accepted{Operation: op, InForce: c.InForce(ctx, op.Revision)}, nil
+	revisions := c.call(ctx, c.some(PushFanout), push, func(m proto.Message) uint64 { return m.(*peerv1.PushResponse).GetRevision() })
+	if len(c.routers) > PushFanout {
+		return ApplyResult{Operation: op, RolloutStatus: c.RolloutStatus(ctx, op.Revision)}, nil
 	}
-	return Accepted{Operation: op, InForce: c.compare(op.Revision, revisions)}, nil
+	return ApplyResult{Operation: op, RolloutStatus: c.compare(op.Revision, revisions)}, nil
 }
 
 // some returns up to n routers, chosen at random.
@@ -87,18 +87,18 @@
 	return out
 }
 
-// InForce asks every router for its revision.
-func (c *Controller) InForce(ctx context.Context, revision uint64) InForce {
+// RolloutStatus asks every router for its revision.
+func (c *Controller) RolloutStatus(ctx context.Context, revision uint64) RolloutStatus {
 	ask := &peerv1.PullRequest{Protocol: ticket.Protocol, AfterRevision: math.MaxUint64}
 	revisions := c.call(ctx, c.routers, ask, func(m proto.Message) uint64 { return m.(*peerv1.PullResponse).GetHead() })
 	return c.compare(revision, revisions)
 }
 
-func (c *Controller) compare(revision uint64, revisions map[uint32]uint64) InForce {
-	out := InForce{Revision: revision, Listed: len(c.routers), Behind: []uint32{}}
+func (c *Controller) compare(revision uint64, revisions map[uint32]uint64) RolloutStatus {
+	out := RolloutStatus{Revision: revision, Listed: len(c.routers), Behind: []uint32{}}
 	for _, id := range c.routers {
 		if have, ok := revisions[id]; ok && have >= revision {
-			out.Routers++
+			out.Applied++
 		} else {
 			out.Behind = append(out.Behind, id)
 		}
--- a/internal/app/controller/matrix_test.go
+++ b/internal/app/controller/matrix_test.go
@@ -186,7 +186,7 @@
 	w.open = max(w.open-1, 0)
 	for i, r := range w.workers {
 		if !w.down[i] {
-			_ = r.Pass(context.Background())
+			_ = r.Reconcile(context.Background())
 		}
 	}
 }
@@ -262,7 +262,7 @@
 	{"racing operator changes the target", func(w *world) {
 		target, err := w.store.Get(context.Background(), resource.Key{Kind: resource.KindTarget, Name: "t"})
 		Expect(err).NotTo(HaveOccurred())
-		_, _, _ = w.store.Accept(context.Background(), "rival", []resource.Resource{target})
+		_, _, _ = w.store.AcceptChange(context.Background(), "rival", []resource.Resource{target})
 	}},
 	{"clock of the first controller steps forward", func(w *world) { w.skew[0] = time.Second }},
 	{"clock of the first controller steps back", func(w *world) { w.skew[0] = -time.Second }},
--- a/internal/app/controller/reconciler.go
+++ b/internal/app/controller/reconciler.go
@@ -22,8 +22,8 @@
 	statusPrefix = "status/plannedchange/"
 )
 
-// TargetOrders observes targets and sends them orders.
-type TargetOrders interface {
+// TargetClient observes targets and sends them orders.
+type TargetClient interface {
 	// Observe returns a target's open requests and state.
 	Observe(ctx context.Context, address string) (open int, state map[string]string, err error)
 	// Order sends an order that expires. The target may refuse an old fencing number.
@@ -35,7 +35,7 @@
 type Reconciler struct {
 	controller *Controller
 	table      port.Table
-	orders     TargetOrders
+	orders     TargetClient
 	self       uint32
 	holder     string
 	duration   time.Duration
@@ -51,16 +51,16 @@
 
 // NewReconciler returns the Reconciler of controller self. holder must be unique to
 // this process.
-func NewReconciler(c *Controller, table port.Table, orders TargetOrders, self uint32, holder string, duration time.Duration, log *eventlog.Log, now func() time.Time) *Reconciler {
+func NewReconciler(c *Controller, table port.Table, orders TargetClient, self uint32, holder string, duration time.Duration, log *eventlog.Log, now func() time.Time) *Reconciler {
 	return &Reconciler{
 		controller: c, table: table, orders: orders, self: self, holder: holder, duration: duration,
 		log: log, now: now, leases: make(map[string]*lease.Lease), looking: make(map[uint64]time.Time), done: make(map[uint64]uint64),
 	}
 }
 
-// Pass looks at every planned change once. It reads the planned changes only, and
+// Reconcile looks at every planned change once. It reads the planned changes only, and
 // of those that are done not even the status again.
-func (r *Reconciler) Pass(ctx context.Context) error {
+func (r *Reconciler) Reconcile(ctx context.Context) error {
 	changes, err := r.controller.store.List(ctx, resource.KindPlannedChange)
 	if err != nil {
 		return err
@@ -153,8 +153,8 @@
 // The wait for silent routers is measured on the local clock from when this
 // process first looked; clocks of different VMs are not compared.
 func (r *Reconciler) inForce(ctx context.Context, target resource.Resource) bool {
-	force := r.controller.InForce(ctx, target.Metadata.ResourceVersion)
-	if force.Routers == force.Listed {
+	force := r.controller.RolloutStatus(ctx, target.Metadata.ResourceVersion)
+	if force.Applied == force.Listed {
 		return true
 	}
 	since, ok := r.looking[target.Metadata.ResourceVersion]
@@ -162,7 +162,7 @@
 		r.looking[target.Metadata.ResourceVersion] = r.now()
 		return false
 	}
-	return force.Routers*2 > force.Listed && r.now().Sub(since) > silentAfter
+	return force.Applied*2 > force.Listed && r.now().Sub(since) > silentAfter
 }
 
 func (r *Reconciler) act(ctx context.Context, action plannedchange.ActionKind, held *lease.Lease, spec resource.PlannedChangeSpec, target resource.Resource, targetSpec resource.TargetSpec, next *plannedchange.Status) error {
--- a/internal/app/router/burn.go
+++ b/internal/app/router/burn.go
@@ -17,9 +17,9 @@
 // maxBurnSeries bounds the number of team and pool pairs of one router.
 const maxBurnSeries = 2000
 
-// Burn measures the service level of a router's requests. It is safe for
+// BurnRecorder measures the service level of a router's requests. It is safe for
 // concurrent use.
-type Burn struct {
+type BurnRecorder struct {
 	mu      sync.Mutex
 	tracker *burn.Tracker
 	control *Control
@@ -28,14 +28,14 @@
 	now     func() time.Time
 }
 
-// NewBurn returns an empty Burn.
-func NewBurn(control *Control, self uint32, log *eventlog.Log, now func() time.Time) *Burn {
-	return &Burn{tracker: burn.NewTracker(now(), maxBurnSeries), control: control, self: self, log: log, now: now}
+// NewBurnRecorder returns an empty Burn.
+func NewBurnRecorder(control *Control, self uint32, log *eventlog.Log, now func() time.Time) *BurnRecorder {
+	return &BurnRecorder{tracker: burn.NewTracker(now(), maxBurnSeries), control: control, self: self, log: log, now: now}
 }
 
 // Observe counts how a request ended. One whose caller left says nothing of the
 // service.
-func (b *Burn) Observe(req Request, result Result) {
+func (b *BurnRecorder) Observe(req Request, result Result) {
 	if result.Code == code.CallerGone {
 		return
 	}
@@ -43,14 +43,14 @@
 	if team, ok := b.control.Table().Team(req.Team); ok {
 		objective = time.Duration(team.Spec.FirstTokenMillis) * time.Millisecond
 	}
-	good := burn.Good(result.Code == code.OK, result.FirstPart, objective)
+	good := burn.Good(result.Code == code.OK, result.FirstPartLatency, objective)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tracker.Observe(b.now(), burn.Key{Pool: req.Pool.Name, Team: req.Team}, good, result.FirstPart)
+	b.tracker.Observe(b.now(), burn.Key{Pool: req.Pool.Name, Team: req.Team}, good, result.FirstPartLatency)
 }
 
 // Handle answers requests for the counts and passes all other messages on.
-func (b *Burn) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
+func (b *BurnRecorder) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
 	if _, ok := m.(*peerv1.BurnRequest); !ok {
 		return b.control.Handle(ctx, m)
 	}
@@ -63,7 +63,7 @@
 	return resp, nil
 }
 
-func (b *Burn) toWire(s burn.Sample) *peerv1.BurnSeries {
+func (b *BurnRecorder) toWire(s burn.Sample) *peerv1.BurnSeries {
 	encoded, err := s.Histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
 		b.log.Line(eventlog.BurnIncomplete).Str("pool", s.Key.Pool).Str("team", s.Key.Team).Err(err).Msg("")
--- a/internal/app/router/claims.go
+++ b/internal/app/router/claims.go
@@ -31,15 +31,15 @@
 	settleFor   = 2 * time.Hour
 )
 
-// Holders tells whether the process that holds a claim may still run.
-type Holders interface {
+// HolderChecker tells whether the process that holds a claim may still run.
+type HolderChecker interface {
 	HolderAlive(router uint32, incarnation uint64) bool
 }
 
 // Claims takes and settles claims. It is safe for concurrent use.
 type Claims struct {
 	table       port.Table
-	holders     Holders
+	holders     HolderChecker
 	batch       *batcher
 	router      uint32
 	incarnation uint64
@@ -48,15 +48,15 @@
 }
 
 // NewClaims returns the Claims of one router.
-func NewClaims(table port.Table, holders Holders, router uint32, incarnation uint64, log *eventlog.Log, now func() time.Time) *Claims {
+func NewClaims(table port.Table, holders HolderChecker, router uint32, incarnation uint64, log *eventlog.Log, now func() time.Time) *Claims {
 	return &Claims{
 		table: table, holders: holders, batch: newBatcher(table),
 		router: router, incarnation: incarnation, log: log, now: now,
 	}
 }
 
-// Held is a claim under which a request may run once.
-type Held struct {
+// HeldClaim is a claim under which a request may run once.
+type HeldClaim struct {
 	key    string
 	record claim.Record
 }
@@ -72,13 +72,13 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// Take tries to claim a key. Its Action is Proceed, Replay or Refuse.
-func (c *Claims) Take(ctx context.Context, req Request, key string) (Held, claim.Action) {
+// Acquire tries to claim a key. Its Action is Proceed, Replay or Refuse.
+func (c *Claims) Acquire(ctx context.Context, req Request, key string) (HeldClaim, claim.Action) {
 	record := claim.Record{
 		ID: uuid.NewString(), Router: c.router, Incarnation: c.incarnation,
 		Fingerprint: fingerprint(req), State: claim.Started, At: c.now().UTC(),
 	}
-	held := Held{key: claimKey(req, key), record: record}
+	held := HeldClaim{key: claimKey(req, key), record: record}
 	m, action := claim.New(record)
 	for {
 		switch action.Kind {
@@ -95,7 +95,7 @@
 	}
 }
 
-func (c *Claims) insert(ctx context.Context, h Held) claim.Result {
+func (c *Claims) insert(ctx context.Context, h HeldClaim) claim.Result {
 	value, err := json.Marshal(h.record)
 	if err != nil {
 		return claim.Unavailable
@@ -137,9 +137,9 @@
 	return record, row.Version, errors.Wrap(err, "decode claim")
 }
 
-// Settle records how a claimed request ended. A request that did not run gives
+// RecordOutcome records how a claimed request ended. A request that did not run gives
 // its claim up, so that the caller may try again with the key.
-func (c *Claims) Settle(h Held, answer target.Answer, result Result) {
+func (c *Claims) RecordOutcome(h HeldClaim, answer target.Answer, result Result) {
 	h.record.State = claim.Unknown
 	if result.Code == code.OK && len(answer.Body) <= maxRecorded {
 		h.record.State = claim.Done
@@ -147,7 +147,7 @@
 		h.record.ContentType = answer.Header.Get("Content-Type")
 		h.record.Body = answer.Body
 	}
-	giveUp := result.Code != code.OK && !result.MayHaveRun
+	giveUp := result.Code != code.OK && !result.PossiblyExecuted
 	ctx, cancel := context.WithTimeout(context.Background(), settleEvery)
 	defer cancel()
 	if err := c.write(ctx, h, giveUp); err != nil {
@@ -156,7 +156,7 @@
 }
 
 // write replaces or deletes the claim's row, only while it is still this claim's.
-func (c *Claims) write(ctx context.Context, h Held, remove bool) error {
+func (c *Claims) write(ctx context.Context, h HeldClaim, remove bool) error {
 	record, version, err := c.read(ctx, h.key)
 	if errors.Is(err, port.ErrNotFound) || (err == nil && (record.ID != h.record.ID || record.State != claim.Started)) {
 		return nil
@@ -176,7 +176,7 @@
 	})
 }
 
-func (c *Claims) settleLater(h Held, remove bool) {
+func (c *Claims) settleLater(h HeldClaim, remove bool) {
 	until := c.now().Add(settleFor)
 	for c.now().Before(until) {
 		time.Sleep(settleEvery)
@@ -192,7 +192,7 @@
 
 // cleanUp makes sure that the row of a refused claim does not stay. The insert is
 // repeated until its outcome is certain: a row that is not there yet may still appear.
-func (c *Claims) cleanUp(h Held) {
+func (c *Claims) cleanUp(h HeldClaim) {
 	until := c.now().Add(settleFor)
 	for c.now().Before(until) {
 		time.Sleep(settleEvery)
--- a/internal/app/router/claims_test.go
+++ b/internal/app/router/claims_test.go
@@ -46,11 +46,11 @@
 		claims := newClaims(tab, 1)
 		kinds := make(chan claim.ActionKind, 10)
 		var tries sync.WaitGroup
-		tries.Go(func() { claims.Take(ctx, request("x"), "blocker") })
+		tries.Go(func() { claims.Acquire(ctx, request("x"), "blocker") })
 		<-entered
 		for range 8 {
 			tries.Go(func() {
-				_, action := claims.Take(ctx, request("x"), "k")
+				_, action := claims.Acquire(ctx, request("x"), "k")
 				kinds <- action.Kind
 			})
 		}
@@ -73,7 +73,7 @@
 		var tries sync.WaitGroup
 		for i := range 100 {
 			tries.Go(func() {
-				_, action := claims.Take(ctx, request("x"), fmt.Sprint(i))
+				_, action := claims.Acquire(ctx, request("x"), fmt.Sprint(i))
 				Expect(action.Kind).To(Equal(claim.Proceed))
 			})
 		}
@@ -101,10 +101,10 @@
 			return faketable.None
 		}
 		claims := newClaims(tab, 1)
-		_, action := claims.Take(ctx, request("x"), "k")
+		_, action := claims.Acquire(ctx, request("x"), "k")
 		Expect(action.Code).To(Equal(code.ClaimStoreDown))
 		Eventually(func() claim.ActionKind {
-			_, action := claims.Take(ctx, request("x"), "k")
+			_, action := claims.Acquire(ctx, request("x"), "k")
 			return action.Kind
 		}, "10s", "50ms").Should(Equal(claim.Proceed))
 	})
@@ -113,9 +113,9 @@
 	// a row may be is recorded.
 	It("do not record an answer that is too large, and say so later", func() {
 		claims := newClaims(faketable.New(), 1)
-		held, _ := claims.Take(ctx, request("x"), "k")
-		claims.Settle(held, target.Answer{Status: 200, Header: http.Header{}, Body: []byte(strings.Repeat("y", 100<<10))}, router.Result{Code: code.OK, MayHaveRun: true})
-		_, action := claims.Take(ctx, request("x"), "k")
+		held, _ := claims.Acquire(ctx, request("x"), "k")
+		claims.RecordOutcome(held, target.Answer{Status: 200, Header: http.Header{}, Body: []byte(strings.Repeat("y", 100<<10))}, router.Result{Code: code.OK, PossiblyExecuted: true})
+		_, action := claims.Acquire(ctx, request("x"), "k")
 		Expect(action.Code).To(Equal(code.OutcomeUnknown))
 	})
 })
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -24,7 +24,7 @@
 
 // ConfigReader reads the configuration from the table service.
 type ConfigReader interface {
-	Since(ctx context.Context, after uint64) (changes []resource.Change, whole *configstore.Configuration, err error)
+	ChangesSince(ctx context.Context, after uint64) (changes []resource.Change, whole *configstore.Configuration, err error)
 }
 
 // Prober asks targets for their own counts of open requests.
@@ -195,7 +195,7 @@
 func (c *Control) read(ctx context.Context, after uint64) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	changes, whole, err := c.config.Since(ctx, after)
+	changes, whole, err := c.config.ChangesSince(ctx, after)
 	ev := core.StoreRead{Err: err != nil, Changes: changes}
 	if whole != nil {
 		ev.Snapshot = &core.Snapshot{Revision: whole.Revision, Resources: whole.Resources}
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -21,8 +21,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// Targets sends attempts.
-type Targets interface {
+// TargetClient sends attempts.
+type TargetClient interface {
 	Run(ctx context.Context, d target.Dispatch, emit func(target.Answer))
 	Suspect()
 }
@@ -48,11 +48,11 @@
 	Code       code.Code
 	RetryAfter time.Duration
 	// Target is the name of the target that answered last.
-	Target     string
-	Attempts   int
-	FirstPart  time.Duration // 0 if nothing was forwarded
-	Total      time.Duration
-	MayHaveRun bool
+	Target           string
+	Attempts         int
+	FirstPartLatency time.Duration // 0 if nothing was forwarded
+	TotalDuration    time.Duration
+	PossiblyExecuted bool
 }
 
 // grantLife is how long a grant may lie between its decision and its use. An older
@@ -68,10 +68,10 @@
 // maxAttempts bounds how many targets one request is tried at.
 const maxAttempts = 4
 
-// Traffic carries requests. It is safe for concurrent use.
-type Traffic struct {
+// Forwarder carries requests. It is safe for concurrent use.
+type Forwarder struct {
 	control *Control
-	targets Targets
+	targets TargetClient
 	log     *eventlog.Log
 	now     func() time.Time
 	silence time.Duration
@@ -79,17 +79,17 @@
 	open    atomic.Int64
 }
 
-// NewTraffic returns a Traffic; silence is how long a target may send nothing.
-func NewTraffic(control *Control, targets Targets, log *eventlog.Log, now func() time.Time, silence time.Duration) *Traffic {
-	return &Traffic{control: control, targets: targets, log: log, now: now, silence: silence}
+// NewForwarder returns a Traffic; silence is how long a target may send nothing.
+func NewForwarder(control *Control, targets TargetClient, log *eventlog.Log, now func() time.Time, silence time.Duration) *Forwarder {
+	return &Forwarder{control: control, targets: targets, log: log, now: now, silence: silence}
 }
 
-// Open returns the number of requests under way.
-func (t *Traffic) Open() int64 { return t.open.Load() }
+// OpenRequests returns the number of requests under way.
+func (t *Forwarder) OpenRequests() int64 { return t.open.Load() }
 
 // run is the state of one request under way.
 type run struct {
-	traffic  *Traffic
+	traffic  *Forwarder
 	req      Request
 	machine  *attempt.Machine
 	id       uint64
@@ -108,7 +108,7 @@
 }
 
 // Do carries a request to its end and calls forward for each part of the answer.
-func (t *Traffic) Do(ctx context.Context, req Request, forward func(target.Answer) error) Result {
+func (t *Forwarder) Do(ctx context.Context, req Request, forward func(target.Answer) error) Result {
 	t.open.Add(1)
 	defer t.open.Add(-1)
 	r := &run{
@@ -124,9 +124,9 @@
 		r.wait(ctx, deadline.C, forward)
 	}
 	r.cancel()
-	r.result.Total = t.now().Sub(r.began)
+	r.result.TotalDuration = t.now().Sub(r.began)
 	r.result.Attempts = r.machine.Attempts()
-	r.result.MayHaveRun = r.machine.MayHaveExecuted()
+	r.result.PossiblyExecuted = r.machine.MayHaveExecuted()
 	return r.result
 }
 
@@ -202,8 +202,8 @@
 	case attempt.Dispatch:
 		r.dispatch(ctx, a)
 	case attempt.Forward:
-		if r.result.FirstPart == 0 {
-			r.result.FirstPart = r.traffic.now().Sub(r.began)
+		if r.result.FirstPartLatency == 0 {
+			r.result.FirstPartLatency = r.traffic.now().Sub(r.began)
 		}
 		err := forward(answer)
 		// The target was not listened to meanwhile: its silence counts from now.
--- a/internal/app/router/traffic_test.go
+++ b/internal/app/router/traffic_test.go
@@ -43,9 +43,9 @@
 func (fakeTargets) Suspect() {}
 
 // newTraffic returns a router that is ready, with one target.
-func newTraffic(targets router.Targets, silence time.Duration) (*router.Traffic, *router.Control) {
+func newTraffic(targets router.TargetClient, silence time.Duration) (*router.Forwarder, *router.Control) {
 	store := configstore.New(faketable.New(), time.Now)
-	_, _, err := store.Accept(ctx, "base", []resource.Resource{
+	_, _, err := store.AcceptChange(ctx, "base", []resource.Resource{
 		{Kind: resource.KindPool, Metadata: resource.Metadata{Name: "p"}, Spec: []byte(`{"protocol":"model"}`)},
 		{Kind: resource.KindTeam, Metadata: resource.Metadata{Name: "dealers"}, Spec: []byte(`{}`)},
 		{Kind: resource.KindTarget, Metadata: resource.Metadata{Name: "t"}, Spec: []byte(`{"pool":"p","address":"127.0.0.1:1"}`)},
@@ -56,7 +56,7 @@
 	DeferCleanup(stop)
 	go control.Run(running)
 	Eventually(func() bool { return control.Ready().Ready }, "5s", "5ms").Should(BeTrue())
-	return router.NewTraffic(control, targets, eventlog.Nop(), time.Now, silence), control
+	return router.NewForwarder(control, targets, eventlog.Nop(), time.Now, silence), control
 }
 
 var _ = Describe("traffic", func() {
--- a/internal/capacity/store.go
+++ b/internal/capacity/store.go
@@ -67,8 +67,8 @@
 		var calls sync.WaitGroup
 		for i := range rate * claimSeconds {
 			calls.Go(func() {
-				held, _ := c.Take(context.Background(), req, fmt.Sprint(i))
-				c.Settle(held, target.Answer{Status: http.StatusOK, Header: http.Header{}}, router.Result{Code: code.OK, MayHaveRun: true})
+				held, _ := c.Acquire(context.Background(), req, fmt.Sprint(i))
+				c.RecordOutcome(held, target.Answer{Status: http.StatusOK, Header: http.Header{}}, router.Result{Code: code.OK, PossiblyExecuted: true})
 			})
 			time.Sleep(time.Second / time.Duration(rate))
 		}
@@ -146,7 +146,7 @@
 	for i := range resources {
 		resources[i].Metadata = resource.Metadata{Name: resources[i].Metadata.Name}
 	}
-	if _, _, err := store.Accept(context.Background(), "base", resources); err != nil {
+	if _, _, err := store.AcceptChange(context.Background(), "base", resources); err != nil {
 		return 0, 0, err
 	}
 	ids := make([]uint32, n)
@@ -163,7 +163,7 @@
 	for range passes {
 		now = now.Add(time.Second)
 		for _, r := range all {
-			if err := r.Pass(context.Background()); err != nil {
+			if err := r.Reconcile(context.Background()); err != nil {
 				return 0, 0, err
 			}
 		}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -204,11 +204,11 @@
 	})
 }
 
-func printAccepted(w io.Writer, accepted controller.Accepted) {
+func printAccepted(w io.Writer, accepted controller.ApplyResult) {
 	fmt.Fprintf(w, "revision %d\tin force at %d of %d routers\n",
-		accepted.Operation.Revision, accepted.InForce.Routers, accepted.InForce.Listed)
-	if len(accepted.InForce.Behind) > 0 {
-		fmt.Fprintf(w, "behind\trouters %v\n", accepted.InForce.Behind)
+		accepted.Operation.Revision, accepted.RolloutStatus.Applied, accepted.RolloutStatus.Listed)
+	if len(accepted.RolloutStatus.Behind) > 0 {
+		fmt.Fprintf(w, "behind\trouters %v\n", accepted.RolloutStatus.Behind)
 	}
 	fmt.Fprintf(w, "operation\t%s\n", accepted.Operation.Name)
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -45,9 +45,9 @@
 		var req operatorhttp.ApplyRequest
 		_ = json.NewDecoder(r.Body).Decode(&req)
 		a.applied = append(a.applied, req)
-		answer(controller.Accepted{
-			Operation: resource.Operation{Name: req.Operation, Revision: 42},
-			InForce:   controller.InForce{Revision: 42, Routers: 2, Listed: 3, Behind: []uint32{3}},
+		answer(controller.ApplyResult{
+			Operation:     resource.Operation{Name: req.Operation, Revision: 42},
+			RolloutStatus: controller.RolloutStatus{Revision: 42, Applied: 2, Listed: 3, Behind: []uint32{3}},
 		})
 	default:
 		fail(404, 1007)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -37,8 +37,8 @@
 
 // Apply sends a change. The operation name makes a repeated send harmless, so
 // the next controller is tried when one does not answer.
-func (c *Client) Apply(operation string, resources []resource.Resource) (controller.Accepted, error) {
-	var out controller.Accepted
+func (c *Client) Apply(operation string, resources []resource.Resource) (controller.ApplyResult, error) {
+	var out controller.ApplyResult
 	body, err := json.Marshal(operatorhttp.ApplyRequest{Operation: operation, Resources: resources})
 	if err != nil {
 		return out, errors.Wrap(err, "encode change")
@@ -62,8 +62,8 @@
 }
 
 // Operation returns the outcome of an earlier change.
-func (c *Client) Operation(name string) (controller.Accepted, error) {
-	var out controller.Accepted
+func (c *Client) Operation(name string) (controller.ApplyResult, error) {
+	var out controller.ApplyResult
 	err := c.call(http.MethodGet, "/v1/operations/"+url.PathEscape(name), nil, &out)
 	return out, err
 }
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -70,15 +70,15 @@
 
 func reconcile(ctx context.Context, r *controller.Reconciler, log *eventlog.Log) {
 	for ctx.Err() == nil {
-		if err := r.Pass(ctx); err != nil && ctx.Err() == nil {
+		if err := r.Reconcile(ctx); err != nil && ctx.Err() == nil {
 			log.Line(eventlog.PlannedChangeFailed).Err(err).Msg("")
 		}
 		sleep(ctx, reconcileEvery)
 	}
 }
 
-// Failed receives an error when the listener breaks.
-func (c *Controller) Failed() <-chan error { return c.failed }
+// Failures receives an error when the listener breaks.
+func (c *Controller) Failures() <-chan error { return c.failed }
 
 // Shutdown finishes open requests, then stops. Leases run out by themselves.
 func (c *Controller) Shutdown(ctx context.Context) {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -21,14 +21,14 @@
 
 // GatewaySettings are the settings of a gateway process.
 type GatewaySettings struct {
-	Callers       string // address for callers
-	Readiness     string // address for the balancer's checks
-	ReadinessPath string
-	Metrics       string // address of the metrics
-	MemoryBytes   int64  // what the process may use; 0 if unknown
-	// Grace is how long after SIGTERM the process is killed.
-	Grace   time.Duration
-	Gateway gateway.Settings
+	CallerAddress    string // address for callers
+	ReadinessAddress string // address for the balancer's checks
+	ReadinessPath    string
+	MetricsAddress   string // address of the metrics
+	MemoryBytes      int64  // what the process may use; 0 if unknown
+	// GracePeriod is how long after SIGTERM the process is killed.
+	GracePeriod time.Duration
+	Gateway     gateway.Settings
 }
 
 const (
@@ -105,7 +105,7 @@
 	go use.run(ctx)
 	go g.receive(ctx)
 	go g.control.Run(ctx)
-	log.Line(eventlog.Started).Str("callers", s.Callers).Str("peers", s.Gateway.Address).Msg("")
+	log.Line(eventlog.Started).Str("callers", s.CallerAddress).Str("peers", s.Gateway.Address).Msg("")
 	return g, nil
 }
 
@@ -139,12 +139,12 @@
 		server  *http.Server
 		wrap    func(net.Listener) net.Listener
 	}{
-		{g.settings.Callers, &http.Server{Handler: front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ConnState: g.callers.Changed},
+		{g.settings.CallerAddress, &http.Server{Handler: front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ConnState: g.callers.Changed},
 			g.callers.Listen},
-		{g.settings.Readiness, &http.Server{Handler: front.Readiness(g.settings.ReadinessPath)}, nil},
+		{g.settings.ReadinessAddress, &http.Server{Handler: front.Readiness(g.settings.ReadinessPath)}, nil},
 		{g.settings.Gateway.Address, &http.Server{Handler: peerMux, Protocols: peer.Protocols()},
 			func(l net.Listener) net.Listener { return peer.Listen(use.served.Listen(l)) }},
-		{g.settings.Metrics, &http.Server{Handler: m.Handler(g.control.Status)}, nil},
+		{g.settings.MetricsAddress, &http.Server{Handler: m.Handler(g.control.Status)}, nil},
 	} {
 		l, err := listen(one.address)
 		if err != nil {
@@ -183,7 +183,7 @@
 	g.log.Line(eventlog.Stopping).Msg("")
 	g.control.Leave(ctx)
 	sleep(ctx, balancerLag)
-	by := began.Add(g.settings.Grace - graceMargin)
+	by := began.Add(g.settings.GracePeriod - graceMargin)
 	graceful, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
 	g.control.FinishBy(by)
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -33,7 +33,7 @@
 	settings settings.Router
 	log      *eventlog.Log
 	control  *router.Control
-	traffic  *router.Traffic
+	traffic  *router.Forwarder
 	requests *metrics.Requests
 	bytes    *metrics.Traffic
 	callers  *http.Server
@@ -58,8 +58,8 @@
 		configstore.New(store, time.Now), target.NewOrders(probeTimeout), log, time.Now,
 	)
 	targets := target.New(target.DefaultSettings())
-	r.traffic = router.NewTraffic(r.control, targets, log, time.Now, s.Limits.StreamSilence.Std())
-	burn := router.NewBurn(r.control, s.ID, log, time.Now)
+	r.traffic = router.NewForwarder(r.control, targets, log, time.Now, s.Limits.StreamSilence.Std())
+	burn := router.NewBurnRecorder(r.control, s.ID, log, time.Now)
 	claims := router.NewClaims(store, r.control, s.ID, incarnation, log, time.Now)
 	caller := callerhttp.New(callerhttp.Settings{
 		MaxBodyBytes: s.Limits.MaxBodyBytes, DefaultDeadline: s.Limits.DefaultDeadline.Std(),
@@ -153,8 +153,8 @@
 	return m
 }
 
-// Failed receives an error when a listener breaks.
-func (r *Router) Failed() <-chan error { return r.failed }
+// Failures receives an error when a listener breaks.
+func (r *Router) Failures() <-chan error { return r.failed }
 
 // Shutdown stops gracefully. The router is unready first and goes on serving for
 // the balancer's lag, since the balancer keeps sending for a while; then open
@@ -168,7 +168,7 @@
 	graceful, cancel := context.WithTimeout(ctx, r.settings.Shutdown.Grace.Std())
 	defer cancel()
 	if err := r.callers.Shutdown(graceful); err != nil {
-		r.log.Line(eventlog.RequestsCut).Int64("open", r.traffic.Open()).Err(err).Msg("")
+		r.log.Line(eventlog.RequestsCut).Int64("open", r.traffic.OpenRequests()).Err(err).Msg("")
 	}
 	_ = r.peers.Shutdown(graceful)
 	_ = r.admin.Shutdown(graceful)
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -11,8 +11,8 @@
 
 // Process is a running daemon.
 type Process interface {
-	// Failed receives an error when a listener breaks.
-	Failed() <-chan error
+	// Failures receives an error when a listener breaks.
+	Failures() <-chan error
 	// Shutdown stops gracefully.
 	Shutdown(ctx context.Context)
 }
@@ -23,7 +23,7 @@
 	defer stop()
 	select {
 	case <-ctx.Done():
-	case err := <-p.Failed():
+	case err := <-p.Failures():
 		log.Line(eventlog.ListenerFailed).Err(err).Msg("")
 	}
 	p.Shutdown(context.Background())
