--- a/internal/app/router/batcher.go
+++ b/internal/app/router/batcher.go
@@ -9,23 +9,24 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/port"
 )
 
-// batcher commits inserts of one router in groups: one transaction is under way
-// at a time and the inserts that come up meanwhile share the next. The table
-// service takes only a few hundred writes a second from the whole fleet.
+// batcher combines the inserts of one router into transactions. It commits one transaction at a
+// time. Inserts that arrive during a commit share the next transaction. The table service accepts
+// only a few hundred writes a second from the whole fleet.
 type batcher struct {
 	table port.Table
 	queue chan pendingInsert
 }
 
+// pendingInsert is an insert whose transaction is not committed yet.
 type pendingInsert struct {
-	write port.Write
-	done  chan error
+	write  port.Write
+	result chan error
 }
 
 const (
-	// maxBatch bounds the inserts of one transaction.
+	// maxBatch is the largest number of inserts in one transaction.
 	maxBatch = 64
-	// batchTimeout bounds one commit.
+	// batchTimeout is the timeout of one commit.
 	batchTimeout = 2 * time.Second
 )
 
@@ -35,22 +36,25 @@
 	return b
 }
 
-// insert writes a row on condition that it does not exist.
+// insert writes a row on the condition that it does not exist yet. If ctx ends before the insert is
+// queued, the error is marked as port.ErrUnavailable. If ctx ends later, the error is marked as
+// port.ErrOutcomeUnknown.
 func (b *batcher) insert(ctx context.Context, w port.Write) error {
-	p := pendingInsert{write: w, done: make(chan error, 1)}
+	p := pendingInsert{write: w, result: make(chan error, 1)}
 	select {
 	case b.queue <- p:
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), port.ErrUnavailable)
 	}
 	select {
-	case err := <-p.done:
+	case err := <-p.result:
 		return err
 	case <-ctx.Done():
 		return errors.Mark(ctx.Err(), port.ErrOutcomeUnknown)
 	}
 }
 
+// run commits the queued inserts in batches. It never returns.
 func (b *batcher) run() {
 	for first := range b.queue {
 		batch := []pendingInsert{first}
@@ -63,26 +67,28 @@
 			}
 			break
 		}
-		b.commit(batch)
+		b.commitBatch(batch)
 	}
 }
 
-// commit writes a batch. A conflict says only that some row exists, so each
-// insert is then tried alone.
-func (b *batcher) commit(batch []pendingInsert) {
-	err := b.commitAll(batch)
+// commitBatch commits a batch and sends each insert its result. After a conflict it commits each
+// insert alone, because the conflict does not show which of the rows exist.
+func (b *batcher) commitBatch(batch []pendingInsert) {
+	err := b.commitTxn(batch)
 	if len(batch) == 1 || !errors.Is(err, port.ErrConflict) {
 		for _, p := range batch {
-			p.done <- err
+			p.result <- err
 		}
 		return
 	}
 	for _, p := range batch {
-		p.done <- b.commitAll([]pendingInsert{p})
+		p.result <- b.commitTxn([]pendingInsert{p})
 	}
 }
 
-func (b *batcher) commitAll(batch []pendingInsert) error {
+// commitTxn commits a batch in one transaction. It returns port.ErrConflict if two inserts have the
+// same key.
+func (b *batcher) commitTxn(batch []pendingInsert) error {
 	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 	defer cancel()
 	var txn port.Txn
--- a/internal/app/router/burn.go
+++ b/internal/app/router/burn.go
@@ -14,11 +14,11 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// maxBurnSeries bounds the number of team and pool pairs of one router.
+// maxBurnSeries is the largest number of team and pool pairs that one router measures.
 const maxBurnSeries = 2000
 
-// BurnRecorder measures the service level of a router's requests. It is safe for
-// concurrent use.
+// BurnRecorder measures the service level of a router's requests and reports it to the controllers.
+// It is safe for concurrent use.
 type BurnRecorder struct {
 	mu      sync.Mutex
 	tracker *burn.Tracker
@@ -28,13 +28,13 @@
 	now     func() time.Time
 }
 
-// NewBurnRecorder returns an empty Burn.
+// NewBurnRecorder returns a BurnRecorder without counts.
 func NewBurnRecorder(control *Control, self uint32, log *eventlog.Log, now func() time.Time) *BurnRecorder {
 	return &BurnRecorder{tracker: burn.NewTracker(now(), maxBurnSeries), control: control, self: self, log: log, now: now}
 }
 
-// Observe counts how a request ended. One whose caller left says nothing of the
-// service.
+// Observe counts the result of a request. It ignores requests whose caller disconnected, as they
+// don't show the service level.
 func (b *BurnRecorder) Observe(req Request, result Result) {
 	if result.Code == code.CallerGone {
 		return
@@ -49,7 +49,7 @@
 	b.tracker.Observe(b.now(), burn.Key{Pool: req.Pool.Name, Team: req.Team}, good, result.FirstPartLatency)
 }
 
-// Handle answers requests for the counts and passes all other messages on.
+// Handle answers a BurnRequest with the counts and passes all other messages to the Control.
 func (b *BurnRecorder) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
 	if _, ok := m.(*peerv1.BurnRequest); !ok {
 		return b.control.Handle(ctx, m)
@@ -58,12 +58,14 @@
 	defer b.mu.Unlock()
 	resp := &peerv1.BurnResponse{Router: b.self}
 	for _, s := range b.tracker.Samples(b.now()) {
-		resp.Series = append(resp.Series, b.toWire(s))
+		resp.Series = append(resp.Series, b.encodeSeries(s))
 	}
 	return resp, nil
 }
 
-func (b *BurnRecorder) toWire(s burn.Sample) *peerv1.BurnSeries {
+// encodeSeries encodes the sample of one team and pool. If its histogram can't be encoded, the
+// series has the counts only.
+func (b *BurnRecorder) encodeSeries(s burn.Sample) *peerv1.BurnSeries {
 	encoded, err := s.Histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
 		b.log.Line(eventlog.BurnIncomplete).Str("pool", s.Key.Pool).Str("team", s.Key.Team).Err(err).Msg("")
--- a/internal/app/router/claims_test.go
+++ b/internal/app/router/claims_test.go
@@ -22,12 +22,12 @@
 
 var ctx = context.Background()
 
-type aliveHolders struct{}
+type alwaysAlive struct{}
 
-func (aliveHolders) HolderAlive(uint32, uint64) bool { return true }
+func (alwaysAlive) HolderAlive(uint32, uint64) bool { return true }
 
-func newClaims(t *faketable.Table, id uint32) *router.Claims {
-	return router.NewClaims(t, aliveHolders{}, id, 1, eventlog.Nop(), time.Now)
+func newClaims(table *faketable.Table, id uint32) *router.Claims {
+	return router.NewClaims(table, alwaysAlive{}, id, 1, eventlog.Nop(), time.Now)
 }
 
 func request(body string) router.Request {
@@ -35,59 +35,59 @@
 }
 
 var _ = Describe("claims of one router", func() {
-	// Symptom: a notice sent twice by one router. Sequence: a caller's two tries arrive
-	// together and their inserts share a transaction. Cause: each row is free when the
-	// transaction's conditions are checked, so both are taken for committed.
-	It("let one of several tries with the same key run, also within one group", func() {
-		tab := faketable.New()
-		entered, first := make(chan struct{}), make(chan struct{})
+	// Guards against a notice that one router sends twice. Two requests with the same key arrive
+	// together, and their inserts share a transaction. The row does not exist when the conditions
+	// of the transaction are checked, so both inserts would count as committed.
+	It("let one of several requests with the same key proceed, also if their inserts share a transaction", func() {
+		table := faketable.New()
+		firstCommitStarted, allowFirstCommit := make(chan struct{}), make(chan struct{})
 		var once sync.Once
-		tab.Between = func() { once.Do(func() { close(entered); <-first }) }
-		claims := newClaims(tab, 1)
+		table.Between = func() { once.Do(func() { close(firstCommitStarted); <-allowFirstCommit }) }
+		claims := newClaims(table, 1)
 		kinds := make(chan claim.ActionKind, 10)
-		var tries sync.WaitGroup
-		tries.Go(func() { claims.Acquire(ctx, request("x"), "blocker") })
-		<-entered
+		var requests sync.WaitGroup
+		requests.Go(func() { claims.Acquire(ctx, request("x"), "blocker") })
+		<-firstCommitStarted
 		for range 8 {
-			tries.Go(func() {
+			requests.Go(func() {
 				_, action := claims.Acquire(ctx, request("x"), "k")
 				kinds <- action.Kind
 			})
 		}
-		time.AfterFunc(50*time.Millisecond, func() { close(first) }) // by then the others wait for the next group
-		tries.Wait()
+		time.AfterFunc(50*time.Millisecond, func() { close(allowFirstCommit) }) // by then the other inserts are queued
+		requests.Wait()
 		close(kinds)
-		running := 0
+		proceeding := 0
 		for kind := range kinds {
 			if kind == claim.Proceed {
-				running++
+				proceeding++
 			}
 		}
-		Expect(running).To(Equal(1))
+		Expect(proceeding).To(Equal(1))
 	})
 
-	It("share transactions", func() {
-		tab := faketable.New()
-		tab.Between = func() { time.Sleep(time.Millisecond) }
-		claims := newClaims(tab, 1)
-		var tries sync.WaitGroup
+	It("insert the rows of concurrent requests in shared transactions", func() {
+		table := faketable.New()
+		table.Between = func() { time.Sleep(time.Millisecond) }
+		claims := newClaims(table, 1)
+		var requests sync.WaitGroup
 		for i := range 100 {
-			tries.Go(func() {
+			requests.Go(func() {
 				_, action := claims.Acquire(ctx, request("x"), fmt.Sprint(i))
 				Expect(action.Kind).To(Equal(claim.Proceed))
 			})
 		}
-		tries.Wait()
-		Expect(tab.Commits).To(BeNumerically("<", 50))
+		requests.Wait()
+		Expect(table.Commits).To(BeNumerically("<", 50))
 	})
 
-	// Symptom: a caller is told for ever that its notice is in progress although it
-	// was refused as not run. Sequence: the insert's reply is lost, then the table goes
-	// down, the claim is refused; its row is there when the table returns.
-	It("that were refused leave no row behind", func() {
-		tab := faketable.New()
+	// Guards against a caller whose retries are refused for ever as in progress, although its
+	// request was refused as not executed. The reply to the insert is lost, the table service goes
+	// down, and the claim is refused. Its row exists when the table service is back.
+	It("leave no row behind if they are refused", func() {
+		table := faketable.New()
 		writes := 0
-		tab.Next = func(write bool) faketable.Fault {
+		table.Next = func(write bool) faketable.Fault {
 			if !write {
 				return faketable.None
 			}
@@ -100,7 +100,7 @@
 			}
 			return faketable.None
 		}
-		claims := newClaims(tab, 1)
+		claims := newClaims(table, 1)
 		_, action := claims.Acquire(ctx, request("x"), "k")
 		Expect(action.Code).To(Equal(code.ClaimStoreDown))
 		Eventually(func() claim.ActionKind {
@@ -109,12 +109,11 @@
 		}, "10s", "50ms").Should(Equal(claim.Proceed))
 	})
 
-	// Symptom: half an answer is replayed as the whole. Sequence: an answer larger than
-	// a row may be is recorded.
-	It("do not record an answer that is too large, and say so later", func() {
+	// Guards against the replay of a truncated answer. The answer is larger than a row may be.
+	It("record the outcome as unknown if the answer is too large", func() {
 		claims := newClaims(faketable.New(), 1)
 		held, _ := claims.Acquire(ctx, request("x"), "k")
-		claims.RecordOutcome(held, target.Answer{Status: 200, Header: http.Header{}, Body: []byte(strings.Repeat("y", 100<<10))}, router.Result{Code: code.OK, PossiblyExecuted: true})
+		claims.RecordOutcome(held, target.Answer{Status: 200, Header: http.Header{}, Body: []byte(strings.Repeat("y", 100<<10))}, router.Result{Code: code.OK, MayHaveExecuted: true})
 		_, action := claims.Acquire(ctx, request("x"), "k")
 		Expect(action.Code).To(Equal(code.OutcomeUnknown))
 	})
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -1,5 +1,5 @@
-// Package router runs the router core: one goroutine owns the control state,
-// the goroutines of requests carry traffic.
+// Package router is the application layer of a router. One goroutine owns the router core and its
+// control state. Each request is forwarded by a goroutine of its own.
 package router
 
 import (
@@ -24,39 +24,45 @@
 
 // ConfigReader reads the configuration from the table service.
 type ConfigReader interface {
+	// ChangesSince returns the changes after a revision, or the whole configuration if these
+	// changes are not stored any more.
 	ChangesSince(ctx context.Context, after uint64) (changes []resource.Change, whole *configstore.Configuration, err error)
 }
 
-// Prober asks targets for their own counts of open requests.
+// Prober reads the status of targets.
 type Prober interface {
+	// Observe returns the number of requests that a target counts as open and the state of the
+	// target.
 	Observe(ctx context.Context, address string) (open int, state map[string]string, err error)
 }
 
-// decision is the core's answer to a request that asked for a target.
+// decision is the core's answer to a ticket request. Either grant or refuse is set.
 type decision struct {
-	at     time.Time
-	grant  *core.Grant
-	refuse *core.Refuse
+	decidedAt time.Time
+	grant     *core.Grant
+	refuse    *core.Refuse
 }
 
-type inbound struct {
+// inboxMessage is a message to the control goroutine: an event for the core or, if event is nil, a
+// query.
+type inboxMessage struct {
 	event core.Event
-	// decided receives the decision for an Arrived event.
-	decided chan decision
-	// responded receives the answer to a CallIn event.
-	responded chan core.Respond
-	// query runs on the control goroutine.
+	// decisionCh receives the decision for an Arrived event.
+	decisionCh chan decision
+	// responseCh receives the response to a CallIn event.
+	responseCh chan core.Respond
+	// query is called on the control goroutine.
 	query func(now time.Time, c *core.Core)
 }
 
-// inboxSize is how many events may wait for the control goroutine. Senders block
-// when it is full: dropping a release would leak a ticket.
-const inboxSize = 1024
+// inboxCapacity is the number of messages that the inbox holds. Senders block while the inbox is
+// full, as a dropped Ended event would leak a ticket.
+const inboxCapacity = 1024
 
-// readTimeout bounds one read of the configuration store.
-const readTimeout = 5 * time.Second
+// configReadTimeout is the timeout of one read of the configuration.
+const configReadTimeout = 5 * time.Second
 
-// Control owns the core. Its methods are safe for concurrent use.
+// Control owns the router core and executes its actions. Its methods are safe for concurrent use.
 type Control struct {
 	core   *core.Core
 	peers  PeerCaller
@@ -65,39 +71,39 @@
 	log    *eventlog.Log
 	now    func() time.Time
 
-	inbox   chan inbound
+	inbox   chan inboxMessage
 	table   atomic.Pointer[routing.Table]
 	ready   atomic.Pointer[core.Ready]
 	stopped chan struct{}
 
-	// Owned by the control goroutine.
-	waiting map[uint64]chan decision
-	calls   map[core.Call]chan core.Respond
-	next    core.Call
-	reading bool
+	// The fields below belong to the control goroutine.
+	pendingDecisions map[uint64]chan decision
+	pendingCalls     map[core.Call]chan core.Respond
+	lastCall         core.Call
+	readInProgress   bool
 }
 
-// NewControl returns a Control that Run has still to start.
+// NewControl returns a Control. It handles nothing until Run is called.
 func NewControl(c *core.Core, peers PeerCaller, config ConfigReader, prober Prober, log *eventlog.Log, now func() time.Time) *Control {
-	ctl := &Control{
+	control := &Control{
 		core: c, peers: peers, config: config, prober: prober, log: log, now: now,
-		inbox:   make(chan inbound, inboxSize),
-		stopped: make(chan struct{}),
-		waiting: make(map[uint64]chan decision),
-		calls:   make(map[core.Call]chan core.Respond),
+		inbox:            make(chan inboxMessage, inboxCapacity),
+		stopped:          make(chan struct{}),
+		pendingDecisions: make(map[uint64]chan decision),
+		pendingCalls:     make(map[core.Call]chan core.Respond),
 	}
-	ctl.table.Store(c.Table())
-	ctl.ready.Store(&core.Ready{Reason: code.NotReady})
-	return ctl
+	control.table.Store(c.Table())
+	control.ready.Store(&core.Ready{Reason: code.NotReady})
+	return control
 }
 
-// Table returns the routing table in force.
+// Table returns the routing table that traffic follows.
 func (c *Control) Table() *routing.Table { return c.table.Load() }
 
-// Ready returns whether the router takes new work, and if not, why.
+// Ready returns whether the router accepts new requests, with the reason if it does not.
 func (c *Control) Ready() core.Ready { return *c.ready.Load() }
 
-// Run owns the core until ctx ends.
+// Run is the control goroutine. It handles messages and ticks until ctx is cancelled.
 func (c *Control) Run(ctx context.Context) {
 	defer close(c.stopped)
 	ticker := time.NewTicker(core.TickInterval)
@@ -107,54 +113,57 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.step(ctx, core.Tick{})
+			c.stepCore(ctx, core.Tick{})
 		case in := <-c.inbox:
-			c.accept(ctx, in)
+			c.handleMessage(ctx, in)
 		}
 	}
 }
 
-func (c *Control) accept(ctx context.Context, in inbound) {
+// handleMessage answers a query or passes an event to the core. For an Arrived or a CallIn event it
+// first stores the channel on which the answer is expected.
+func (c *Control) handleMessage(ctx context.Context, in inboxMessage) {
 	switch ev := in.event.(type) {
 	case nil:
 		in.query(c.now(), c.core)
 		return
 	case core.Arrived:
-		c.waiting[ev.ID] = in.decided
+		c.pendingDecisions[ev.ID] = in.decisionCh
 	case core.CallIn:
-		c.next++
-		ev.Call = c.next
-		c.calls[ev.Call] = in.responded
+		c.lastCall++
+		ev.Call = c.lastCall
+		c.pendingCalls[ev.Call] = in.responseCh
 		in.event = ev
 	case core.Ended:
-		delete(c.waiting, ev.ID)
+		delete(c.pendingDecisions, ev.ID)
 	}
-	c.step(ctx, in.event)
+	c.stepCore(ctx, in.event)
 }
 
-func (c *Control) step(ctx context.Context, ev core.Event) {
+// stepCore passes an event to the core and executes the actions that follow.
+func (c *Control) stepCore(ctx context.Context, ev core.Event) {
 	for _, a := range c.core.Step(c.now(), ev) {
-		c.act(ctx, a)
+		c.executeAction(ctx, a)
 	}
 }
 
-func (c *Control) act(ctx context.Context, a core.Action) {
+func (c *Control) executeAction(ctx context.Context, a core.Action) {
 	switch a := a.(type) {
 	case core.Grant:
-		c.decide(a.ID, decision{grant: &a})
+		c.deliverDecision(a.ID, decision{grant: &a})
 	case core.Refuse:
-		c.decide(a.ID, decision{refuse: &a})
+		c.deliverDecision(a.ID, decision{refuse: &a})
 	case core.Send:
-		go c.send(ctx, a)
+		go c.sendToPeer(ctx, a)
 	case core.Respond:
-		c.calls[a.Call] <- a
-		delete(c.calls, a.Call)
+		c.pendingCalls[a.Call] <- a
+		delete(c.pendingCalls, a.Call)
 	case core.Probe:
-		go c.probe(ctx, a)
+		go c.probeTarget(ctx, a)
 	case core.ReadStore:
-		if !c.reading {
-			c.reading = true
-			go c.read(ctx, a.After)
+		if !c.readInProgress {
+			c.readInProgress = true
+			go c.readConfig(ctx, a.After)
 		}
 	case core.Publish:
 		c.table.Store(a.Table)
@@ -165,35 +174,39 @@
 	}
 }
 
-func (c *Control) decide(id uint64, d decision) {
-	d.at = c.now()
-	if ch, ok := c.waiting[id]; ok {
+// deliverDecision sends a decision to the goroutine of its request, unless the request has ended.
+func (c *Control) deliverDecision(id uint64, d decision) {
+	d.decidedAt = c.now()
+	if ch, ok := c.pendingDecisions[id]; ok {
 		ch <- d
-		delete(c.waiting, id)
+		delete(c.pendingDecisions, id)
 	}
 }
 
-func (c *Control) send(ctx context.Context, a core.Send) {
+// sendToPeer calls another router and passes the reply to the core.
+func (c *Control) sendToPeer(ctx context.Context, a core.Send) {
 	reply, err := c.peers.Call(ctx, a.To, a.Message)
 	if err != nil {
 		reply = nil
 		c.log.Line(eventlog.PeerCallFailed).Uint32("peer", a.To).Err(err).Msg("")
 	}
-	c.post(inbound{event: core.CallOut{To: a.To, Request: a.Message, Reply: reply}})
+	c.enqueue(inboxMessage{event: core.CallOut{To: a.To, Request: a.Message, Reply: reply}})
 }
 
-// probe asks a target for its count. One that can't be reached, or that reports
-// none, says nothing: its ghosts then run out with time.
-func (c *Control) probe(ctx context.Context, a core.Probe) {
+// probeTarget reads the number of a target's open requests and passes it to the core. It passes
+// nothing if the target can't be reached or returns no count. The ledger then keeps the target's
+// ghosts until they expire.
+func (c *Control) probeTarget(ctx context.Context, a core.Probe) {
 	open, _, err := c.prober.Observe(ctx, a.Target.Address)
 	if err != nil {
 		return
 	}
-	c.post(inbound{event: core.Reported{Pool: a.Pool, Target: a.Target.UID, Open: open}})
+	c.enqueue(inboxMessage{event: core.Reported{Pool: a.Pool, Target: a.Target.UID, Open: open}})
 }
 
-func (c *Control) read(ctx context.Context, after uint64) {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+// readConfig reads the configuration changes after a revision and passes them to the core.
+func (c *Control) readConfig(ctx context.Context, after uint64) {
+	ctx, cancel := context.WithTimeout(ctx, configReadTimeout)
 	defer cancel()
 	changes, whole, err := c.config.ChangesSince(ctx, after)
 	ev := core.StoreRead{Err: err != nil, Changes: changes}
@@ -203,11 +216,12 @@
 	if err != nil {
 		c.log.Line(eventlog.StoreReadFailed).Str("table", "configuration").Err(err).Msg("")
 	}
-	c.query(func(now time.Time, _ *core.Core) { c.reading = false })
-	c.post(inbound{event: ev})
+	c.query(func(now time.Time, _ *core.Core) { c.readInProgress = false })
+	c.enqueue(inboxMessage{event: ev})
 }
 
-func (c *Control) post(in inbound) bool {
+// enqueue adds a message to the inbox. It returns false if the control goroutine has stopped.
+func (c *Control) enqueue(in inboxMessage) bool {
 	select {
 	case c.inbox <- in:
 		return true
@@ -216,14 +230,14 @@
 	}
 }
 
-// query runs f on the control goroutine and waits for it.
+// query calls f on the control goroutine and waits until f returns or the control goroutine stops.
 func (c *Control) query(f func(now time.Time, c *core.Core)) {
 	done := make(chan struct{})
-	ok := c.post(inbound{query: func(now time.Time, cc *core.Core) {
-		f(now, cc)
+	enqueued := c.enqueue(inboxMessage{query: func(now time.Time, routerCore *core.Core) {
+		f(now, routerCore)
 		close(done)
 	}})
-	if !ok {
+	if !enqueued {
 		return
 	}
 	select {
@@ -232,13 +246,13 @@
 	}
 }
 
-// Handle answers a peer's message.
+// Handle answers a message of another router or of a controller.
 func (c *Control) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
-	responded := make(chan core.Respond, 1)
-	c.post(inbound{event: core.CallIn{Message: m}, responded: responded})
+	responseCh := make(chan core.Respond, 1)
+	c.enqueue(inboxMessage{event: core.CallIn{Message: m}, responseCh: responseCh})
 	select {
-	case r := <-responded:
-		return r.Message, r.Err
+	case response := <-responseCh:
+		return response.Message, response.Err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-c.stopped:
@@ -246,34 +260,35 @@
 	}
 }
 
-// ask posts an Arrived event and returns the channel of its decision.
-func (c *Control) ask(ev core.Arrived) chan decision {
-	decided := make(chan decision, 1)
-	c.post(inbound{event: ev, decided: decided})
-	return decided
+// requestTicket requests a ticket and returns the channel on which the decision arrives.
+func (c *Control) requestTicket(ev core.Arrived) chan decision {
+	decisionCh := make(chan decision, 1)
+	c.enqueue(inboxMessage{event: ev, decisionCh: decisionCh})
+	return decisionCh
 }
 
-// end gives a request's ticket back.
-func (c *Control) end(ev core.Ended) { c.post(inbound{event: ev}) }
+// releaseTicket releases the ticket of a request, or cancels the ticket request.
+func (c *Control) releaseTicket(ev core.Ended) { c.enqueue(inboxMessage{event: ev}) }
 
-// Leave makes the router unready for good, as the first step of a graceful shutdown.
-func (c *Control) Leave() { c.post(inbound{event: core.Leave{}}) }
+// Leave is the first step of a graceful shutdown. It makes the router unready until the process
+// exits.
+func (c *Control) Leave() { c.enqueue(inboxMessage{event: core.Leave{}}) }
 
-// Status is what a router tells of itself.
+// Status is the state that a router reports about itself.
 type Status struct {
 	Router       uint32            `json:"router"`
 	Revision     uint64            `json:"revision"`
 	Ready        bool              `json:"ready"`
-	Reason       string            `json:"reason,omitempty"`
+	Reason       string            `json:"reason,omitempty"` // name of the result code; empty if ready
 	OpenRequests int               `json:"openRequests"`
-	Revisions    map[uint32]uint64 `json:"revisions"`
+	Revisions    map[uint32]uint64 `json:"revisions"` // last known revision of each listed router
 }
 
-// Status returns the router's state.
+// Status returns the status of the router, whose ID is self.
 func (c *Control) Status(self uint32) Status {
 	var s Status
-	c.query(func(_ time.Time, cc *core.Core) {
-		s = Status{Router: self, Revision: cc.Revision(), OpenRequests: cc.OpenRequests(), Revisions: cc.Revisions()}
+	c.query(func(_ time.Time, routerCore *core.Core) {
+		s = Status{Router: self, Revision: routerCore.Revision(), OpenRequests: routerCore.OpenRequests(), Revisions: routerCore.Revisions()}
 	})
 	ready := c.Ready()
 	s.Ready = ready.Ready
@@ -283,9 +298,10 @@
 	return s
 }
 
-// HolderAlive reports whether the process that holds a claim may still run.
+// HolderAlive reports whether the process that holds a claim may still be running. It returns true
+// if the control goroutine has stopped.
 func (c *Control) HolderAlive(id uint32, incarnation uint64) bool {
 	alive := true
-	c.query(func(now time.Time, cc *core.Core) { alive = cc.IncarnationAlive(now, id, incarnation) })
+	c.query(func(now time.Time, routerCore *core.Core) { alive = routerCore.IncarnationAlive(now, id, incarnation) })
 	return alive
 }
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -21,13 +21,17 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// TargetClient sends attempts.
+// TargetClient sends attempts to targets.
 type TargetClient interface {
+	// Run sends one attempt and calls emit for each event until the attempt ends or ctx is
+	// cancelled.
 	Run(ctx context.Context, d target.Dispatch, emit func(target.Answer))
+	// Suspect closes the idle connections. It is called after a target has been silent, as other
+	// pooled connections may be broken too.
 	Suspect()
 }
 
-// Request is one caller's request.
+// Request is a caller's request.
 type Request struct {
 	ID         string
 	Pool       *routing.Pool
@@ -43,118 +47,124 @@
 	Body       []byte
 }
 
-// Result is how a request ended.
+// Result is the result of a request.
 type Result struct {
 	Code       code.Code
 	RetryAfter time.Duration
-	// Target is the name of the target that answered last.
+	// Target is the name of the target that was granted last.
 	Target           string
 	Attempts         int
-	FirstPartLatency time.Duration // 0 if nothing was forwarded
+	FirstPartLatency time.Duration // from the start of the request; 0 if no part was forwarded
 	TotalDuration    time.Duration
-	PossiblyExecuted bool
+	MayHaveExecuted  bool
 }
 
-// grantLife is how long a grant may lie between its decision and its use. An older
-// one shows that this process was paused: the target may be gone since.
-const grantLife = time.Second
+// maxGrantAge is the longest time between the decision on a grant and its use. An older grant shows
+// that this process has stalled. The target may have exited meanwhile.
+const maxGrantAge = time.Second
 
-// The pauses before retries: full jitter up to the base, doubled each time.
+// The delay before a retry is drawn uniformly from 0 to backoffBase. The upper end doubles with
+// each retry, up to maxBackoff.
 const (
-	backoffBase  = 25 * time.Millisecond
-	backoffLimit = 500 * time.Millisecond
+	backoffBase = 25 * time.Millisecond
+	maxBackoff  = 500 * time.Millisecond
 )
 
-// maxAttempts bounds how many targets one request is tried at.
+// maxAttempts is the largest number of targets at which one request is tried.
 const maxAttempts = 4
 
-// Forwarder carries requests. It is safe for concurrent use.
+// Forwarder forwards requests to targets and their answers to the callers. It is safe for
+// concurrent use.
 type Forwarder struct {
-	control *Control
-	targets TargetClient
-	log     *eventlog.Log
-	now     func() time.Time
-	silence time.Duration
-	nextID  atomic.Uint64
-	open    atomic.Int64
+	control        *Control
+	targets        TargetClient
+	log            *eventlog.Log
+	now            func() time.Time
+	silenceTimeout time.Duration
+	lastID         atomic.Uint64
+	openRequests   atomic.Int64
 }
 
-// NewForwarder returns a Traffic; silence is how long a target may send nothing.
-func NewForwarder(control *Control, targets TargetClient, log *eventlog.Log, now func() time.Time, silence time.Duration) *Forwarder {
-	return &Forwarder{control: control, targets: targets, log: log, now: now, silence: silence}
+// NewForwarder returns a Forwarder. An attempt fails if its target sends nothing for
+// silenceTimeout.
+func NewForwarder(control *Control, targets TargetClient, log *eventlog.Log, now func() time.Time, silenceTimeout time.Duration) *Forwarder {
+	return &Forwarder{control: control, targets: targets, log: log, now: now, silenceTimeout: silenceTimeout}
 }
 
-// OpenRequests returns the number of requests under way.
-func (t *Forwarder) OpenRequests() int64 { return t.open.Load() }
+// OpenRequests returns the number of requests in progress.
+func (f *Forwarder) OpenRequests() int64 { return f.openRequests.Load() }
 
-// run is the state of one request under way.
-type run struct {
-	traffic  *Forwarder
-	req      Request
-	machine  *attempt.Machine
-	id       uint64
-	asked    bool
-	retry    bool
-	pause    <-chan time.Time // ends the pause before the next ask; nil if there is none
-	decided  chan decision
-	answers  chan target.Answer
-	cancel   context.CancelFunc
-	progress *time.Timer
-	began    time.Time
-	askedAt  time.Time // of the present ask
-	sentAt   time.Time // of the present attempt
-	why      string    // the present attempt failed, for the log; empty if it did not
-	result   Result
+// activeRequest is the state of a request in progress.
+type activeRequest struct {
+	forwarder         *Forwarder
+	req               Request
+	machine           *attempt.Machine
+	id                uint64
+	ticketRequested   bool             // a ticket is requested or granted, and not released
+	retry             bool             // the next ticket request is for a retry
+	backoff           <-chan time.Time // fires when a retry may request its ticket; nil if none is pending
+	decisionCh        chan decision
+	answers           chan target.Answer
+	cancel            context.CancelFunc
+	silenceTimer      *time.Timer
+	startedAt         time.Time
+	ticketRequestedAt time.Time // of the current ticket request
+	sentAt            time.Time // of the current attempt
+	failure           string    // of the current attempt, for the log; empty if there is none
+	result            Result
 }
 
-// Do carries a request to its end and calls forward for each part of the answer.
-func (t *Forwarder) Do(ctx context.Context, req Request, forward func(target.Answer) error) Result {
-	t.open.Add(1)
-	defer t.open.Add(-1)
-	r := &run{
-		traffic: t, req: req, began: t.now(), cancel: func() {},
-		machine:  attempt.New(attempt.Spec{Idempotent: req.Idempotent, MaxAttempts: maxAttempts}),
-		progress: time.NewTimer(t.silence),
+// Do forwards a request and calls forward for each part of the answer. It returns when the request
+// has ended, its deadline has passed or ctx is cancelled. An error of forward counts as a
+// disconnected caller.
+func (f *Forwarder) Do(ctx context.Context, req Request, forward func(target.Answer) error) Result {
+	f.openRequests.Add(1)
+	defer f.openRequests.Add(-1)
+	r := &activeRequest{
+		forwarder: f, req: req, startedAt: f.now(), cancel: func() {},
+		machine:      attempt.New(attempt.Spec{Idempotent: req.Idempotent, MaxAttempts: maxAttempts}),
+		silenceTimer: time.NewTimer(f.silenceTimeout),
 	}
-	defer r.progress.Stop()
-	deadline := time.NewTimer(req.Deadline.Sub(r.began))
+	defer r.silenceTimer.Stop()
+	deadline := time.NewTimer(req.Deadline.Sub(r.startedAt))
 	defer deadline.Stop()
-	r.ask()
+	r.requestTicket()
 	for r.machine.State() != attempt.Finished {
-		r.wait(ctx, deadline.C, forward)
+		r.handleNext(ctx, deadline.C, forward)
 	}
 	r.cancel()
-	r.result.TotalDuration = t.now().Sub(r.began)
+	r.result.TotalDuration = f.now().Sub(r.startedAt)
 	r.result.Attempts = r.machine.Attempts()
-	r.result.PossiblyExecuted = r.machine.MayHaveExecuted()
+	r.result.MayHaveExecuted = r.machine.MayHaveExecuted()
 	return r.result
 }
 
-// ask requests a ticket under a new id, so that a late answer to an earlier ask
-// can't be taken for this one's.
-func (r *run) ask() {
-	r.id = r.traffic.nextID.Add(1)
-	r.asked, r.askedAt = true, r.traffic.now()
-	r.decided = r.traffic.control.ask(core.Arrived{
+// requestTicket requests a ticket. Each ticket request has an ID of its own, so a late decision on
+// an earlier one is not mistaken for the decision on this one.
+func (r *activeRequest) requestTicket() {
+	r.id = r.forwarder.lastID.Add(1)
+	r.ticketRequested, r.ticketRequestedAt = true, r.forwarder.now()
+	r.decisionCh = r.forwarder.control.requestTicket(core.Arrived{
 		ID: r.id, Pool: r.req.Pool.Name, Team: r.req.Team, Chat: r.req.Chat, Priority: r.req.Priority,
 		Deadline: r.req.Deadline, Excluded: r.machine.Excluded(), Retry: r.retry,
 	})
 }
 
-func (r *run) wait(ctx context.Context, deadline <-chan time.Time, forward func(target.Answer) error) {
+// handleNext waits for the next event of the request and handles it.
+func (r *activeRequest) handleNext(ctx context.Context, deadline <-chan time.Time, forward func(target.Answer) error) {
 	var event attempt.Event
 	var answer target.Answer
 	select {
-	case d := <-r.decided:
+	case d := <-r.decisionCh:
 		event = r.onDecision(d)
 	case answer = <-r.answers:
 		event = answer.Event
-		r.progress.Reset(r.traffic.silence)
-	case <-r.pause:
-		r.pause = nil
-		r.ask()
-	case <-r.progress.C:
-		r.progress.Reset(r.traffic.silence)
+		r.silenceTimer.Reset(r.forwarder.silenceTimeout)
+	case <-r.backoff:
+		r.backoff = nil
+		r.requestTicket()
+	case <-r.silenceTimer.C:
+		r.silenceTimer.Reset(r.forwarder.silenceTimeout)
 		event = r.onSilence()
 	case <-deadline:
 		event = attempt.DeadlinePassed{}
@@ -162,23 +172,25 @@
 		event = attempt.CallerDisconnected{}
 	}
 	if event != nil {
-		r.why = failureOf(event, r.why)
-		r.act(ctx, r.machine.Step(event), answer, forward)
+		r.failure = failureReason(event, r.failure)
+		r.executeAction(ctx, r.machine.Step(event), answer, forward)
 	}
 }
 
-func (r *run) onDecision(d decision) attempt.Event {
-	r.decided = nil
+// onDecision returns the event that follows from a decision. If the grant is too old, it releases
+// the ticket, requests another one and returns nil.
+func (r *activeRequest) onDecision(d decision) attempt.Event {
+	r.decisionCh = nil
 	if d.refuse != nil {
-		r.asked = false
+		r.ticketRequested = false
 		r.result.RetryAfter = d.refuse.RetryAfter
-		r.note(eventlog.TicketRefused).Int("code", int(d.refuse.Code)).Str("name", d.refuse.Code.Lookup().Name).
-			Dur("wait", d.at.Sub(r.askedAt)).Dur("retry_after", d.refuse.RetryAfter).Msg("")
+		r.logLine(eventlog.TicketRefused).Int("code", int(d.refuse.Code)).Str("name", d.refuse.Code.Lookup().Name).
+			Dur("wait", d.decidedAt.Sub(r.ticketRequestedAt)).Dur("retry_after", d.refuse.RetryAfter).Msg("")
 		return attempt.TicketRefused{Code: d.refuse.Code}
 	}
-	if r.traffic.now().Sub(d.at) > grantLife {
+	if r.forwarder.now().Sub(d.decidedAt) > maxGrantAge {
 		r.endAttempt(attempt.Action{Kind: attempt.RequestTicket})
-		r.ask()
+		r.requestTicket()
 		return nil
 	}
 	r.result.Target = d.grant.Target.Name
@@ -186,57 +198,60 @@
 	return attempt.TicketGranted{Target: d.grant.Target.UID}
 }
 
-// onSilence ends an attempt that has made no progress: its connection may have
-// been forgotten by something in between, and no error would ever come.
-func (r *run) onSilence() attempt.Event {
+// onSilence is called when the target has sent nothing for silenceTimeout. It returns a
+// ConnectionFailed event if an attempt is in progress. A device between router and target may have
+// dropped the connection's state; the connection would then never report an error.
+func (r *activeRequest) onSilence() attempt.Event {
 	if r.machine.State() == attempt.Waiting {
 		return nil
 	}
-	r.traffic.targets.Suspect()
-	r.why = whySilent
+	r.forwarder.targets.Suspect()
+	r.failure = failureSilent
 	return attempt.ConnectionFailed{Attempt: r.machine.Attempts()}
 }
 
-func (r *run) act(ctx context.Context, a attempt.Action, answer target.Answer, forward func(target.Answer) error) {
+// executeAction executes an action of the state machine. answer is the answer whose event led to
+// it.
+func (r *activeRequest) executeAction(ctx context.Context, a attempt.Action, answer target.Answer, forward func(target.Answer) error) {
 	switch a.Kind {
 	case attempt.Dispatch:
 		r.dispatch(ctx, a)
 	case attempt.Forward:
 		if r.result.FirstPartLatency == 0 {
-			r.result.FirstPartLatency = r.traffic.now().Sub(r.began)
+			r.result.FirstPartLatency = r.forwarder.now().Sub(r.startedAt)
 		}
 		err := forward(answer)
-		// The target was not listened to meanwhile: its silence counts from now.
-		r.progress.Reset(r.traffic.silence)
+		// The time in forward doesn't count as silence of the target, as nothing was read from it.
+		r.silenceTimer.Reset(r.forwarder.silenceTimeout)
 		if err != nil {
-			r.act(ctx, r.machine.Step(attempt.CallerDisconnected{}), answer, forward)
+			r.executeAction(ctx, r.machine.Step(attempt.CallerDisconnected{}), answer, forward)
 		}
 	case attempt.RequestTicket:
 		r.endAttempt(a)
 		r.retry = true
-		pause := retry.Backoff(rand.Float64(), r.machine.Attempts()-1, backoffBase, backoffLimit)
-		r.pause = time.After(pause)
+		backoff := retry.Backoff(rand.Float64(), r.machine.Attempts()-1, backoffBase, maxBackoff)
+		r.backoff = time.After(backoff)
 	case attempt.Finish:
 		r.result.Code = a.Code
 		r.endAttempt(a)
 	}
 }
 
-// endAttempt cancels the attempt and gives the ticket back. A canceled attempt
-// closes its connection, so nothing can arrive on it for another request.
-func (r *run) endAttempt(a attempt.Action) {
+// endAttempt cancels the current attempt and releases the ticket. The connection of a cancelled
+// attempt is closed, so no other request can receive a late answer on it.
+func (r *activeRequest) endAttempt(a attempt.Action) {
 	r.cancel()
 	r.cancel = func() {}
 	r.answers = nil
-	if r.why != "" {
-		r.note(eventlog.AttemptFailed).Int("attempt", r.machine.Attempts()).Str("target", r.result.Target).Str("why", r.why).
-			Dur("after", r.traffic.now().Sub(r.sentAt)).Msg("")
-		r.why = ""
+	if r.failure != "" {
+		r.logLine(eventlog.AttemptFailed).Int("attempt", r.machine.Attempts()).Str("target", r.result.Target).Str("why", r.failure).
+			Dur("after", r.forwarder.now().Sub(r.sentAt)).Msg("")
+		r.failure = ""
 	}
-	if !r.asked {
+	if !r.ticketRequested {
 		return
 	}
-	r.asked = false
+	r.ticketRequested = false
 	outcome := peerv1.Outcome_OUTCOME_DONE
 	switch {
 	case a.TargetFailed:
@@ -244,31 +259,33 @@
 	case a.Kind == attempt.RequestTicket, a.Code != code.OK:
 		outcome = peerv1.Outcome_OUTCOME_UNUSED
 	}
-	r.traffic.control.end(core.Ended{ID: r.id, Outcome: outcome})
+	r.forwarder.control.releaseTicket(core.Ended{ID: r.id, Outcome: outcome})
 }
 
-func (r *run) dispatch(ctx context.Context, a attempt.Action) {
+// dispatch sends an attempt to the granted target. If the target has been removed from the pool,
+// the attempt counts as not sent.
+func (r *activeRequest) dispatch(ctx context.Context, a attempt.Action) {
 	i, ok := r.req.Pool.TargetIndex(a.Target)
 	if !ok {
-		r.act(ctx, r.machine.Step(attempt.NotSent{Attempt: a.Attempt}), target.Answer{}, nil)
+		r.executeAction(ctx, r.machine.Step(attempt.NotSent{Attempt: a.Attempt}), target.Answer{}, nil)
 		return
 	}
 	attemptCtx, cancel := context.WithCancel(ctx)
 	r.cancel = cancel
 	answers := make(chan target.Answer)
 	r.answers = answers
-	r.progress.Reset(r.traffic.silence)
-	r.sentAt = r.traffic.now()
-	r.note(eventlog.Placed).Int("attempt", a.Attempt).Str("pool", r.req.Pool.Name).Str("team", r.req.Team).
-		Str("target", r.result.Target).Str("rule", string(placement.RuleTicket)).Dur("wait", r.sentAt.Sub(r.askedAt)).
-		Uint64("version", r.traffic.control.Table().Revision).Msg("")
+	r.silenceTimer.Reset(r.forwarder.silenceTimeout)
+	r.sentAt = r.forwarder.now()
+	r.logLine(eventlog.Placed).Int("attempt", a.Attempt).Str("pool", r.req.Pool.Name).Str("team", r.req.Team).
+		Str("target", r.result.Target).Str("rule", string(placement.RuleTicket)).Dur("wait", r.sentAt.Sub(r.ticketRequestedAt)).
+		Uint64("version", r.forwarder.control.Table().Revision).Msg("")
 	d := target.Dispatch{
 		Address: r.req.Pool.Targets[i].Address, Method: r.req.Method, Path: r.req.Path,
 		Header: r.req.Header, Body: r.req.Body, RequestID: r.req.ID, Attempt: a.Attempt,
 		Offset: a.Offset, Stream: r.req.Stream,
 		FreshConnection: !r.req.Idempotent || a.Attempt > 1,
 	}
-	go r.traffic.targets.Run(attemptCtx, d, func(answer target.Answer) {
+	go r.forwarder.targets.Run(attemptCtx, d, func(answer target.Answer) {
 		select {
 		case answers <- answer:
 		case <-attemptCtx.Done():
@@ -276,31 +293,33 @@
 	})
 }
 
-// The reasons of failed attempts, for the log.
+// The reasons for which an attempt fails, as logged in the field why.
 const (
-	whySilent     = "silent"
-	whyBroken     = "broken"
-	whyNotSent    = "not_sent"
-	whyTurnedAway = "turned_away"
+	failureSilent  = "silent"
+	failureBroken  = "broken"
+	failureNotSent = "not_sent"
+	failureRefused = "turned_away"
 )
 
-// failureOf names the failure that an event tells of; known is a closer reason.
-func failureOf(ev attempt.Event, known string) string {
+// failureReason returns the reason for which an attempt fails with the given event. known is the
+// reason that is known already, or empty. It is more precise than failureBroken and is returned
+// instead. For an event that is no failure, known is returned unchanged.
+func failureReason(ev attempt.Event, known string) string {
 	switch ev.(type) {
 	case attempt.ConnectionFailed:
 		if known != "" {
 			return known
 		}
-		return whyBroken
+		return failureBroken
 	case attempt.NotSent:
-		return whyNotSent
+		return failureNotSent
 	case attempt.TargetRefused:
-		return whyTurnedAway
+		return failureRefused
 	}
 	return known
 }
 
-// note logs a line about the request.
-func (r *run) note(k eventlog.Kind) *zerolog.Event {
-	return r.traffic.log.Line(k).Str("request", r.req.ID).Str("route", r.req.Pool.Name)
+// logLine starts a log line with the ID and the pool of the request.
+func (r *activeRequest) logLine(k eventlog.Kind) *zerolog.Event {
+	return r.forwarder.log.Line(k).Str("request", r.req.ID).Str("route", r.req.Pool.Name)
 }
--- a/internal/app/router/traffic_test.go
+++ b/internal/app/router/traffic_test.go
@@ -19,31 +19,32 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/faketable"
 )
 
-type noPeers struct{}
+// unreachablePeers is a PeerCaller and a Prober whose calls all time out.
+type unreachablePeers struct{}
 
-func (noPeers) Call(context.Context, uint32, proto.Message) (proto.Message, error) {
+func (unreachablePeers) Call(context.Context, uint32, proto.Message) (proto.Message, error) {
 	return nil, context.DeadlineExceeded
 }
 
-func (noPeers) Observe(context.Context, string) (int, map[string]string, error) {
+func (unreachablePeers) Observe(context.Context, string) (int, map[string]string, error) {
 	return 0, nil, context.DeadlineExceeded
 }
 
-// fakeTargets answers every attempt with some parts and an end.
+// fakeTargets is a TargetClient that answers each attempt with a number of parts and an end.
 type fakeTargets struct{ parts int }
 
-func (f fakeTargets) Run(_ context.Context, d target.Dispatch, emit func(target.Answer)) {
+func (t fakeTargets) Run(_ context.Context, d target.Dispatch, emit func(target.Answer)) {
 	emit(target.Answer{Event: attempt.WriteStarted{Attempt: d.Attempt}})
-	for i := d.Offset; i < f.parts; i++ {
+	for i := d.Offset; i < t.parts; i++ {
 		emit(target.Answer{Event: attempt.Part{Attempt: d.Attempt, Echo: d.Attempt, Offset: i}})
 	}
-	emit(target.Answer{Event: attempt.End{Attempt: d.Attempt, Echo: d.Attempt, Total: f.parts}})
+	emit(target.Answer{Event: attempt.End{Attempt: d.Attempt, Echo: d.Attempt, Total: t.parts}})
 }
 
 func (fakeTargets) Suspect() {}
 
-// newTraffic returns a router that is ready, with one target.
-func newTraffic(targets router.TargetClient, silence time.Duration) (*router.Forwarder, *router.Control) {
+// newForwarder returns the Forwarder and the Control of a ready router with one target.
+func newForwarder(targets router.TargetClient, silenceTimeout time.Duration) (*router.Forwarder, *router.Control) {
 	store := configstore.New(faketable.New(), time.Now)
 	_, _, err := store.AcceptChange(ctx, "base", []resource.Resource{
 		{Kind: resource.KindPool, Metadata: resource.Metadata{Name: "p"}, Spec: []byte(`{"protocol":"model"}`)},
@@ -51,27 +52,27 @@
 		{Kind: resource.KindTarget, Metadata: resource.Metadata{Name: "t"}, Spec: []byte(`{"pool":"p","address":"127.0.0.1:1"}`)},
 	})
 	Expect(err).NotTo(HaveOccurred())
-	control := router.NewControl(core.New(time.Now(), core.DefaultSettings(1, []uint32{1})), noPeers{}, store, noPeers{}, eventlog.Nop(), time.Now)
-	running, stop := context.WithCancel(ctx)
+	control := router.NewControl(core.New(time.Now(), core.DefaultSettings(1, []uint32{1})), unreachablePeers{}, store, unreachablePeers{}, eventlog.Nop(), time.Now)
+	runCtx, stop := context.WithCancel(ctx)
 	DeferCleanup(stop)
-	go control.Run(running)
+	go control.Run(runCtx)
 	Eventually(func() bool { return control.Ready().Ready }, "5s", "5ms").Should(BeTrue())
-	return router.NewForwarder(control, targets, eventlog.Nop(), time.Now, silence), control
+	return router.NewForwarder(control, targets, eventlog.Nop(), time.Now, silenceTimeout), control
 }
 
-var _ = Describe("traffic", func() {
-	// Symptom: a target is asked again for an answer that it is giving. Sequence: the
-	// caller reads slowly, a part waits to be forwarded for longer than a target may be
-	// silent. Cause: the time in which nobody listens to the target counts as silence.
-	It("does not take a slow caller for a silent target", func() {
-		const silence = 40 * time.Millisecond
-		traffic, control := newTraffic(fakeTargets{parts: 8}, silence)
+var _ = Describe("forwarding a request", func() {
+	// Guards against the retry of a request whose target is answering. The caller reads slowly, so
+	// forwarding one part takes longer than the silence timeout. That time would count as silence
+	// of the target, although nothing is read from it meanwhile.
+	It("does not treat a slow caller as a silent target", func() {
+		const silenceTimeout = 40 * time.Millisecond
+		forwarder, control := newForwarder(fakeTargets{parts: 8}, silenceTimeout)
 		pool, _ := control.Table().Pool("p")
 		req := router.Request{ID: "r", Pool: pool, Team: "dealers", Chat: 1, Idempotent: true, Stream: true, Deadline: time.Now().Add(10 * time.Second)}
 		parts := 0
-		result := traffic.Do(ctx, req, func(target.Answer) error {
+		result := forwarder.Do(ctx, req, func(target.Answer) error {
 			parts++
-			time.Sleep(silence + silence/2)
+			time.Sleep(silenceTimeout + silenceTimeout/2)
 			return nil
 		})
 		Expect(result.Code).To(Equal(code.OK))
--- a/internal/capacity/store.go
+++ b/internal/capacity/store.go
@@ -68,7 +68,7 @@
 		for i := range rate * claimSeconds {
 			calls.Go(func() {
 				held, _ := c.Acquire(context.Background(), req, fmt.Sprint(i))
-				c.RecordOutcome(held, target.Answer{Status: http.StatusOK, Header: http.Header{}}, router.Result{Code: code.OK, PossiblyExecuted: true})
+				c.RecordOutcome(held, target.Answer{Status: http.StatusOK, Header: http.Header{}}, router.Result{Code: code.OK, MayHaveExecuted: true})
 			})
 			time.Sleep(time.Second / time.Duration(rate))
 		}
