--- a/internal/app/controller/burn.go
+++ b/internal/app/controller/burn.go
@@ -11,29 +11,31 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-// BurnReport collects the counts of every reachable router.
+// BurnReport sums up the service level counts of all routers that answer. Routers that don't answer
+// are missing from the sums, but count as listed.
 func (c *Controller) BurnReport(ctx context.Context) (burn.Report, error) {
-	objectives, err := c.objectives(ctx)
+	objectives, err := c.teamObjectives(ctx)
 	if err != nil {
 		return burn.Report{}, err
 	}
 	report := burn.Report{Listed: len(c.routers)}
 	sum := burn.NewSum()
-	for _, reply := range c.replies(ctx, c.routers, &peerv1.BurnRequest{Protocol: ticket.Protocol}) {
+	for _, reply := range c.callAll(ctx, c.routers, &peerv1.BurnRequest{Protocol: ticket.Protocol}) {
 		resp, ok := reply.(*peerv1.BurnResponse)
 		if !ok {
 			continue
 		}
 		report.Routers++
 		for _, s := range resp.GetSeries() {
-			sum.Add(sampleOf(s))
+			sum.Add(decodeSample(s))
 		}
 	}
 	report.Lines = sum.Rows(func(team string) float64 { return objectives[team] })
 	return report, nil
 }
 
-func (c *Controller) objectives(ctx context.Context) (map[string]float64, error) {
+// teamObjectives returns the objective of each team in percent, by the team's name.
+func (c *Controller) teamObjectives(ctx context.Context) (map[string]float64, error) {
 	teams, err := c.store.List(ctx, resource.KindTeam)
 	if err != nil {
 		return nil, err
@@ -48,9 +50,9 @@
 	return out, nil
 }
 
-// sampleOf decodes one router's series. A histogram that does not decode is left out;
-// its counts still hold.
-func sampleOf(s *peerv1.BurnSeries) burn.Sample {
+// decodeSample decodes one router's series. If the histogram can't be decoded, the sample has the
+// counts only.
+func decodeSample(s *peerv1.BurnSeries) burn.Sample {
 	out := burn.Sample{Key: burn.Key{Pool: s.GetPool(), Team: s.GetTeam()}}
 	for i := range min(len(s.GetGood()), len(s.GetBad())) {
 		out.Counts = append(out.Counts, burn.Count{Good: s.GetGood()[i], Bad: s.GetBad()[i]})
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -1,4 +1,5 @@
-// Package controller accepts operators' changes and carries out planned changes.
+// Package controller accepts the configuration changes of operators and carries out planned changes
+// to targets.
 package controller
 
 import (
@@ -23,7 +24,7 @@
 	Call(ctx context.Context, to uint32, m proto.Message) (proto.Message, error)
 }
 
-// Controller serves operators. It is safe for concurrent use.
+// Controller serves the requests of operators. It is safe for concurrent use.
 type Controller struct {
 	store   *configstore.Store
 	peers   PeerCaller
@@ -36,31 +37,33 @@
 	return &Controller{store: store, peers: peers, routers: routers, log: log}
 }
 
-// ApplyResult is the answer to a change.
+// ApplyResult is the answer to a configuration change.
 type ApplyResult struct {
 	Operation     resource.Operation `json:"operation"`
 	RolloutStatus RolloutStatus      `json:"inForce"`
 }
 
-// RolloutStatus says at which routers a revision is in force.
+// RolloutStatus is the status of a revision's rollout to the routers.
 type RolloutStatus struct {
 	Revision uint64   `json:"revision"`
-	Applied  int      `json:"routers"`
-	Listed   int      `json:"listed"`
-	Behind   []uint32 `json:"behind"`
+	Applied  int      `json:"routers"` // number of routers that have applied the revision
+	Listed   int      `json:"listed"`  // number of all listed routers
+	Behind   []uint32 `json:"behind"`  // routers that did not answer or have an older revision
 }
 
-// pushWait is how long an accepted change is pushed before the operator gets the
-// answer. What was not reached by then is reached by gossip and polls.
-const pushWait = time.Second
+// callTimeout is the time for which a call to several routers waits for replies. The operator gets
+// an answer after this time at the latest. Routers that a push has not reached by then get the
+// change by gossip or by polling the store.
+const callTimeout = time.Second
 
-// PushFanout is how many routers the accepting controller pushes a change to. They
-// pass it on, so that one VM's traffic doesn't grow with the fleet.
+// PushFanout is the largest number of routers to which a controller pushes a change. These routers
+// pass the change on, so the traffic of the controller's VM doesn't grow with the fleet.
 const PushFanout = 12
 
-// Apply accepts a change and pushes it to every router. The push comes before
-// the answer: a change that a majority already has survives an outage of the
-// table service, since every router that stays ready hears from a majority.
+// Apply accepts a change and pushes it to up to PushFanout routers. operation is the name under
+// which the change is accepted. The push is done before Apply returns: a change that a majority of
+// the routers has survives a store outage, because every router that stays ready hears from a
+// majority.
 func (c *Controller) Apply(ctx context.Context, operation string, resources []resource.Resource) (ApplyResult, error) {
 	op, change, err := c.store.AcceptChange(ctx, operation, resources)
 	if err != nil {
@@ -71,15 +74,15 @@
 		return ApplyResult{Operation: op, RolloutStatus: c.RolloutStatus(ctx, op.Revision)}, nil
 	}
 	push := &peerv1.PushRequest{Protocol: ticket.Protocol, Changes: core.ToWire([]resource.Change{*change})}
-	revisions := c.call(ctx, c.some(PushFanout), push, func(m proto.Message) uint64 { return m.(*peerv1.PushResponse).GetRevision() })
+	revisions := c.callRevisions(ctx, c.randomRouters(PushFanout), push, func(m proto.Message) uint64 { return m.(*peerv1.PushResponse).GetRevision() })
 	if len(c.routers) > PushFanout {
 		return ApplyResult{Operation: op, RolloutStatus: c.RolloutStatus(ctx, op.Revision)}, nil
 	}
-	return ApplyResult{Operation: op, RolloutStatus: c.compare(op.Revision, revisions)}, nil
+	return ApplyResult{Operation: op, RolloutStatus: c.compareRevisions(op.Revision, revisions)}, nil
 }
 
-// some returns up to n routers, chosen at random.
-func (c *Controller) some(n int) []uint32 {
+// randomRouters returns up to n routers, chosen at random.
+func (c *Controller) randomRouters(n int) []uint32 {
 	out := make([]uint32, 0, n)
 	for _, i := range rand.Perm(len(c.routers))[:min(n, len(c.routers))] {
 		out = append(out, c.routers[i])
@@ -87,17 +90,18 @@
 	return out
 }
 
-// RolloutStatus asks every router for its revision.
+// RolloutStatus asks all routers for their revisions and compares these with the given one.
 func (c *Controller) RolloutStatus(ctx context.Context, revision uint64) RolloutStatus {
-	ask := &peerv1.PullRequest{Protocol: ticket.Protocol, AfterRevision: math.MaxUint64}
-	revisions := c.call(ctx, c.routers, ask, func(m proto.Message) uint64 { return m.(*peerv1.PullResponse).GetHead() })
-	return c.compare(revision, revisions)
+	// With the largest AfterRevision, a router returns its revision but no changes.
+	pull := &peerv1.PullRequest{Protocol: ticket.Protocol, AfterRevision: math.MaxUint64}
+	revisions := c.callRevisions(ctx, c.routers, pull, func(m proto.Message) uint64 { return m.(*peerv1.PullResponse).GetHead() })
+	return c.compareRevisions(revision, revisions)
 }
 
-func (c *Controller) compare(revision uint64, revisions map[uint32]uint64) RolloutStatus {
+func (c *Controller) compareRevisions(revision uint64, revisions map[uint32]uint64) RolloutStatus {
 	out := RolloutStatus{Revision: revision, Listed: len(c.routers), Behind: []uint32{}}
 	for _, id := range c.routers {
-		if have, ok := revisions[id]; ok && have >= revision {
+		if applied, ok := revisions[id]; ok && applied >= revision {
 			out.Applied++
 		} else {
 			out.Behind = append(out.Behind, id)
@@ -106,24 +110,25 @@
 	return out
 }
 
-// call calls routers and returns the revisions of those that answered in time.
-func (c *Controller) call(ctx context.Context, routers []uint32, m proto.Message, revision func(proto.Message) uint64) map[uint32]uint64 {
+// callRevisions calls routers and returns the revisions in the replies, by router.
+func (c *Controller) callRevisions(ctx context.Context, routers []uint32, m proto.Message, revisionOf func(proto.Message) uint64) map[uint32]uint64 {
 	out := make(map[uint32]uint64)
-	for id, reply := range c.replies(ctx, routers, m) {
-		out[id] = revision(reply)
+	for id, reply := range c.callAll(ctx, routers, m) {
+		out[id] = revisionOf(reply)
 	}
 	return out
 }
 
-// replies calls routers and returns the replies that came in time.
-func (c *Controller) replies(ctx context.Context, routers []uint32, m proto.Message) map[uint32]proto.Message {
-	ctx, cancel := context.WithTimeout(ctx, pushWait)
+// callAll calls routers concurrently and returns the replies that arrive within callTimeout, by
+// router.
+func (c *Controller) callAll(ctx context.Context, routers []uint32, m proto.Message) map[uint32]proto.Message {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	var wg sync.WaitGroup
+	var calls sync.WaitGroup
 	out := make(map[uint32]proto.Message)
 	for _, id := range routers {
-		wg.Go(func() {
+		calls.Go(func() {
 			reply, err := c.peers.Call(ctx, id, m)
 			if err != nil {
 				c.log.Line(eventlog.PeerCallFailed).Uint32("peer", id).Err(err).Msg("")
@@ -134,7 +139,7 @@
 			out[id] = reply
 		})
 	}
-	wg.Wait()
+	calls.Wait()
 	return out
 }
 
--- a/internal/app/controller/matrix_test.go
+++ b/internal/app/controller/matrix_test.go
@@ -20,235 +20,242 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/faketable"
 )
 
-const leaseTime = 3 * time.Second
+const leaseDuration = 3 * time.Second
 
-// world is a fleet of two controllers before fake routers, one target and a table.
-type world struct {
-	now     time.Time
-	skew    []time.Duration // of each controller's clock
-	table   *faketable.Table
-	store   *configstore.Store
-	workers []*controller.Reconciler
-	down    []bool
+// fakeFleet is a fleet of two controllers with fake routers, one fake target and a fake table
+// service. A drain of the target is the only planned change.
+type fakeFleet struct {
+	now         time.Time
+	clockSkew   []time.Duration // of each controller's clock
+	table       *faketable.Table
+	store       *configstore.Store
+	reconcilers []*controller.Reconciler
+	stopped     []bool // by controller
 
-	mu       sync.Mutex        // guards routers: they are called at the same time
-	routers  map[uint32]uint64 // revision in force
-	unheard  map[uint32]bool   // routers that can't be reached
-	cutSince map[uint32]time.Time
-	open     int
-	fencing  bool
-	lastOld  uint64
-	orders   []order
-	refused  int
-	state    map[string]string
-	silent   bool
-	loseNext bool
-	stall    func() // runs while the next order is on its way
+	mu               sync.Mutex        // guards appliedRevisions, as calls are concurrent
+	appliedRevisions map[uint32]uint64 // by router
+	unreachable      map[uint32]bool   // by router
+	unreachableSince map[uint32]time.Time
+	openRequests     int    // at the target
+	checksFencing    bool   // the target checks fencing numbers
+	highestFencing   uint64 // highest fencing number of an order that the target accepted
+	orders           []order
+	refusedOrders    int
+	targetState      map[string]string
+	targetSilent     bool
+	loseNextReply    bool
+	duringOrder      func() // called once, before the next order arrives
 
-	stallObserve func() // runs while an idle target is looked at
-	broken       string
+	duringObserve func() // called once, before the next status of an idle target is returned
+	violation     string // violated rule; empty if there is none
 }
 
+// order is an order that the target accepted.
 type order struct {
 	fencing uint64
 	action  string
 	at      time.Time
 }
 
-var errSilent = errors.New("no answer")
+var errNoReply = errors.New("no reply")
 
-// Call plays the routers.
-func (w *world) Call(_ context.Context, to uint32, m proto.Message) (proto.Message, error) {
-	if w.unheard[to] {
-		return nil, errSilent
+// Call implements controller.PeerCaller. It answers for the fake routers.
+func (f *fakeFleet) Call(_ context.Context, to uint32, m proto.Message) (proto.Message, error) {
+	if f.unreachable[to] {
+		return nil, errNoReply
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	switch m := m.(type) {
 	case *peerv1.PushRequest:
 		for _, ch := range m.GetChanges() {
-			w.routers[to] = max(w.routers[to], ch.GetRevision())
+			f.appliedRevisions[to] = max(f.appliedRevisions[to], ch.GetRevision())
 		}
-		return &peerv1.PushResponse{Router: to, Revision: w.routers[to]}, nil
+		return &peerv1.PushResponse{Router: to, Revision: f.appliedRevisions[to]}, nil
 	case *peerv1.PullRequest:
-		return &peerv1.PullResponse{Head: w.routers[to]}, nil
+		return &peerv1.PullResponse{Head: f.appliedRevisions[to]}, nil
 	}
-	return nil, errSilent
+	return nil, errNoReply
 }
 
-// Observe and Order play the target.
-func (w *world) Observe(context.Context, string) (int, map[string]string, error) {
-	if w.silent {
-		return 0, nil, errSilent
+// Observe implements controller.TargetClient. It answers for the fake target.
+func (f *fakeFleet) Observe(context.Context, string) (int, map[string]string, error) {
+	if f.targetSilent {
+		return 0, nil, errNoReply
 	}
-	open, state := w.open, w.state
-	if stall := w.stallObserve; stall != nil && open == 0 {
-		w.stallObserve = nil
+	open, state := f.openRequests, f.targetState
+	if stall := f.duringObserve; stall != nil && open == 0 {
+		f.duringObserve = nil
 		stall()
 	}
 	return open, state, nil
 }
 
-func (w *world) Order(_ context.Context, _ string, fencing uint64, action, argument string, expires time.Time) error {
-	if w.silent {
-		return errSilent
+// Order implements controller.TargetClient. It accepts an order for the fake target and records a
+// violation if the target must not be ordered to exit yet.
+func (f *fakeFleet) Order(_ context.Context, _ string, fencing uint64, action, argument string, expires time.Time) error {
+	if f.targetSilent {
+		return errNoReply
 	}
-	if w.stall != nil {
-		stall := w.stall
-		w.stall = nil
+	if f.duringOrder != nil {
+		stall := f.duringOrder
+		f.duringOrder = nil
 		stall()
 	}
-	if w.fencing && (w.now.After(expires) || fencing < w.lastOld) {
-		w.refused++
+	if f.checksFencing && (f.now.After(expires) || fencing < f.highestFencing) {
+		f.refusedOrders++
 		return errors.New("refused")
 	}
-	if action == "drain" && w.open > 0 {
-		w.broken = "a target with open requests was ordered to go"
+	if action == "drain" && f.openRequests > 0 {
+		f.violation = "a target with open requests was ordered to exit"
 	}
-	if w.uninformed() {
-		w.broken = "a target was ordered to go while a router may still send it work"
+	if f.hasUninformedRouter() {
+		f.violation = "a target was ordered to exit while a router may still send it requests"
 	}
-	w.lastOld = max(w.lastOld, fencing)
-	w.orders = append(w.orders, order{fencing, action, w.now})
-	w.state = map[string]string{action: argument}
-	if w.loseNext {
-		w.loseNext = false
-		return errSilent
+	f.highestFencing = max(f.highestFencing, fencing)
+	f.orders = append(f.orders, order{fencing, action, f.now})
+	f.targetState = map[string]string{action: argument}
+	if f.loseNextReply {
+		f.loseNextReply = false
+		return errNoReply
 	}
 	return nil
 }
 
-// uninformed reports whether a router that has not been silent for long lacks the
-// target's mark.
-func (w *world) uninformed() bool {
-	target, err := w.store.Get(context.Background(), resource.Key{Kind: resource.KindTarget, Name: "t"})
+// hasUninformedRouter reports whether a router that has been unreachable for less than 10 seconds,
+// or not at all, has not applied the current version of the target.
+func (f *fakeFleet) hasUninformedRouter() bool {
+	target, err := f.store.Get(context.Background(), resource.Key{Kind: resource.KindTarget, Name: "t"})
 	if err != nil {
 		return false
 	}
-	for id, revision := range w.routers {
-		since, cut := w.cutSince[id]
-		if revision < target.Metadata.ResourceVersion && (!cut || w.now.Sub(since) < 10*time.Second) {
+	for id, revision := range f.appliedRevisions {
+		since, silent := f.unreachableSince[id]
+		if revision < target.Metadata.ResourceVersion && (!silent || f.now.Sub(since) < 10*time.Second) {
 			return true
 		}
 	}
 	return false
 }
 
-// cut makes routers unreachable.
-func (w *world) cut(ids ...uint32) {
+// disconnect makes routers unreachable.
+func (f *fakeFleet) disconnect(ids ...uint32) {
 	for _, id := range ids {
-		w.unheard[id] = true
-		w.cutSince[id] = w.now
+		f.unreachable[id] = true
+		f.unreachableSince[id] = f.now
 	}
 }
 
-func newWorld(fencing bool) *world {
-	w := &world{
-		now: time.Unix(100_000, 0), skew: make([]time.Duration, 2), down: make([]bool, 2), table: faketable.New(),
-		routers: map[uint32]uint64{1: 0, 2: 0, 3: 0}, unheard: make(map[uint32]bool), cutSince: make(map[uint32]time.Time), open: 2, fencing: fencing,
-		state: map[string]string{},
+func newFakeFleet(checksFencing bool) *fakeFleet {
+	f := &fakeFleet{
+		now: time.Unix(100_000, 0), clockSkew: make([]time.Duration, 2), stopped: make([]bool, 2), table: faketable.New(),
+		appliedRevisions: map[uint32]uint64{1: 0, 2: 0, 3: 0}, unreachable: make(map[uint32]bool), unreachableSince: make(map[uint32]time.Time), openRequests: 2, checksFencing: checksFencing,
+		targetState: map[string]string{},
 	}
-	w.store = configstore.New(w.table, func() time.Time { return w.now })
+	f.store = configstore.New(f.table, func() time.Time { return f.now })
 	ids := []uint32{1, 2, 3}
-	ctl := controller.New(w.store, w, ids, eventlog.Nop())
+	ctl := controller.New(f.store, f, ids, eventlog.Nop())
 	for i := range 2 {
-		clock := func() time.Time { return w.now.Add(w.skew[i]) }
-		w.workers = append(w.workers, controller.NewReconciler(ctl, w.table, w, uint32(i+1), fmt.Sprint(i), leaseTime, eventlog.Nop(), clock))
+		clock := func() time.Time { return f.now.Add(f.clockSkew[i]) }
+		f.reconcilers = append(f.reconcilers, controller.NewReconciler(ctl, f.table, f, uint32(i+1), fmt.Sprint(i), leaseDuration, eventlog.Nop(), clock))
 	}
 	_, err := ctl.Apply(context.Background(), "base", []resource.Resource{
-		{Kind: resource.KindPool, Metadata: resource.Metadata{Name: "p"}, Spec: fmt.Appendf(nil, `{"protocol":"model","checksFencing":%t}`, fencing)},
+		{Kind: resource.KindPool, Metadata: resource.Metadata{Name: "p"}, Spec: fmt.Appendf(nil, `{"protocol":"model","checksFencing":%t}`, checksFencing)},
 		{Kind: resource.KindTarget, Metadata: resource.Metadata{Name: "t"}, Spec: []byte(`{"pool":"p","address":"127.0.0.1:1"}`)},
 		{Kind: resource.KindPlannedChange, Metadata: resource.Metadata{Name: "c"}, Spec: []byte(`{"target":"t","action":"drain"}`)},
 	})
 	Expect(err).NotTo(HaveOccurred())
-	return w
+	return f
 }
 
-func (w *world) phase() plannedchange.Phase {
-	s, err := w.workers[0].Status(context.Background(), "c")
+func (f *fakeFleet) phase() plannedchange.Phase {
+	s, err := f.reconcilers[0].Status(context.Background(), "c")
 	if err != nil {
 		return ""
 	}
 	return s.Phase
 }
 
-// pass lets a second go by, the routers poll, and every running controller look
-// once. An error of a pass is what faults are about; the next pass goes on.
-func (w *world) pass() {
-	w.now = w.now.Add(time.Second)
-	if conf, err := w.store.Load(context.Background()); err == nil {
-		for id := range w.routers {
-			if !w.unheard[id] {
-				w.routers[id] = conf.Revision
+// runPass advances the clock by a second, lets the reachable routers poll the store and runs one
+// pass of each running controller. It ignores errors: the faults cause them, and the next pass must
+// recover from them.
+func (f *fakeFleet) runPass() {
+	f.now = f.now.Add(time.Second)
+	if config, err := f.store.Load(context.Background()); err == nil {
+		for id := range f.appliedRevisions {
+			if !f.unreachable[id] {
+				f.appliedRevisions[id] = config.Revision
 			}
 		}
 	}
-	w.open = max(w.open-1, 0)
-	for i, r := range w.workers {
-		if !w.down[i] {
+	f.openRequests = max(f.openRequests-1, 0)
+	for i, r := range f.reconcilers {
+		if !f.stopped[i] {
 			_ = r.Reconcile(context.Background())
 		}
 	}
 }
 
-// controlSteps are the points at which a fault can strike.
-var controlSteps = []struct {
+// faultPoints are the steps of a planned change at which a fault is injected.
+var faultPoints = []struct {
 	name    string
-	reached func(w *world) bool
+	reached func(f *fakeFleet) bool
 }{
-	{"before anything", func(*world) bool { return true }},
-	{"marked as leaving", func(w *world) bool { return w.phase() == plannedchange.Draining }},
-	{"in force at the routers", func(w *world) bool { return w.routers[1] >= 2 }},
-	{"ordered", func(w *world) bool { return len(w.orders) > 0 }},
-	{"done", func(w *world) bool { return w.phase() == plannedchange.Done }},
+	{"before the first step", func(*fakeFleet) bool { return true }},
+	{"marked as leaving", func(f *fakeFleet) bool { return f.phase() == plannedchange.Draining }},
+	{"applied by the routers", func(f *fakeFleet) bool { return f.appliedRevisions[1] >= 2 }},
+	{"ordered", func(f *fakeFleet) bool { return len(f.orders) > 0 }},
+	{"done", func(f *fakeFleet) bool { return f.phase() == plannedchange.Done }},
 }
 
-// hold keeps a fault for some passes and then ends it.
-func (w *world) hold(passes int, begin, end func()) {
+// applyFor injects a fault, runs a number of passes and ends the fault.
+func (f *fakeFleet) applyFor(passes int, begin, end func()) {
 	begin()
 	for range passes {
-		w.pass()
+		f.runPass()
 	}
 	end()
 }
 
-func (w *world) tableFault(passes int, fault faketable.Fault) {
-	w.hold(passes, func() {
-		w.table.Next = func(write bool) faketable.Fault {
+// applyTableFault makes the calls of the table service fail for a number of passes: all calls if
+// the fault is Refused, else the writes.
+func (f *fakeFleet) applyTableFault(passes int, fault faketable.Fault) {
+	f.applyFor(passes, func() {
+		f.table.Next = func(write bool) faketable.Fault {
 			if write || fault == faketable.Refused {
 				return fault
 			}
 			return faketable.None
 		}
-	}, func() { w.table.Next = nil })
+	}, func() { f.table.Next = nil })
 }
 
-// controlFaults are what can strike.
-var controlFaults = []struct {
+// faults are the faults that are injected.
+var faults = []struct {
 	name  string
-	apply func(w *world)
+	apply func(f *fakeFleet)
 }{
-	{"first controller killed", func(w *world) { w.down[0] = true }},
-	{"first controller paused beyond the lease", func(w *world) {
-		w.hold(8, func() { w.down[0] = true }, func() { w.down[0] = false })
+	{"first controller killed", func(f *fakeFleet) { f.stopped[0] = true }},
+	{"first controller stalled until its lease has expired", func(f *fakeFleet) {
+		f.applyFor(8, func() { f.stopped[0] = true }, func() { f.stopped[0] = false })
 	}},
-	{"both controllers replaced", func(w *world) {
-		w.hold(2, func() { w.down[0], w.down[1] = true, true }, func() { w.down[0], w.down[1] = false, false })
+	{"both controllers stalled for two seconds", func(f *fakeFleet) {
+		f.applyFor(2, func() { f.stopped[0], f.stopped[1] = true, true }, func() { f.stopped[0], f.stopped[1] = false, false })
 	}},
-	{"routers cut off for a while", func(w *world) {
-		w.hold(6, func() { w.cut(2, 3) }, func() { clear(w.unheard); clear(w.cutSince) })
+	{"two routers unreachable for a while", func(f *fakeFleet) {
+		f.applyFor(6, func() { f.disconnect(2, 3) }, func() { clear(f.unreachable); clear(f.unreachableSince) })
 	}},
-	{"one router dead for good", func(w *world) { w.cut(3) }},
-	{"target cut off for a while", func(w *world) { w.hold(5, func() { w.silent = true }, func() { w.silent = false }) }},
-	{"reply of an order lost", func(w *world) { w.loseNext = true }},
-	{"table down", func(w *world) { w.tableFault(6, faketable.Refused) }},
-	{"replies of the table lost", func(w *world) { w.tableFault(4, faketable.ReplyLost) }},
-	{"writes of the table lost", func(w *world) { w.tableFault(4, faketable.WriteLost) }},
-	{"writes of the table late", func(w *world) { w.tableFault(4, faketable.WriteLate) }},
-	{"write limit: every second write refused", func(w *world) {
+	{"one router permanently unreachable", func(f *fakeFleet) { f.disconnect(3) }},
+	{"target unreachable for a while", func(f *fakeFleet) { f.applyFor(5, func() { f.targetSilent = true }, func() { f.targetSilent = false }) }},
+	{"reply to an order lost", func(f *fakeFleet) { f.loseNextReply = true }},
+	{"table service down", func(f *fakeFleet) { f.applyTableFault(6, faketable.Refused) }},
+	{"replies to writes lost", func(f *fakeFleet) { f.applyTableFault(4, faketable.ReplyLost) }},
+	{"writes lost", func(f *fakeFleet) { f.applyTableFault(4, faketable.WriteLost) }},
+	{"writes delayed", func(f *fakeFleet) { f.applyTableFault(4, faketable.WriteLate) }},
+	{"every second write refused, as at the write limit", func(f *fakeFleet) {
 		n := 0
-		w.hold(8, func() {
-			w.table.Next = func(write bool) faketable.Fault {
+		f.applyFor(8, func() {
+			f.table.Next = func(write bool) faketable.Fault {
 				if write {
 					n++
 				}
@@ -257,40 +264,40 @@
 				}
 				return faketable.None
 			}
-		}, func() { w.table.Next = nil })
+		}, func() { f.table.Next = nil })
 	}},
-	{"racing operator changes the target", func(w *world) {
-		target, err := w.store.Get(context.Background(), resource.Key{Kind: resource.KindTarget, Name: "t"})
+	{"another operator changes the target", func(f *fakeFleet) {
+		target, err := f.store.Get(context.Background(), resource.Key{Kind: resource.KindTarget, Name: "t"})
 		Expect(err).NotTo(HaveOccurred())
-		_, _, _ = w.store.AcceptChange(context.Background(), "rival", []resource.Resource{target})
+		_, _, _ = f.store.AcceptChange(context.Background(), "rival", []resource.Resource{target})
 	}},
-	{"clock of the first controller steps forward", func(w *world) { w.skew[0] = time.Second }},
-	{"clock of the first controller steps back", func(w *world) { w.skew[0] = -time.Second }},
+	{"clock of the first controller steps forward", func(f *fakeFleet) { f.clockSkew[0] = time.Second }},
+	{"clock of the first controller steps back", func(f *fakeFleet) { f.clockSkew[0] = -time.Second }},
 }
 
 var _ = Describe("fault matrix of a planned change", func() {
-	// Every fault at every step of a drain that two controllers carry out, with
-	// targets that check fencing numbers and that do not. Symptoms: the drain hangs;
-	// a target with open requests is ordered to go; after a take-over, an order of the
-	// old holder comes after one of the new holder.
+	// Each fault is injected at each step of a drain that two controllers carry out, with targets
+	// that check fencing numbers and targets that don't. Guards against a drain that hangs, an
+	// order to exit for a target with open requests, and an order of the previous lease holder that
+	// arrives after an order of the next one.
 	for _, fencing := range []bool{true, false} {
-		for _, step := range controlSteps {
-			for _, fault := range controlFaults {
+		for _, step := range faultPoints {
+			for _, fault := range faults {
 				It(fmt.Sprintf("%s, %s, fencing=%t", step.name, fault.name, fencing), func() {
-					w := newWorld(fencing)
-					for n := 0; !step.reached(w) && n < 60; n++ {
-						w.pass()
+					f := newFakeFleet(fencing)
+					for n := 0; !step.reached(f) && n < 60; n++ {
+						f.runPass()
 					}
-					Expect(step.reached(w)).To(BeTrue(), "the step is reached")
-					fault.apply(w)
-					for n := 0; w.phase() != plannedchange.Done && n < 90; n++ {
-						w.pass()
+					Expect(step.reached(f)).To(BeTrue(), "the step was not reached")
+					fault.apply(f)
+					for n := 0; f.phase() != plannedchange.Done && n < 90; n++ {
+						f.runPass()
 					}
-					Expect(w.phase()).To(Equal(plannedchange.Done))
-					Expect(w.broken).To(BeEmpty())
-					Expect(w.state).To(HaveKeyWithValue("drain", "true"))
-					for i := 1; i < len(w.orders); i++ {
-						Expect(w.orders[i].fencing).To(BeNumerically(">=", w.orders[i-1].fencing), "%v", w.orders)
+					Expect(f.phase()).To(Equal(plannedchange.Done))
+					Expect(f.violation).To(BeEmpty())
+					Expect(f.targetState).To(HaveKeyWithValue("drain", "true"))
+					for i := 1; i < len(f.orders); i++ {
+						Expect(f.orders[i].fencing).To(BeNumerically(">=", f.orders[i-1].fencing), "%v", f.orders)
 					}
 				})
 			}
@@ -299,37 +306,38 @@
 })
 
 var _ = Describe("targets that ignore fencing numbers and expiry", func() {
-	// Symptom: a target does what an old holder ordered. Sequence: the holder is paused
-	// around its order, its lease runs out, the next holder orders, the first wakes.
-	overtaken := func(seconds int, pause func(w *world, stall func())) {
-		w := newWorld(false)
-		for n := 0; w.routers[1] < 2 && n < 60; n++ {
-			w.pass()
+	// Guards against a target that carries out an order of a previous lease holder. The holder
+	// stalls around its order and its lease expires. The next holder sends its order, and then the
+	// first holder goes on.
+	expectFencingInOrder := func(seconds int, pause func(f *fakeFleet, stall func())) {
+		f := newFakeFleet(false)
+		for n := 0; f.appliedRevisions[1] < 2 && n < 60; n++ {
+			f.runPass()
 		}
 		stalled := false
-		pause(w, func() {
-			stalled, w.down[0] = true, true
+		pause(f, func() {
+			stalled, f.stopped[0] = true, true
 			for range seconds {
-				w.pass()
+				f.runPass()
 			}
-			w.down[0] = false
+			f.stopped[0] = false
 		})
-		for n := 0; w.phase() != plannedchange.Done && n < 60; n++ {
-			w.pass()
+		for n := 0; f.phase() != plannedchange.Done && n < 60; n++ {
+			f.runPass()
 		}
 		Expect(stalled).To(BeTrue())
-		for i := 1; i < len(w.orders); i++ {
-			Expect(w.orders[i].fencing).To(BeNumerically(">=", w.orders[i-1].fencing), "%v", w.orders)
+		for i := 1; i < len(f.orders); i++ {
+			Expect(f.orders[i].fencing).To(BeNumerically(">=", f.orders[i-1].fencing), "%v", f.orders)
 		}
 	}
 
-	// Cause: the next holder does not wait for orders that are still under way.
-	It("get no order of an old holder after one of the next, for pauses up to an order's life", func() {
-		overtaken(6, func(w *world, stall func()) { w.stall = stall })
+	// The order arrives late if the next holder doesn't wait until orders in transit have expired.
+	It("get no order of a previous holder after one of the next if the previous holder stalls for 6 seconds while it sends the order", func() {
+		expectFencingInOrder(6, func(f *fakeFleet, stall func()) { f.duringOrder = stall })
 	})
 
-	// Cause: the lease is checked before the holder looks at the target, not after.
-	It("get no order of a holder that was paused while it looked at them", func() {
-		overtaken(12, func(w *world, stall func()) { w.stallObserve = stall })
+	// The order arrives late if the lease is checked only before the holder observes the target.
+	It("get no order of a holder that stalled while it observed the target", func() {
+		expectFencingInOrder(12, func(f *fakeFleet, stall func()) { f.duringObserve = stall })
 	})
 })
--- a/internal/app/controller/reconciler.go
+++ b/internal/app/controller/reconciler.go
@@ -22,74 +22,80 @@
 	statusPrefix = "status/plannedchange/"
 )
 
-// TargetClient observes targets and sends them orders.
+// TargetClient reads the status of targets and sends them orders.
 type TargetClient interface {
-	// Observe returns a target's open requests and state.
+	// Observe returns the number of a target's open requests and the state that its orders left it
+	// in.
 	Observe(ctx context.Context, address string) (open int, state map[string]string, err error)
-	// Order sends an order that expires. The target may refuse an old fencing number.
+	// Order sends an order to a target. A target that checks fencing numbers refuses the order
+	// after expires, or if it has seen a higher fencing number.
 	Order(ctx context.Context, address string, fencing uint64, action, argument string, expires time.Time) error
 }
 
-// Reconciler carries out planned changes. Every controller runs one; a lease per
-// change decides which of them works on it.
+// Reconciler carries out planned changes. Each controller has one. A change is carried out by the
+// Reconciler that holds the change's lease.
 type Reconciler struct {
-	controller *Controller
-	table      port.Table
-	orders     TargetClient
-	self       uint32
-	holder     string
-	duration   time.Duration
-	passes     uint
-	log        *eventlog.Log
-	now        func() time.Time
-	leases     map[string]*lease.Lease
-	// done holds the generation at which a change was found done, by UID.
-	done map[uint64]uint64
-	// looking holds when this process first looked for a revision at the routers.
-	looking map[uint64]time.Time
+	controller    *Controller
+	table         port.Table
+	targets       TargetClient
+	self          uint32
+	holder        string
+	leaseDuration time.Duration
+	passCount     uint
+	log           *eventlog.Log
+	now           func() time.Time
+	leases        map[string]*lease.Lease
+	// doneGenerations has the generation at which a planned change was done, by the UID of the
+	// change.
+	doneGenerations map[uint64]uint64
+	// firstCheckedAt has the time at which this process first checked whether the routers have
+	// applied a revision, by revision.
+	firstCheckedAt map[uint64]time.Time
 }
 
-// NewReconciler returns the Reconciler of controller self. holder must be unique to
-// this process.
-func NewReconciler(c *Controller, table port.Table, orders TargetClient, self uint32, holder string, duration time.Duration, log *eventlog.Log, now func() time.Time) *Reconciler {
+// NewReconciler returns the Reconciler of the controller with the ID self. holder names the process
+// in leases and must be unique to it. leaseDuration is the time that a lease lasts after a renewal.
+func NewReconciler(c *Controller, table port.Table, targets TargetClient, self uint32, holder string, leaseDuration time.Duration, log *eventlog.Log, now func() time.Time) *Reconciler {
 	return &Reconciler{
-		controller: c, table: table, orders: orders, self: self, holder: holder, duration: duration,
-		log: log, now: now, leases: make(map[string]*lease.Lease), looking: make(map[uint64]time.Time), done: make(map[uint64]uint64),
+		controller: c, table: table, targets: targets, self: self, holder: holder, leaseDuration: leaseDuration,
+		log: log, now: now, leases: make(map[string]*lease.Lease), firstCheckedAt: make(map[uint64]time.Time), doneGenerations: make(map[uint64]uint64),
 	}
 }
 
-// Reconcile looks at every planned change once. It reads the planned changes only, and
-// of those that are done not even the status again.
+// Reconcile advances each planned change that is due by one step. To save reads of the table
+// service, it lists no other resources and does not read the status of changes that it knows to be
+// done. An error of one change is logged and does not stop the others.
 func (r *Reconciler) Reconcile(ctx context.Context) error {
 	changes, err := r.controller.store.List(ctx, resource.KindPlannedChange)
 	if err != nil {
 		return err
 	}
-	r.passes++
+	r.passCount++
 	for _, res := range changes {
-		if r.done[res.Metadata.UID] == res.Metadata.Generation || !r.due(res.Metadata.Name) {
+		if r.doneGenerations[res.Metadata.UID] == res.Metadata.Generation || !r.isDue(res.Metadata.Name) {
 			continue
 		}
-		if err := r.advance(ctx, res); err != nil {
+		if err := r.advanceChange(ctx, res); err != nil {
 			r.log.Line(eventlog.PlannedChangeFailed).Str("change", res.Metadata.Name).Err(err).Msg("")
 		}
 	}
 	return nil
 }
 
-// maxSkip bounds the passes between two looks at a change, as a power of two.
-const maxSkip = 6
+// maxIntervalExponent bounds the interval between two checks of a change: it is at most 2 to the
+// power of maxIntervalExponent passes.
+const maxIntervalExponent = 6
 
-// due reports whether this pass looks at a change. The controllers that rank first
-// for it look often, the others seldom: if all looked each second, the waiting
-// ones alone would read more than the table service serves.
-func (r *Reconciler) due(name string) bool {
+// isDue reports whether the current pass checks a change. The controller that ranks first for the
+// change checks it in each pass. The interval doubles with each rank. If all controllers checked in
+// each pass, the reads of those without the lease would exceed the capacity of the table service.
+func (r *Reconciler) isDue(name string) bool {
 	rank := rendezvous.Rank(rendezvous.Hash(name), r.self, r.controller.routers)
-	return r.passes%(1<<min(rank, maxSkip)) == 0
+	return r.passCount%(1<<min(rank, maxIntervalExponent)) == 0
 }
 
-// fetch reads a resource and its spec.
-func fetch[T any](ctx context.Context, store *configstore.Store, kind resource.Kind, name string) (T, resource.Resource, error) {
+// getSpec returns the decoded spec of a resource and the resource.
+func getSpec[T any](ctx context.Context, store *configstore.Store, kind resource.Kind, name string) (T, resource.Resource, error) {
 	var spec T
 	r, err := store.Get(ctx, resource.Key{Kind: kind, Name: name})
 	if err != nil {
@@ -98,7 +104,9 @@
 	return spec, r, resource.Decode(r.Spec, &spec)
 }
 
-func (r *Reconciler) advance(ctx context.Context, res resource.Resource) error {
+// advanceChange carries out the next step of a planned change if this process holds the change's
+// lease.
+func (r *Reconciler) advanceChange(ctx context.Context, res resource.Resource) error {
 	name := res.Metadata.Name
 	var spec resource.PlannedChangeSpec
 	if err := resource.Decode(res.Spec, &spec); err != nil {
@@ -109,23 +117,23 @@
 		return err
 	}
 	if status.Phase == plannedchange.Done && status.ObservedGeneration == res.Metadata.Generation {
-		r.done[res.Metadata.UID] = res.Metadata.Generation
+		r.doneGenerations[res.Metadata.UID] = res.Metadata.Generation
 		return nil
 	}
-	targetSpec, target, err := fetch[resource.TargetSpec](ctx, r.controller.store, resource.KindTarget, spec.Target)
+	targetSpec, target, err := getSpec[resource.TargetSpec](ctx, r.controller.store, resource.KindTarget, spec.Target)
 	if err != nil {
 		return err
 	}
-	pool, _, err := fetch[resource.PoolSpec](ctx, r.controller.store, resource.KindPool, targetSpec.Pool)
+	pool, _, err := getSpec[resource.PoolSpec](ctx, r.controller.store, resource.KindPool, targetSpec.Pool)
 	if err != nil {
 		return err
 	}
-	held, err := r.hold(ctx, name, pool.ChecksFencing)
-	if err != nil || held == nil {
+	heldLease, err := r.acquireLease(ctx, name, pool.ChecksFencing)
+	if err != nil || heldLease == nil {
 		return err
 	}
-	next, action := plannedchange.Step(spec, res.Metadata.Generation, status, r.observe(ctx, target, targetSpec))
-	if err := r.act(ctx, action, held, spec, target, targetSpec, &next); err != nil {
+	next, action := plannedchange.Step(spec, res.Metadata.Generation, status, r.observeTarget(ctx, target, targetSpec))
+	if err := r.executeAction(ctx, action, heldLease, spec, target, targetSpec, &next); err != nil {
 		return err
 	}
 	if next == status {
@@ -134,43 +142,46 @@
 	return r.writeStatus(ctx, name, next, version)
 }
 
-func (r *Reconciler) observe(ctx context.Context, target resource.Resource, spec resource.TargetSpec) plannedchange.Observation {
+// observeTarget returns what plannedchange.Step has to know about a target.
+func (r *Reconciler) observeTarget(ctx context.Context, target resource.Resource, spec resource.TargetSpec) plannedchange.Observation {
 	o := plannedchange.Observation{Leaving: spec.Leaving}
-	o.InForce = r.inForce(ctx, target)
-	open, state, err := r.orders.Observe(ctx, spec.Address)
+	o.InForce = r.isApplied(ctx, target)
+	open, state, err := r.targets.Observe(ctx, spec.Address)
 	if err == nil {
 		o.Reachable, o.Open, o.State = true, open, state
 	}
 	return o
 }
 
-// silentAfter is how long routers that can't be reached are waited for. By then
-// they have heard of the change by way of others or turned unready, since it is
-// longer than a router may serve without the store and without a majority.
-const silentAfter = 15 * time.Second
+// silentRouterTimeout is the time after which a router that does not answer is assumed to send no
+// new requests to a changed target. It is longer than a router may serve without the store and
+// without a majority. After this time the router has received the change from other routers or is
+// unready.
+const silentRouterTimeout = 15 * time.Second
 
-// inForce reports whether no router sends new work to a target that was changed.
-// The wait for silent routers is measured on the local clock from when this
-// process first looked; clocks of different VMs are not compared.
-func (r *Reconciler) inForce(ctx context.Context, target resource.Resource) bool {
-	force := r.controller.RolloutStatus(ctx, target.Metadata.ResourceVersion)
-	if force.Applied == force.Listed {
+// isApplied reports whether no router sends requests by an older version of a target any more. This
+// is so if all routers have applied the current version, or if a majority has and
+// silentRouterTimeout has passed. The timeout starts when this process first checks the version, as
+// the clocks of different VMs are not compared.
+func (r *Reconciler) isApplied(ctx context.Context, target resource.Resource) bool {
+	rollout := r.controller.RolloutStatus(ctx, target.Metadata.ResourceVersion)
+	if rollout.Applied == rollout.Listed {
 		return true
 	}
-	since, ok := r.looking[target.Metadata.ResourceVersion]
+	firstChecked, ok := r.firstCheckedAt[target.Metadata.ResourceVersion]
 	if !ok {
-		r.looking[target.Metadata.ResourceVersion] = r.now()
+		r.firstCheckedAt[target.Metadata.ResourceVersion] = r.now()
 		return false
 	}
-	return force.Applied*2 > force.Listed && r.now().Sub(since) > silentAfter
+	return rollout.Applied*2 > rollout.Listed && r.now().Sub(firstChecked) > silentRouterTimeout
 }
 
-func (r *Reconciler) act(ctx context.Context, action plannedchange.ActionKind, held *lease.Lease, spec resource.PlannedChangeSpec, target resource.Resource, targetSpec resource.TargetSpec, next *plannedchange.Status) error {
+func (r *Reconciler) executeAction(ctx context.Context, action plannedchange.ActionKind, heldLease *lease.Lease, spec resource.PlannedChangeSpec, target resource.Resource, targetSpec resource.TargetSpec, next *plannedchange.Status) error {
 	switch action {
 	case plannedchange.MarkLeaving:
 		return r.markLeaving(ctx, target, targetSpec)
 	case plannedchange.Order:
-		return r.order(ctx, held, spec, targetSpec, next)
+		return r.sendOrder(ctx, heldLease, spec, targetSpec, next)
 	}
 	return nil
 }
@@ -190,25 +201,27 @@
 	return err
 }
 
-// order sends the order if the lease lasts longer than the order does. The check
-// comes last before sending: a process that was paused after it still can't do
-// harm, since the target drops an expired order.
-func (r *Reconciler) order(ctx context.Context, held *lease.Lease, spec resource.PlannedChangeSpec, target resource.TargetSpec, next *plannedchange.Status) error {
+// sendOrder sends the order if the lease lasts at least as long as the order is valid. The lease is
+// checked immediately before the order is sent. A process that stalls after the check does no harm,
+// because the target ignores an expired order.
+func (r *Reconciler) sendOrder(ctx context.Context, heldLease *lease.Lease, spec resource.PlannedChangeSpec, target resource.TargetSpec, next *plannedchange.Status) error {
 	now := r.now()
-	fencing, ok := held.Held(now)
-	if !ok || held.Remaining(now) < plannedchange.OrderLife {
+	fencing, ok := heldLease.Held(now)
+	if !ok || heldLease.Remaining(now) < plannedchange.OrderLife {
 		return nil
 	}
 	next.Fencing = fencing
 	action, argument := plannedchange.Wanted(spec)
-	return r.orders.Order(ctx, target.Address, fencing, action, argument, now.Add(plannedchange.OrderLife))
+	return r.targets.Order(ctx, target.Address, fencing, action, argument, now.Add(plannedchange.OrderLife))
 }
 
-// hold takes or renews the lease of a change; nil means that another process has it.
-func (r *Reconciler) hold(ctx context.Context, name string, checksFencing bool) (*lease.Lease, error) {
+// acquireLease acquires or renews the lease of a change. It returns nil if another process holds
+// the lease. If the target doesn't check fencing numbers, a lease is taken over later, by the
+// lifetime of an order: an order of the previous holder has then expired.
+func (r *Reconciler) acquireLease(ctx context.Context, name string, checksFencing bool) (*lease.Lease, error) {
 	l, ok := r.leases[name]
 	if !ok {
-		s := lease.Settings{Holder: r.holder, Duration: r.duration}
+		s := lease.Settings{Holder: r.holder, Duration: r.leaseDuration}
 		if !checksFencing {
 			s.Extra = plannedchange.OrderLife
 		}
@@ -230,19 +243,20 @@
 	return l, nil
 }
 
+// writeLease writes the row of a lease. It returns nil if another process has changed the row.
 func (r *Reconciler) writeLease(ctx context.Context, l *lease.Lease, name string, action lease.Action) (*lease.Lease, error) {
-	sent := r.now()
-	err := r.put(ctx, leasePrefix+name, action.Row, action.Version)
+	sentAt := r.now()
+	err := r.putJSON(ctx, leasePrefix+name, action.Row, action.Version)
 	switch {
 	case err == nil:
-		l.Written(sent, action.Row)
+		l.Written(sentAt, action.Row)
 		return l, nil
 	case errors.Is(err, port.ErrConflict):
 		l.Lost()
 		return nil, nil
 	default:
-		// The write may have taken effect. Not using it is always safe: the row
-		// then runs out like that of a dead holder.
+		// The write may have taken effect. It is safe not to use the lease: it then expires like
+		// the lease of a holder that has exited.
 		return nil, err
 	}
 }
@@ -253,12 +267,15 @@
 	return s, version, err
 }
 
-// writeStatus stores a status unless another process has stored one since it was read.
+// writeStatus logs and stores a status. version is the version of the status that was read. The
+// status is not stored if another process has stored one since then.
 func (r *Reconciler) writeStatus(ctx context.Context, name string, s plannedchange.Status, version uint64) error {
 	r.log.Line(eventlog.PlannedChange).Str("change", name).Str("phase", string(s.Phase)).Str("why", s.Message).Msg("")
-	return r.put(ctx, statusPrefix+name, s, version)
+	return r.putJSON(ctx, statusPrefix+name, s, version)
 }
 
+// readJSON decodes a row of the table service and returns its version. A missing row leaves into
+// unchanged and has version 0.
 func (r *Reconciler) readJSON(ctx context.Context, key string, into any) (uint64, error) {
 	row, err := r.table.Get(ctx, key)
 	if errors.Is(err, port.ErrNotFound) {
@@ -270,7 +287,8 @@
 	return row.Version, errors.Wrapf(json.Unmarshal(row.Value, into), "row %s", key)
 }
 
-func (r *Reconciler) put(ctx context.Context, key string, v any, version uint64) error {
+// putJSON writes a row on the condition that its version is still the given one.
+func (r *Reconciler) putJSON(ctx context.Context, key string, v any, version uint64) error {
 	value, err := json.Marshal(v)
 	if err != nil {
 		return errors.Wrap(err, "encode row")
