--- a/internal/app/configstore/configstore.go
+++ b/internal/app/configstore/configstore.go
@@ -1,6 +1,6 @@
-// Package configstore keeps the configuration in the platform's table service.
-// Accepting a change is one transaction that moves the head row from revision N
-// to N+1 and writes the change, its resources and an operation row.
+// Package configstore stores the configuration in the platform's table service. A change is
+// accepted in one transaction. It advances the head row from revision N to N+1 and writes a row for
+// the change, one for the operation and one for each resource of the change.
 package configstore
 
 import (
@@ -23,24 +23,27 @@
 	operationPrefix = "config/operation/"
 )
 
-// keptChanges is how many change rows stay in the table; a router that is
-// further behind reads the resources instead.
-const keptChanges = 256
+// retainedChanges is the number of change rows that stay in the table. A router that lacks more
+// changes reads the whole configuration instead.
+const retainedChanges = 256
 
-// maxTries bounds how often an accept starts over because the head moved.
-const maxTries = 20
+// maxAttempts is the largest number of attempts to accept a change or to read the configuration. An
+// attempt fails if another change is accepted meanwhile.
+const maxAttempts = 20
 
-// Store reads and moves the configuration.
+// Store reads and changes the configuration. It is safe for concurrent use.
 type Store struct {
 	table port.Table
 	now   func() time.Time
 }
 
-// New returns a Store on a table service.
+// New returns a Store that keeps the configuration in table. now is the wall clock for the times of
+// operations.
 func New(table port.Table, now func() time.Time) *Store {
 	return &Store{table: table, now: now}
 }
 
+// head is the row with the current revision.
 type head struct {
 	Revision uint64 `json:"revision"`
 }
@@ -49,6 +52,8 @@
 
 func resourceKey(k resource.Key) string { return resourcePrefix + string(k.Kind) + "/" + k.Name }
 
+// readHead returns the head and the version of its row. Both are zero if there is no configuration
+// yet.
 func (s *Store) readHead(ctx context.Context) (head, uint64, error) {
 	var h head
 	version, err := s.readJSON(ctx, headKey, &h)
@@ -58,47 +63,48 @@
 	return h, version, err
 }
 
+// readJSON decodes a row and returns its version.
 func (s *Store) readJSON(ctx context.Context, key string, into any) (uint64, error) {
 	row, err := s.table.Get(ctx, key)
 	if err != nil {
 		return 0, err
 	}
-	return row.Version, errors.Wrapf(json.Unmarshal(row.Value, into), "row %s", key)
+	return row.Version, errors.Wrapf(json.Unmarshal(row.Value, into), "decode row %s", key)
 }
 
-// ChangesSince returns what a router at revision after is missing: the changes, or the
-// whole configuration if the changes are no longer kept.
+// ChangesSince returns what a router at revision after lacks: the later changes, or the whole
+// configuration if not all of these changes are stored any more or after is 0.
 func (s *Store) ChangesSince(ctx context.Context, after uint64) ([]resource.Change, *Configuration, error) {
 	h, _, err := s.readHead(ctx)
 	if err != nil || h.Revision <= after {
 		return nil, nil, err
 	}
-	if h.Revision-after > keptChanges || after == 0 {
-		whole, err := s.Load(ctx)
-		return nil, whole, err
+	if h.Revision-after > retainedChanges || after == 0 {
+		snapshot, err := s.Load(ctx)
+		return nil, snapshot, err
 	}
 	var changes []resource.Change
 	for revision := after + 1; revision <= h.Revision; revision++ {
-		var ch resource.Change
-		if _, err := s.readJSON(ctx, changeKey(revision), &ch); err != nil {
+		var change resource.Change
+		if _, err := s.readJSON(ctx, changeKey(revision), &change); err != nil {
 			return nil, nil, err
 		}
-		changes = append(changes, ch)
+		changes = append(changes, change)
 	}
 	return changes, nil, nil
 }
 
-// Configuration is every resource at one revision.
+// Configuration has all resources at one revision.
 type Configuration struct {
 	Revision  uint64
 	Resources []resource.Resource
 }
 
-// Load reads the whole configuration. The head is read before and after: if it
-// moved in between, the rows may mix two revisions and are read again.
+// Load reads the whole configuration. It reads the head before and after the resources. If the head
+// has changed, the resources may be of different revisions and are read again.
 func (s *Store) Load(ctx context.Context) (*Configuration, error) {
-	for range maxTries {
-		before, _, err := s.readHead(ctx)
+	for range maxAttempts {
+		headBefore, _, err := s.readHead(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -106,19 +112,19 @@
 		if err != nil {
 			return nil, err
 		}
-		after, _, err := s.readHead(ctx)
+		headAfter, _, err := s.readHead(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if before != after {
+		if headBefore != headAfter {
 			continue
 		}
-		return decodeRows(before.Revision, rows)
+		return decodeRows(headBefore.Revision, rows)
 	}
-	return nil, errors.Mark(errors.New("the configuration keeps changing"), port.ErrUnavailable)
+	return nil, errors.Mark(errors.New("configuration changed during each attempt to read it"), port.ErrUnavailable)
 }
 
-// Get returns one resource, or a NoSuchResource or StoreDown error.
+// Get returns one resource, or an error with the code NoSuchResource or StoreDown.
 func (s *Store) Get(ctx context.Context, k resource.Key) (resource.Resource, error) {
 	var r resource.Resource
 	_, err := s.readJSON(ctx, resourceKey(k), &r)
@@ -126,23 +132,23 @@
 	case errors.Is(err, port.ErrNotFound):
 		return r, code.New(code.NoSuchResource, "no %s %q", k.Kind, k.Name)
 	case err != nil:
-		return r, storeDown(err)
+		return r, storeDownError(err)
 	}
 	return r, nil
 }
 
-// List returns the resources of a kind by name. It reads no others: with 31,000
-// teams a whole configuration is several megabytes.
+// List returns the resources of a kind, sorted by name. It reads only these resources, as a whole
+// configuration with 31,000 teams has several megabytes.
 func (s *Store) List(ctx context.Context, kind resource.Kind) ([]resource.Resource, error) {
 	rows, err := s.table.Scan(ctx, resourcePrefix+string(kind)+"/")
 	if err != nil {
-		return nil, storeDown(err)
+		return nil, storeDownError(err)
 	}
-	conf, err := decodeRows(0, rows)
+	config, err := decodeRows(0, rows)
 	if err != nil {
 		return nil, err
 	}
-	return conf.Resources, nil
+	return config.Resources, nil
 }
 
 func decodeRows(revision uint64, rows []port.Row) (*Configuration, error) {
@@ -150,14 +156,14 @@
 	for _, row := range rows {
 		var r resource.Resource
 		if err := json.Unmarshal(row.Value, &r); err != nil {
-			return nil, errors.Wrapf(err, "row %s", row.Key)
+			return nil, errors.Wrapf(err, "decode row %s", row.Key)
 		}
 		out.Resources = append(out.Resources, r)
 	}
 	return out, nil
 }
 
-// Operation returns an accepted operation.
+// Operation returns an accepted operation, or an error with the code NoSuchOperation or StoreDown.
 func (s *Store) Operation(ctx context.Context, name string) (resource.Operation, error) {
 	var op resource.Operation
 	_, err := s.readJSON(ctx, operationPrefix+name, &op)
@@ -165,21 +171,21 @@
 	case errors.Is(err, port.ErrNotFound):
 		return op, code.New(code.NoSuchOperation, "no operation %q", name)
 	case err != nil:
-		return op, storeDown(err)
+		return op, storeDownError(err)
 	}
 	return op, nil
 }
 
-func storeDown(err error) error { return code.New(code.StoreDown, "table service: %s", err) }
+func storeDownError(err error) error { return code.New(code.StoreDown, "table service: %s", err) }
 
-// AcceptChange puts resources into the configuration under an operation name chosen by
-// the operator's client. The same name again returns the first outcome. It
-// returns the operation and, if this call made it, the change.
+// AcceptChange writes resources to the configuration. name is the operation name that the
+// operator's client has chosen. If an operation of this name has been accepted before, AcceptChange
+// returns that operation and no change. Otherwise it returns the new operation and its change.
 func (s *Store) AcceptChange(ctx context.Context, name string, resources []resource.Resource) (resource.Operation, *resource.Change, error) {
 	if err := checkUnique(resources); err != nil {
 		return resource.Operation{}, nil, err
 	}
-	for range maxTries {
+	for range maxAttempts {
 		op, err := s.Operation(ctx, name)
 		if err == nil {
 			return op, nil, nil
@@ -187,28 +193,29 @@
 		if codeOf(err) != code.NoSuchOperation {
 			return op, nil, err
 		}
-		op, change, err := s.try(ctx, name, resources)
+		op, change, err := s.tryAcceptChange(ctx, name, resources)
 		if errors.Is(err, errHeadMoved) {
 			continue
 		}
 		return op, change, err
 	}
-	return resource.Operation{}, nil, code.New(code.Conflict, "the configuration kept changing; try again")
+	return resource.Operation{}, nil, code.New(code.Conflict, "other changes were accepted during each attempt; try again")
 }
 
-// checkUnique refuses a change that names a resource twice: which of the two
-// holds would depend on their order, and two targets would be made of one.
+// checkUnique refuses a change that has two versions of a resource. The result would depend on
+// their order, and a target that is created twice would become two targets.
 func checkUnique(resources []resource.Resource) error {
 	seen := make(map[resource.Key]bool, len(resources))
 	for _, r := range resources {
 		if seen[r.Key()] {
-			return code.New(code.BadResource, "%s %q is named twice", r.Kind, r.Metadata.Name)
+			return code.New(code.BadResource, "%s %q occurs twice in the change", r.Kind, r.Metadata.Name)
 		}
 		seen[r.Key()] = true
 	}
 	return nil
 }
 
+// codeOf returns the result code of an error, or code.OK if it has none.
 func codeOf(err error) code.Code {
 	var coded *code.Error
 	if errors.As(err, &coded) {
@@ -217,38 +224,42 @@
 	return code.OK
 }
 
-var errHeadMoved = errors.New("head moved")
+// errHeadMoved means that another change was accepted first.
+var errHeadMoved = errors.New("configuration head has changed")
 
-func (s *Store) try(ctx context.Context, name string, resources []resource.Resource) (resource.Operation, *resource.Change, error) {
-	none := resource.Operation{}
+// tryAcceptChange makes one attempt to accept a change. It returns errHeadMoved if another change
+// was accepted first.
+func (s *Store) tryAcceptChange(ctx context.Context, name string, resources []resource.Resource) (resource.Operation, *resource.Change, error) {
+	noOperation := resource.Operation{}
 	h, headVersion, err := s.readHead(ctx)
 	if err != nil {
-		return none, nil, storeDown(err)
+		return noOperation, nil, storeDownError(err)
 	}
 	change := resource.Change{Revision: h.Revision + 1}
 	for i, r := range resources {
-		next, err := s.next(ctx, r, change.Revision, i, resources)
+		prepared, err := s.prepareResource(ctx, r, change.Revision, i, resources)
 		if err != nil {
-			return none, nil, err
+			return noOperation, nil, err
 		}
-		change.Resources = append(change.Resources, next)
+		change.Resources = append(change.Resources, prepared)
 	}
 	op := resource.Operation{Name: name, Revision: change.Revision, Accepted: s.now().UTC()}
-	txn, err := transaction(headVersion, op, change)
+	txn, err := newTransaction(headVersion, op, change)
 	if err != nil {
-		return none, nil, err
+		return noOperation, nil, err
 	}
 	return op, &change, s.commit(ctx, name, txn)
 }
 
-// next prepares one resource: checks its precondition and references and counts
-// its generation.
-func (s *Store) next(ctx context.Context, r resource.Resource, revision uint64, index int, all []resource.Resource) (resource.Resource, error) {
+// prepareResource checks the precondition and the references of a resource and returns the resource
+// with its new metadata. index is the position of the resource in the change, and changed are the
+// resources of the change.
+func (s *Store) prepareResource(ctx context.Context, r resource.Resource, revision uint64, index int, changed []resource.Resource) (resource.Resource, error) {
 	var old resource.Resource
 	_, err := s.readJSON(ctx, resourceKey(r.Key()), &old)
 	exists := err == nil
 	if err != nil && !errors.Is(err, port.ErrNotFound) {
-		return r, storeDown(err)
+		return r, storeDownError(err)
 	}
 	if r.Deleted && !exists {
 		return r, code.New(code.NoSuchResource, "no %s %q", r.Kind, r.Metadata.Name)
@@ -261,12 +272,12 @@
 		r.Spec = old.Spec
 		r.Metadata = old.Metadata
 		r.Metadata.ResourceVersion = revision
-		return r, s.checkUnused(ctx, r, all)
+		return r, s.checkPoolUnused(ctx, r, changed)
 	}
 	if err := resource.Validate(r); err != nil {
 		return r, err
 	}
-	if err := resource.CheckReferences(r, func(k resource.Key) bool { return s.exists(ctx, k, all) }); err != nil {
+	if err := resource.CheckReferences(r, func(k resource.Key) bool { return s.resourceExists(ctx, k, changed) }); err != nil {
 		return r, err
 	}
 	r.Metadata.Generation = old.Metadata.Generation + 1
@@ -278,14 +289,17 @@
 	return r, nil
 }
 
-// maxResources is the largest number of resources in one change; UIDs are the
-// revision times this plus the position.
+// maxResources is the largest number of resources in one change.
 const maxResources = 1 << 16
 
+// newUID returns the UID of a resource that is created at a revision. index is the position of the
+// resource in the change. UIDs are unique as long as index is less than maxResources.
 func newUID(revision uint64, index int) uint64 { return revision*maxResources + uint64(index) + 1 }
 
-func (s *Store) exists(ctx context.Context, k resource.Key, all []resource.Resource) bool {
-	for _, r := range all {
+// resourceExists reports whether a resource exists once the change is accepted. changed are the
+// resources of the change. An error of the table service counts as a missing resource.
+func (s *Store) resourceExists(ctx context.Context, k resource.Key, changed []resource.Resource) bool {
+	for _, r := range changed {
 		if r.Key() == k {
 			return !r.Deleted
 		}
@@ -294,9 +308,10 @@
 	return err == nil
 }
 
-// checkUnused refuses to delete a pool that still has targets: their requests
-// would lose their pool under way.
-func (s *Store) checkUnused(ctx context.Context, r resource.Resource, all []resource.Resource) error {
+// checkPoolUnused refuses to delete a pool that still has targets, as requests in progress at these
+// targets would lose their pool. r is the deleted resource, and changed are the resources of
+// the change.
+func (s *Store) checkPoolUnused(ctx context.Context, r resource.Resource, changed []resource.Resource) error {
 	if r.Kind != resource.KindPool {
 		return nil
 	}
@@ -305,7 +320,7 @@
 		return err
 	}
 	deleted := make(map[resource.Key]bool)
-	for _, other := range all {
+	for _, other := range changed {
 		deleted[other.Key()] = other.Deleted
 	}
 	for _, t := range targets {
@@ -317,9 +332,11 @@
 	return nil
 }
 
-func transaction(headVersion uint64, op resource.Operation, change resource.Change) (port.Txn, error) {
+// newTransaction returns the transaction that accepts a change. Its conditions are that the head
+// row still has the given version and that no operation of the same name exists.
+func newTransaction(headVersion uint64, op resource.Operation, change resource.Change) (port.Txn, error) {
 	var txn port.Txn
-	put := func(key string, v any) error {
+	addWrite := func(key string, v any) error {
 		value, err := json.Marshal(v)
 		txn.Writes = append(txn.Writes, port.Write{Key: key, Value: value})
 		return errors.Wrap(err, "encode row")
@@ -328,26 +345,26 @@
 		{Key: headKey, Version: headVersion},
 		{Key: operationPrefix + op.Name, Version: 0},
 	}
-	err := errors.CombineErrors(put(headKey, head{change.Revision}), put(operationPrefix+op.Name, op))
-	err = errors.CombineErrors(err, put(changeKey(change.Revision), change))
+	err := errors.CombineErrors(addWrite(headKey, head{change.Revision}), addWrite(operationPrefix+op.Name, op))
+	err = errors.CombineErrors(err, addWrite(changeKey(change.Revision), change))
 	for _, r := range change.Resources {
 		if r.Deleted {
 			txn.Writes = append(txn.Writes, port.Write{Key: resourceKey(r.Key()), Delete: true})
 			continue
 		}
-		err = errors.CombineErrors(err, put(resourceKey(r.Key()), r))
+		err = errors.CombineErrors(err, addWrite(resourceKey(r.Key()), r))
 	}
-	if change.Revision > keptChanges {
-		txn.Writes = append(txn.Writes, port.Write{Key: changeKey(change.Revision - keptChanges), Delete: true})
+	if change.Revision > retainedChanges {
+		txn.Writes = append(txn.Writes, port.Write{Key: changeKey(change.Revision - retainedChanges), Delete: true})
 	}
 	return txn, err
 }
 
-// commit applies the transaction and settles a lost reply.
+// commit commits a transaction. If the reply is lost, it finds out the outcome.
 func (s *Store) commit(ctx context.Context, name string, txn port.Txn) error {
 	err := s.table.Commit(ctx, txn)
 	if errors.Is(err, port.ErrOutcomeUnknown) {
-		err = s.settle(ctx, name, txn)
+		err = s.resolveOutcome(ctx, name, txn)
 	}
 	switch {
 	case err == nil:
@@ -355,22 +372,22 @@
 	case errors.Is(err, port.ErrConflict):
 		return errHeadMoved
 	case errors.Is(err, port.ErrOutcomeUnknown):
-		return code.New(code.ChangeUnknown, "no reply from the table service; ask for operation %q", name)
+		return code.New(code.ChangeUnknown, "no reply from the table service; look up operation %q", name)
 	default:
-		return storeDown(err)
+		return storeDownError(err)
 	}
 }
 
-// settleTries bounds how often a transaction without a reply is sent again.
-const settleTries = 3
+// maxResends is the largest number of times that a transaction without a reply is sent again.
+const maxResends = 3
 
-// settle finds out what became of a transaction whose reply was lost. If the
-// operation row is there, it took effect. If it is not, it may still arrive, so
-// the same transaction is sent again: its condition on the head lets it take
-// effect once only, and a conflict without an operation row means that another
-// operator's change came between and this one never can.
-func (s *Store) settle(ctx context.Context, name string, txn port.Txn) error {
-	for range settleTries {
+// resolveOutcome finds out the outcome of a transaction whose reply was lost. If the operation row
+// exists, the transaction has taken effect. If the row does not exist, the transaction may still
+// take effect, so it is sent again. The condition on the head lets it take effect only once. After
+// a conflict without an operation row it can never take effect, as another change was accepted
+// first.
+func (s *Store) resolveOutcome(ctx context.Context, name string, txn port.Txn) error {
+	for range maxResends {
 		if _, err := s.Operation(ctx, name); err == nil {
 			return nil
 		}
--- a/internal/app/configstore/configstore_test.go
+++ b/internal/app/configstore/configstore_test.go
@@ -38,68 +38,68 @@
 	return code.OK
 }
 
-func one(r resource.Resource) []resource.Resource { return []resource.Resource{r} }
+func single(r resource.Resource) []resource.Resource { return []resource.Resource{r} }
 
 var _ = Describe("accepting a change", func() {
-	It("counts revisions, generations and UIDs", func() {
+	It("assigns revisions, generations and UIDs", func() {
 		s := newStore(faketable.New())
-		op, change, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
+		op, change, err := s.AcceptChange(ctx, "op-1", single(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(op.Revision).To(Equal(uint64(1)))
 		uid := change.Resources[0].Metadata.UID
 		Expect(uid).NotTo(BeZero())
-		_, change, err = s.AcceptChange(ctx, "op-2", one(team("a", 2, 1)))
+		_, change, err = s.AcceptChange(ctx, "op-2", single(team("a", 2, 1)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(change.Resources[0].Metadata).To(Equal(resource.Metadata{Name: "a", Generation: 2, ResourceVersion: 2, UID: uid}))
 	})
 
-	// Symptom: an operator's change is gone. Sequence: two operators read the same
-	// version, both write. Cause: the second overwrites the first unseen.
-	It("refuses one that is based on an older version", func() {
+	// Guards against a lost change. Two operators read the same version of a resource and both
+	// write it. The second write would overwrite the first one unnoticed.
+	It("refuses a change that is based on an older version", func() {
 		s := newStore(faketable.New())
-		_, _, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
+		_, _, err := s.AcceptChange(ctx, "op-1", single(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
-		_, _, err = s.AcceptChange(ctx, "op-2", one(team("a", 2, 0)))
+		_, _, err = s.AcceptChange(ctx, "op-2", single(team("a", 2, 0)))
 		Expect(codeOf(err)).To(Equal(code.Conflict))
 	})
 
-	// Symptom: the same. Sequence: the rival's change comes between the check of the
-	// version and the write. Cause: the check and the write are not one transaction.
-	It("refuses one that a rival overtakes before its write", func() {
+	// Guards against a lost change. Another change is accepted between the check of the version and
+	// the write. It is lost if check and write are not one transaction.
+	It("refuses a change if another one is accepted before its write", func() {
 		t := faketable.New()
 		s := newStore(t)
-		_, _, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
+		_, _, err := s.AcceptChange(ctx, "op-1", single(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
 		t.Between = func() {
 			t.Between = nil
-			_, _, err := s.AcceptChange(ctx, "rival", one(team("a", 7, 1)))
+			_, _, err := s.AcceptChange(ctx, "rival", single(team("a", 7, 1)))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		_, _, err = s.AcceptChange(ctx, "op-2", one(team("a", 2, 1)))
+		_, _, err = s.AcceptChange(ctx, "op-2", single(team("a", 2, 1)))
 		Expect(codeOf(err)).To(Equal(code.Conflict))
 	})
 
-	// Symptom: a pool sends work to one engine as if it were two. Sequence: a file
-	// names a target twice. Cause: both become targets, with UIDs of their own.
-	It("refuses one that names a resource twice", func() {
+	// Guards against a pool that treats one target as two. A file has the target twice, and each
+	// occurrence would get a UID of its own.
+	It("refuses a change that has a resource twice", func() {
 		s := newStore(faketable.New())
 		_, _, err := s.AcceptChange(ctx, "op", []resource.Resource{team("a", 1, 0), team("a", 2, 0)})
 		Expect(codeOf(err)).To(Equal(code.BadResource))
 	})
 
-	It("makes no second change of a repeated operation", func() {
+	It("accepts a repeated operation only once", func() {
 		t := faketable.New()
 		s := newStore(t)
-		first, _, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
+		first, _, err := s.AcceptChange(ctx, "op-1", single(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
-		again, change, err := s.AcceptChange(ctx, "op-1", one(team("a", 1, 0)))
+		repeated, change, err := s.AcceptChange(ctx, "op-1", single(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(change).To(BeNil())
-		Expect(again.Revision).To(Equal(first.Revision))
+		Expect(repeated.Revision).To(Equal(first.Revision))
 		Expect(t.Commits).To(Equal(1))
 	})
 
-	DescribeTable("refuses what would break references",
+	DescribeTable("refuses invalid references, deletions and fields",
 		func(r resource.Resource, want code.Code) {
 			s := newStore(faketable.New())
 			_, _, err := s.AcceptChange(ctx, "base", []resource.Resource{
@@ -107,26 +107,26 @@
 				{Kind: resource.KindTarget, Metadata: resource.Metadata{Name: "t"}, Spec: []byte(`{"pool":"p","address":"127.0.0.1:1"}`)},
 			})
 			Expect(err).NotTo(HaveOccurred())
-			_, _, err = s.AcceptChange(ctx, "op", one(r))
+			_, _, err = s.AcceptChange(ctx, "op", single(r))
 			Expect(codeOf(err)).To(Equal(want))
 		},
-		Entry("a target of no pool", resource.Resource{Kind: resource.KindTarget, Metadata: resource.Metadata{Name: "u"}, Spec: []byte(`{"pool":"q","address":"127.0.0.1:1"}`)}, code.BadReference),
-		Entry("a pool with targets deleted", resource.Resource{Kind: resource.KindPool, Deleted: true, Metadata: resource.Metadata{Name: "p", ResourceVersion: 1}}, code.BadReference),
-		Entry("deleting what is not there", resource.Resource{Kind: resource.KindTeam, Deleted: true, Metadata: resource.Metadata{Name: "x"}}, code.NoSuchResource),
+		Entry("a target whose pool does not exist", resource.Resource{Kind: resource.KindTarget, Metadata: resource.Metadata{Name: "u"}, Spec: []byte(`{"pool":"q","address":"127.0.0.1:1"}`)}, code.BadReference),
+		Entry("the deletion of a pool that has targets", resource.Resource{Kind: resource.KindPool, Deleted: true, Metadata: resource.Metadata{Name: "p", ResourceVersion: 1}}, code.BadReference),
+		Entry("the deletion of a resource that does not exist", resource.Resource{Kind: resource.KindTeam, Deleted: true, Metadata: resource.Metadata{Name: "x"}}, code.NoSuchResource),
 		Entry("an unknown field", resource.Resource{Kind: resource.KindTeam, Metadata: resource.Metadata{Name: "x"}, Spec: []byte(`{"wieght":1}`)}, code.BadResource),
 	)
 
-	// Symptom: an operator is told that a change failed, and it holds; or that it
-	// holds, and it does not; or one change is made twice. Sequence: replies are lost,
-	// writes arrive late, the store refuses, operators race, all at random. Cause: a
-	// lost reply is taken for a failure, or repeated blindly.
-	It("never says anything false about an operation, whatever the table does", func() {
+	// Guards against a change that is reported as failed but was accepted, one that is reported as
+	// accepted but was not, and one that is accepted twice. Replies and writes are lost, writes are
+	// delayed and calls are refused at random. A lost reply must neither count as a failure nor
+	// lead to an unconditional retry.
+	It("reports the outcome of an operation correctly under random faults of the table service", func() {
 		testkit.Check("1500", func(t *rapid.T) {
-			tab := faketable.New()
-			s := newStore(tab)
-			faulty := true
-			tab.Next = func(bool) faketable.Fault {
-				if !faulty {
+			table := faketable.New()
+			s := newStore(table)
+			injectFaults := true
+			table.Next = func(bool) faketable.Fault {
+				if !injectFaults {
 					return faketable.None
 				}
 				return rapid.SampledFrom([]faketable.Fault{
@@ -134,50 +134,50 @@
 					faketable.ReplyLost, faketable.WriteLost, faketable.WriteLate,
 				}).Draw(t, "fault")
 			}
-			said := make(map[string]error)
+			results := make(map[string]error)
 			for i := range 8 {
 				name := fmt.Sprintf("op-%d", i)
-				_, _, said[name] = s.AcceptChange(ctx, name, one(team(fmt.Sprintf("team-%d", i), 1, 0)))
+				_, _, results[name] = s.AcceptChange(ctx, name, single(team(fmt.Sprintf("team-%d", i), 1, 0)))
 			}
-			faulty = false
-			conf, err := s.Load(ctx)
+			injectFaults = false
+			config, err := s.Load(ctx)
 			if err != nil {
 				t.Fatal(err)
 			}
-			held := 0
-			for name, err := range said {
-				_, lookup := s.Operation(ctx, name)
+			accepted := 0
+			for name, err := range results {
+				_, lookupErr := s.Operation(ctx, name)
 				switch {
-				case err == nil && lookup != nil:
-					t.Fatalf("%s: said accepted, is not", name)
-				case codeOf(err) == code.StoreDown && lookup == nil:
-					t.Fatalf("%s: said not accepted, is", name)
+				case err == nil && lookupErr != nil:
+					t.Fatalf("%s: reported as accepted, but was not accepted", name)
+				case codeOf(err) == code.StoreDown && lookupErr == nil:
+					t.Fatalf("%s: reported as not accepted, but was accepted", name)
 				}
-				if lookup == nil {
-					held++
+				if lookupErr == nil {
+					accepted++
 				}
 			}
-			if int(conf.Revision) != held || len(conf.Resources) != held {
-				t.Fatalf("revision %d, %d resources, %d operations", conf.Revision, len(conf.Resources), held)
+			if int(config.Revision) != accepted || len(config.Resources) != accepted {
+				t.Fatalf("revision %d, %d resources, %d operations", config.Revision, len(config.Resources), accepted)
 			}
 		})
 	})
 })
 
 var _ = Describe("reading the configuration", func() {
-	It("returns the changes after a revision, or everything when they are gone", func() {
+	It("returns the changes after a revision, or the whole configuration if they are not stored any more", func() {
 		s := newStore(faketable.New())
 		for i := range 300 {
-			_, _, err := s.AcceptChange(ctx, fmt.Sprint(i), one(team(fmt.Sprintf("team-%d", i), 1, 0)))
+			_, _, err := s.AcceptChange(ctx, fmt.Sprint(i), single(team(fmt.Sprintf("team-%d", i), 1, 0)))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		changes, whole, err := s.ChangesSince(ctx, 298)
+		changes, snapshot, err := s.ChangesSince(ctx, 298)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(whole).To(BeNil())
+		Expect(snapshot).To(BeNil())
 		Expect(changes).To(HaveLen(2))
-		_, whole, err = s.ChangesSince(ctx, 5)
+		_, snapshot, err = s.ChangesSince(ctx, 5)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(whole.Revision).To(Equal(uint64(300)))
-		Expect(whole.Resources).To(HaveLen(300))
+		Expect(snapshot.Revision).To(Equal(uint64(300)))
+		Expect(snapshot.Resources).To(HaveLen(300))
 	})
 })
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -26,7 +26,7 @@
 type ConfigReader interface {
 	// ChangesSince returns the changes after a revision, or the whole configuration if these
 	// changes are not stored any more.
-	ChangesSince(ctx context.Context, after uint64) (changes []resource.Change, whole *configstore.Configuration, err error)
+	ChangesSince(ctx context.Context, after uint64) (changes []resource.Change, snapshot *configstore.Configuration, err error)
 }
 
 // Prober reads the status of targets.
@@ -208,10 +208,10 @@
 func (c *Control) readConfig(ctx context.Context, after uint64) {
 	ctx, cancel := context.WithTimeout(ctx, configReadTimeout)
 	defer cancel()
-	changes, whole, err := c.config.ChangesSince(ctx, after)
+	changes, snapshot, err := c.config.ChangesSince(ctx, after)
 	ev := core.StoreRead{Err: err != nil, Changes: changes}
-	if whole != nil {
-		ev.Snapshot = &core.Snapshot{Revision: whole.Revision, Resources: whole.Resources}
+	if snapshot != nil {
+		ev.Snapshot = &core.Snapshot{Revision: snapshot.Revision, Resources: snapshot.Resources}
 	}
 	if err != nil {
 		c.log.Line(eventlog.StoreReadFailed).Str("table", "configuration").Err(err).Msg("")
