--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -19,74 +19,77 @@
 )
 
 const (
-	// reconcileEvery is the pause between two looks at the planned changes.
-	reconcileEvery = time.Second
-	// orderTimeout bounds one call to a target.
-	orderTimeout = time.Second
-	// maxOperatorHeader bounds the header of an operator's request.
-	maxOperatorHeader = 16 << 10
-	// shutdownGrace bounds the wait for open operator requests.
-	shutdownGrace = 15 * time.Second
-	// readTimeout bounds reading an operator's request.
-	readTimeout = 15 * time.Second
+	// reconcileInterval is the interval between two passes over the planned changes.
+	reconcileInterval = time.Second
+	// targetTimeout is the timeout of one call to a target.
+	targetTimeout = time.Second
+	// maxOperatorHeaderBytes is the largest size of the header of an operator's request.
+	maxOperatorHeaderBytes = 16 << 10
+	// shutdownTimeout is the time after which a shutdown no longer waits for open requests of
+	// operators.
+	shutdownTimeout = 15 * time.Second
+	// operatorReadTimeout is the timeout for reading a request of an operator.
+	operatorReadTimeout = 15 * time.Second
 )
 
 // Controller is a running controller.
 type Controller struct {
-	log    *eventlog.Log
-	server *http.Server
-	failed chan error
-	stop   context.CancelFunc
+	log      *eventlog.Log
+	server   *http.Server
+	failures chan error
+	stop     context.CancelFunc
 }
 
-// StartController starts a controller.
+// StartController starts a controller and returns when it listens for operators.
 func StartController(s settings.Controller, log *eventlog.Log) (*Controller, error) {
 	store := tableservice.New(s.Platform.URL, s.Platform.Timeout.Std())
-	ids := make([]uint32, len(s.Peers))
+	routers := make([]uint32, len(s.Peers))
 	for i, p := range s.Peers {
-		ids[i] = p.ID
+		routers[i] = p.ID
 	}
-	peers := peer.NewCaller(addresses(s.Peers), peerTimeout, func(c net.Conn) net.Conn { return c })
-	ctl := controller.New(configstore.New(store, time.Now), peers, ids, log)
+	peers := peer.NewCaller(peerAddresses(s.Peers), peerTimeout, func(c net.Conn) net.Conn { return c })
+	ctl := controller.New(configstore.New(store, time.Now), peers, routers, log)
 	reconciler := controller.NewReconciler(
-		ctl, store, target.NewOrders(orderTimeout), s.ID, uuid.NewString(), s.Lease.Std(), log, time.Now)
-	l, err := listen(s.Listen)
+		ctl, store, target.NewOrders(targetTimeout), s.ID, uuid.NewString(), s.Lease.Std(), log, time.Now)
+	listener, err := listen(s.Listen)
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	c := &Controller{
-		log: log, failed: make(chan error, 1), stop: stop,
+		log: log, failures: make(chan error, 1), stop: stop,
 		server: &http.Server{
-			Handler:        operatorhttp.New(ctl, reconciler, ids).Handler(),
-			MaxHeaderBytes: maxOperatorHeader, ReadTimeout: readTimeout,
+			Handler:        operatorhttp.New(ctl, reconciler, routers).Handler(),
+			MaxHeaderBytes: maxOperatorHeaderBytes, ReadTimeout: operatorReadTimeout,
 		},
 	}
-	go serve(c.server, l, c.failed)
-	go reconcile(ctx, reconciler, log)
+	go serve(c.server, listener, c.failures)
+	go runReconciler(ctx, reconciler, log)
 	log.Line(eventlog.Started).Str("operators", s.Listen).Msg("")
 	return c, nil
 }
 
-func reconcile(ctx context.Context, r *controller.Reconciler, log *eventlog.Log) {
+// runReconciler runs a pass of the Reconciler every reconcileInterval until ctx is cancelled.
+func runReconciler(ctx context.Context, r *controller.Reconciler, log *eventlog.Log) {
 	for ctx.Err() == nil {
 		if err := r.Reconcile(ctx); err != nil && ctx.Err() == nil {
 			log.Line(eventlog.PlannedChangeFailed).Err(err).Msg("")
 		}
-		sleep(ctx, reconcileEvery)
+		sleep(ctx, reconcileInterval)
 	}
 }
 
-// Failures receives an error when the listener breaks.
-func (c *Controller) Failures() <-chan error { return c.failed }
+// Failures returns the channel on which the error of a failed listener arrives.
+func (c *Controller) Failures() <-chan error { return c.failures }
 
-// Shutdown finishes open requests, then stops. Leases run out by themselves.
+// Shutdown waits for open requests, at most for shutdownTimeout, and stops the controller. Its
+// leases are not released; they expire.
 func (c *Controller) Shutdown(ctx context.Context) {
-	began := time.Now()
+	startedAt := time.Now()
 	c.log.Line(eventlog.Stopping).Msg("")
-	ctx, cancel := context.WithTimeout(ctx, shutdownGrace)
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	_ = c.server.Shutdown(ctx)
 	c.stop()
-	c.log.Line(eventlog.Stopped).Dur("after", time.Since(began)).Msg("")
+	c.log.Line(eventlog.Stopped).Dur("after", time.Since(startedAt)).Msg("")
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -21,53 +21,57 @@
 
 // GatewaySettings are the settings of a gateway process.
 type GatewaySettings struct {
-	CallerAddress    string // address for callers
-	ReadinessAddress string // address for the balancer's checks
+	CallerAddress    string // for requests of callers
+	ReadinessAddress string // for readiness checks of the balancer
 	ReadinessPath    string
-	MetricsAddress   string // address of the metrics
-	MemoryBytes      int64  // what the process may use; 0 if unknown
-	// GracePeriod is how long after SIGTERM the process is killed.
+	MetricsAddress   string
+	MemoryBytes      int64 // memory limit of the process; 0 if unknown
+	// GracePeriod is the time between SIGTERM and the kill of the process.
 	GracePeriod time.Duration
 	Gateway     gateway.Settings
 }
 
 const (
-	// gatewayPeerTimeout bounds one copy between routers; most have a shorter bound of their own.
-	gatewayPeerTimeout = 2 * time.Second
-	// balancerLag is how long the balancer goes on sending new connections after the
-	// first failed check: it asks every second and takes a router out after two misses.
+	// copyTimeout is the timeout of a request for a table copy. Most requests have a shorter one of
+	// their own.
+	copyTimeout = 2 * time.Second
+	// balancerLag is the time for which the balancer still opens connections to a router after its
+	// first failed check. The balancer checks every second and removes a router after two failed
+	// checks.
 	balancerLag = 2100 * time.Millisecond
-	// drainPoll is the pause between looks whether the long requests have ended.
-	drainPoll = 20 * time.Millisecond
-	// graceMargin is kept between the end of a graceful shutdown and the kill.
+	// drainPollInterval is the interval at which a shutdown checks whether the requests that came
+	// before FinishBy have ended.
+	drainPollInterval = 20 * time.Millisecond
+	// graceMargin is the time between the latest end of a graceful shutdown and the kill.
 	graceMargin = 500 * time.Millisecond
-	// headerTimeout and idleTimeout bound slow and idle callers. Callers reuse
-	// connections that have been idle for many seconds, so these are generous.
+	// headerTimeout and idleTimeout close the connections of slow and idle callers. They are long
+	// because callers reuse connections that have been idle for many seconds.
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 60 * time.Second
-	// maxHeader is twice what the platform lets callers send.
-	maxHeader = 32 << 10
-	// memoryShare is the part of the process's memory at which the garbage collector
-	// works harder instead of letting the heap grow.
-	memoryShare = 0.5
-	// gcPercent keeps the heap small. Memory is paid for, and collections of the few
-	// megabytes that live take little processor time.
+	// maxHeaderBytes is twice the header size that the platform allows to callers.
+	maxHeaderBytes = 32 << 10
+	// memoryLimitShare is the soft memory limit of the Go runtime as a share of MemoryBytes. Near
+	// this limit the garbage collector runs more often, and the heap grows less.
+	memoryLimitShare = 0.5
+	// gcPercent keeps the heap small. Memory has a price, and a collection of the few megabytes in
+	// use takes little processor time.
 	gcPercent = 50
 )
 
 // Gateway is a running gateway.
 type Gateway struct {
-	settings GatewaySettings
-	log      *eventlog.Log
-	control  *gateway.Control
-	links    *peer.Datagrams
-	servers  []*http.Server // callers first
-	callers  *gatewayhttp.Connections
-	failed   chan error
-	stop     context.CancelFunc
+	settings          GatewaySettings
+	log               *eventlog.Log
+	control           *gateway.Control
+	digestSocket      *peer.Datagrams
+	servers           []*http.Server // the first one serves the callers
+	callerConnections *gatewayhttp.Connections
+	failures          chan error
+	stop              context.CancelFunc
 }
 
-// Platform is what a gateway needs of the platform.
+// Platform has the parts of a gateway that depend on the platform: the table store, the decoder of
+// its rows, and the headers of callers and targets.
 type Platform struct {
 	Store   gateway.Store
 	Decoder gateway.Decoder
@@ -77,52 +81,53 @@
 	}
 }
 
-// StartGateway starts a gateway.
+// StartGateway starts a gateway and returns when it listens.
 func StartGateway(s GatewaySettings, p Platform, m *metrics.Gateway, log *eventlog.Log) (*Gateway, error) {
 	debug.SetGCPercent(gcPercent)
 	if s.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &Gateway{settings: s, log: log, callers: gatewayhttp.NewConnections(), failed: make(chan error, 5), stop: stop}
-	links, err := peer.ListenDatagrams(s.Gateway.Address)
+	g := &Gateway{settings: s, log: log, callerConnections: gatewayhttp.NewConnections(), failures: make(chan error, 5), stop: stop}
+	digestSocket, err := peer.ListenDatagrams(s.Gateway.Address)
 	if err != nil {
 		stop()
 		return nil, err
 	}
-	g.links = links
-	up := upstream.New(upstream.DefaultSettings(), time.Now, m.Dialed)
-	use := &linkUse{digests: links, link: s.Gateway.LinkBytes, log: log, metrics: m}
-	peers := &gatewayPeers{Datagrams: links, Copier: peer.NewCopier(gatewayPeerTimeout, use.fetched.Wrap)}
-	g.control = gateway.NewControl(s.Gateway, p.Store, p.Decoder, peers, up, log, time.Now)
-	relay := gateway.NewRelay(g.control, p.Wire, up, m, log, time.Now)
-	front := gatewayhttp.New(relay, g.control, p.Wire, time.Now, m.Refused)
-	if err := g.listen(front, m, use); err != nil {
+	g.digestSocket = digestSocket
+	targets := upstream.New(upstream.DefaultSettings(), time.Now, m.Dialed)
+	reporter := &linkReporter{digests: digestSocket, capacity: s.Gateway.LinkBytes, log: log, metrics: m}
+	peers := &peerClient{Datagrams: digestSocket, Copier: peer.NewCopier(copyTimeout, reporter.fetched.Wrap)}
+	g.control = gateway.NewControl(s.Gateway, p.Store, p.Decoder, peers, targets, log, time.Now)
+	relay := gateway.NewRelay(g.control, p.Wire, targets, m, log, time.Now)
+	callerServer := gatewayhttp.New(relay, g.control, p.Wire, time.Now, m.Refused)
+	if err := g.startServers(callerServer, m, reporter); err != nil {
 		stop()
 		return nil, err
 	}
-	use.status = g.control.Status
-	go use.run(ctx)
-	go g.receive(ctx)
+	reporter.status = g.control.Status
+	go reporter.run(ctx)
+	go g.receiveDigests(ctx)
 	go g.control.Run(ctx)
 	log.Line(eventlog.Started).Str("callers", s.CallerAddress).Str("peers", s.Gateway.Address).Msg("")
 	return g, nil
 }
 
-// gatewayPeers joins the two ways to other routers.
-type gatewayPeers struct {
+// peerClient sends digests as datagrams and requests table copies over HTTP.
+type peerClient struct {
 	*peer.Datagrams
 	*peer.Copier
 }
 
-func (g *Gateway) receive(ctx context.Context) {
-	err := g.links.Receive(func(from string, m *peerv1.Digest) { g.control.Digest(ctx, from, m) })
+// receiveDigests passes the digests of other routers to the control until the socket is closed.
+func (g *Gateway) receiveDigests(ctx context.Context) {
+	err := g.digestSocket.Receive(func(from string, m *peerv1.Digest) { g.control.Digest(ctx, from, m) })
 	if err != nil {
-		g.failed <- err
+		g.failures <- err
 	}
 }
 
-// Handle answers other routers' messages.
+// Handle answers a copy request of another router.
 func (g *Gateway) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
 	req, ok := m.(*peerv1.CopyRequest)
 	if !ok {
@@ -131,36 +136,37 @@
 	return g.control.Copy(ctx, req)
 }
 
-func (g *Gateway) listen(front *gatewayhttp.Server, m *metrics.Gateway, use *linkUse) error {
+// startServers opens the listeners and starts the servers.
+func (g *Gateway) startServers(callerServer *gatewayhttp.Server, m *metrics.Gateway, reporter *linkReporter) error {
 	peerMux := http.NewServeMux()
 	peerMux.Handle(peer.NewHandler(g, peer.Uncompressed()))
-	for _, one := range []struct {
+	for _, entry := range []struct {
 		address string
 		server  *http.Server
 		wrap    func(net.Listener) net.Listener
 	}{
-		{g.settings.CallerAddress, &http.Server{Handler: front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ConnState: g.callers.Changed},
-			g.callers.Listen},
-		{g.settings.ReadinessAddress, &http.Server{Handler: front.Readiness(g.settings.ReadinessPath)}, nil},
+		{g.settings.CallerAddress, &http.Server{Handler: callerServer, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: g.callerConnections.Changed},
+			g.callerConnections.Listen},
+		{g.settings.ReadinessAddress, &http.Server{Handler: callerServer.Readiness(g.settings.ReadinessPath)}, nil},
 		{g.settings.Gateway.Address, &http.Server{Handler: peerMux, Protocols: peer.Protocols()},
-			func(l net.Listener) net.Listener { return peer.Listen(use.served.Listen(l)) }},
+			func(l net.Listener) net.Listener { return peer.Listen(reporter.served.Listen(l)) }},
 		{g.settings.MetricsAddress, &http.Server{Handler: m.Handler(g.control.Status)}, nil},
 	} {
-		l, err := listen(one.address)
+		listener, err := listen(entry.address)
 		if err != nil {
 			return err
 		}
-		if one.wrap != nil {
-			l = one.wrap(l)
+		if entry.wrap != nil {
+			listener = entry.wrap(listener)
 		}
-		g.servers = append(g.servers, one.server)
-		go serve(one.server, l, g.failed)
+		g.servers = append(g.servers, entry.server)
+		go serve(entry.server, listener, g.failures)
 	}
 	return nil
 }
 
-// Reload puts changed bounds in force. Addresses can't change while the process runs;
-// a change of them takes effect at the next start.
+// Reload applies the bounds of changed settings. A changed address takes effect at the next start.
+// If err is not nil, Reload only logs it.
 func (g *Gateway) Reload(s GatewaySettings, err error) {
 	if err != nil {
 		g.log.Line(eventlog.ReloadRejected).Err(err).Msg("")
@@ -171,40 +177,42 @@
 		Float64("load_multiple", s.Gateway.LoadMultiple).Msg("")
 }
 
-// Failed receives an error when a listener breaks.
-func (g *Gateway) Failed() <-chan error { return g.failed }
+// Failures returns the channel on which the error of a failed listener or socket arrives.
+func (g *Gateway) Failures() <-chan error { return g.failures }
 
-// Shutdown stops gracefully: unready at once, serving until the balancer has noticed,
-// then only what ends in time, and ending with the last request that came before. The
-// callers' port stays open until then: while few routers are ready the balancer sends
-// to stopping ones as well, and a closed port would cost those callers a try.
+// Shutdown stops the gateway gracefully. First the gateway becomes unready, but accepts all
+// requests until balancerLag has passed. Then it accepts only requests that will end before the
+// deadline, and waits for the requests that came earlier. The port for callers stays open until
+// these have ended: while few routers are ready, the balancer also sends requests to routers that
+// are shutting down, and a closed port would cost these callers an attempt.
 func (g *Gateway) Shutdown(ctx context.Context) {
-	began := time.Now()
+	startedAt := time.Now()
 	g.log.Line(eventlog.Stopping).Msg("")
 	g.control.Leave(ctx)
 	sleep(ctx, balancerLag)
-	by := began.Add(g.settings.GracePeriod - graceMargin)
-	graceful, cancel := context.WithDeadline(ctx, by)
+	deadline := startedAt.Add(g.settings.GracePeriod - graceMargin)
+	graceCtx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	g.control.FinishBy(by)
-	for g.control.Early() > 0 && graceful.Err() == nil {
-		sleep(graceful, drainPoll)
+	g.control.FinishBy(deadline)
+	for g.control.Early() > 0 && graceCtx.Err() == nil {
+		sleep(graceCtx, drainPollInterval)
 	}
-	if err := g.callers.End(graceful, g.servers[0]); err != nil {
+	if err := g.callerConnections.End(graceCtx, g.servers[0]); err != nil {
 		g.log.Line(eventlog.RequestsCut).Err(err).Msg("")
 	}
-	if err := g.control.Unlist(graceful); err != nil {
+	if err := g.control.Unlist(graceCtx); err != nil {
 		g.log.Line(eventlog.ListFailed).Err(err).Msg("")
 	}
 	g.stop()
-	_ = g.links.Close()
-	g.log.Line(eventlog.Stopped).Dur("after", time.Since(began)).Msg("")
+	_ = g.digestSocket.Close()
+	g.log.Line(eventlog.Stopped).Dur("after", time.Since(startedAt)).Msg("")
 }
 
-// Kill ends the process's work at once, as a lost VM does.
+// Kill stops the gateway immediately, without telling other routers or callers. Tests use it to
+// simulate the loss of a VM.
 func (g *Gateway) Kill() {
 	g.stop()
-	_ = g.links.Close()
+	_ = g.digestSocket.Close()
 	for _, s := range g.servers {
 		_ = s.Close()
 	}
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -10,71 +10,76 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// linkEvery is how often a router tells what its own messages took of its link: often enough to tell a
-// calm spell from a wave of copies, at a fifth of a line a second.
-const linkEvery = 5 * time.Second
+// linkReportInterval is the interval between log lines about the use of a router's link. It is
+// short enough to show a burst of table copies, and costs 0.2 log lines a second.
+const linkReportInterval = 5 * time.Second
 
-// linkUse counts the bytes between routers, and tells whom this one hears. One that hears few places requests by their
-// load alone, and looks well otherwise. A link that they fill holds up the news of leaving targets and the
-// requests themselves, and everything at that router times out; nothing else would show why.
-type linkUse struct {
+// linkReporter reports the bytes that this router exchanges with other routers and the number of
+// routers from which it receives digests directly. It shows the causes of two faults that have no
+// other sign. A router that receives digests from few routers places requests by the load that
+// these few report, and looks healthy otherwise. A link that is filled by messages between routers
+// delays the departure reports and the requests, and everything at that router times out.
+type linkReporter struct {
 	digests *peer.Datagrams
-	// served are the copies that others asked for, fetched those that this router asked for.
+	// served counts the table copies that other routers requested, fetched those that this router
+	// requested.
 	served, fetched metrics.Traffic
-	link            int64 // bytes a second each way; 0 if unknown
+	capacity        int64 // bytes per second in each direction; 0 if unknown
 	log             *eventlog.Log
 	metrics         *metrics.Gateway
-	last            linkBytes
+	lastTotals      byteCounts
 	status          func() gateway.Status
 }
 
-// linkBytes are bytes by kind and direction.
-type linkBytes struct{ digestsIn, digestsOut, copiesIn, copiesOut int64 }
+// byteCounts are numbers of bytes by kind and direction.
+type byteCounts struct{ digestsIn, digestsOut, copiesIn, copiesOut int64 }
 
-func (u *linkUse) run(ctx context.Context) {
-	ticker := time.NewTicker(linkEvery)
+// run reports every linkReportInterval until ctx is cancelled.
+func (r *linkReporter) run(ctx context.Context) {
+	ticker := time.NewTicker(linkReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			u.tell()
+			r.report()
 		}
 	}
 }
 
-// tell logs and counts what was carried since it did so last.
-func (u *linkUse) tell() {
-	now := u.total()
-	d := linkBytes{
-		digestsIn: now.digestsIn - u.last.digestsIn, digestsOut: now.digestsOut - u.last.digestsOut,
-		copiesIn: now.copiesIn - u.last.copiesIn, copiesOut: now.copiesOut - u.last.copiesOut,
+// report logs the bytes since the previous report and adds them to the metrics.
+func (r *linkReporter) report() {
+	totals := r.totals()
+	delta := byteCounts{
+		digestsIn: totals.digestsIn - r.lastTotals.digestsIn, digestsOut: totals.digestsOut - r.lastTotals.digestsOut,
+		copiesIn: totals.copiesIn - r.lastTotals.copiesIn, copiesOut: totals.copiesOut - r.lastTotals.copiesOut,
 	}
-	u.last = now
-	for _, one := range []struct {
-		kind string
-		n    int64
+	r.lastTotals = totals
+	for _, counter := range []struct {
+		kind  string
+		bytes int64
 	}{
-		{"digests_in", d.digestsIn}, {"digests_out", d.digestsOut}, {"copies_in", d.copiesIn}, {"copies_out", d.copiesOut},
+		{"digests_in", delta.digestsIn}, {"digests_out", delta.digestsOut}, {"copies_in", delta.copiesIn}, {"copies_out", delta.copiesOut},
 	} {
-		u.metrics.PeerBytes(one.kind, one.n)
+		r.metrics.PeerBytes(counter.kind, counter.bytes)
 	}
-	s := u.status()
-	line := u.log.Line(eventlog.LinkUse).Int("peers", s.Peers).Int("heard", s.Heard).Str("feeder", s.Feeder).Dur("fed_ago", s.FedAge).
-		Int64("unsent", u.digests.Lost()).Int64("digests_in", d.digestsIn).Int64("digests_out", d.digestsOut).
-		Int64("copies_in", d.copiesIn).Int64("copies_out", d.copiesOut)
-	if u.link > 0 {
-		most := max(d.digestsIn+d.copiesIn, d.digestsOut+d.copiesOut)
-		line = line.Float64("share", float64(most)/(float64(u.link)*linkEvery.Seconds()))
+	status := r.status()
+	line := r.log.Line(eventlog.LinkUse).Int("peers", status.Peers).Int("heard", status.Heard).Str("feeder", status.Feeder).Dur("fed_ago", status.FedAge).
+		Int64("unsent", r.digests.Lost()).Int64("digests_in", delta.digestsIn).Int64("digests_out", delta.digestsOut).
+		Int64("copies_in", delta.copiesIn).Int64("copies_out", delta.copiesOut)
+	if r.capacity > 0 {
+		busierDirection := max(delta.digestsIn+delta.copiesIn, delta.digestsOut+delta.copiesOut)
+		line = line.Float64("share", float64(busierDirection)/(float64(r.capacity)*linkReportInterval.Seconds()))
 	}
 	line.Msg("")
 }
 
-func (u *linkUse) total() linkBytes {
-	var b linkBytes
-	b.digestsIn, b.digestsOut = u.digests.Bytes()
-	b.copiesIn = u.served.BytesIn.Load() + u.fetched.BytesIn.Load()
-	b.copiesOut = u.served.BytesOut.Load() + u.fetched.BytesOut.Load()
-	return b
+// totals returns the bytes since the start.
+func (r *linkReporter) totals() byteCounts {
+	var counts byteCounts
+	counts.digestsIn, counts.digestsOut = r.digests.Bytes()
+	counts.copiesIn = r.served.BytesIn.Load() + r.fetched.BytesIn.Load()
+	counts.copiesOut = r.served.BytesOut.Load() + r.fetched.BytesOut.Load()
+	return counts
 }
--- a/internal/daemon/link_test.go
+++ b/internal/daemon/link_test.go
@@ -20,30 +20,30 @@
 
 func TestSuite(t *testing.T) { testkit.Run(t, "daemon") }
 
-var _ = Describe("what routers' messages take of a link", func() {
-	It("is told by kind and direction since the last line, and counted", func() {
-		here, err := peer.ListenDatagrams("127.0.0.1:0")
+var _ = Describe("the use of a link by messages between routers", func() {
+	It("is logged by kind and direction since the previous line, and counted", func() {
+		socket, err := peer.ListenDatagrams("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		defer here.Close()
-		var log bytes.Buffer
+		defer socket.Close()
+		var logged bytes.Buffer
 		now := time.Unix(1000, 0)
 		m := metrics.NewGateway(time.Now)
-		u := &linkUse{digests: here, link: 1000, log: eventlog.New(zerolog.New(&log), func() time.Time { return now }), metrics: m,
+		reporter := &linkReporter{digests: socket, capacity: 1000, log: eventlog.New(zerolog.New(&logged), func() time.Time { return now }), metrics: m,
 			status: func() gateway.Status {
 				return gateway.Status{Peers: 194, Heard: 3, Feeder: "10.0.0.9:1", FedAge: 80 * time.Millisecond}
 			}}
-		here.Send([]string{"127.0.0.1:9", "127.0.0.1:9"}, &peerv1.Digest{Known: [][]byte{{1, 2, 3}}}, nil)
-		var out int64
-		Eventually(func() int64 { _, out = here.Bytes(); return out }).Should(Equal(int64(2*(28+5))), "two digests with their headers")
-		u.served.BytesOut.Add(2500)
-		u.fetched.BytesIn.Add(700)
-		u.tell()
-		Expect(log.String()).To(MatchRegexp(`"event":"link","peers":194,"heard":3,"feeder":"10.0.0.9:1","fed_ago":80,"unsent":0,"digests_in":0,"digests_out":%d,"copies_in":700,"copies_out":2500,"share":0\.5\d+`, out))
-		log.Reset()
-		now = now.Add(linkEvery)
-		u.served.BytesOut.Add(5)
-		u.tell()
-		Expect(log.String()).To(ContainSubstring(`"digests_out":0,"copies_in":0,"copies_out":5,"share":0.001`))
+		socket.Send([]string{"127.0.0.1:9", "127.0.0.1:9"}, &peerv1.Digest{Known: [][]byte{{1, 2, 3}}}, nil)
+		var digestBytesOut int64
+		Eventually(func() int64 { _, digestBytesOut = socket.Bytes(); return digestBytesOut }).Should(Equal(int64(2*(28+5))), "two digests with their headers")
+		reporter.served.BytesOut.Add(2500)
+		reporter.fetched.BytesIn.Add(700)
+		reporter.report()
+		Expect(logged.String()).To(MatchRegexp(`"event":"link","peers":194,"heard":3,"feeder":"10.0.0.9:1","fed_ago":80,"unsent":0,"digests_in":0,"digests_out":%d,"copies_in":700,"copies_out":2500,"share":0\.5\d+`, digestBytesOut))
+		logged.Reset()
+		now = now.Add(linkReportInterval)
+		reporter.served.BytesOut.Add(5)
+		reporter.report()
+		Expect(logged.String()).To(ContainSubstring(`"digests_out":0,"copies_in":0,"copies_out":5,"share":0.001`))
 		w := httptest.NewRecorder()
 		m.Handler(func() gateway.Status { return gateway.Status{} }).ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 		Expect(w.Body.String()).To(ContainSubstring(`hemlockdyke_peer_bytes_total{kind="copies_out"} 2505`))
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -22,57 +22,57 @@
 )
 
 const (
-	// peerTimeout bounds one call to another router.
+	// peerTimeout is the timeout of one call to another router.
 	peerTimeout = time.Second
-	// probeTimeout bounds one look at a target's own count.
+	// probeTimeout is the timeout for reading the status of a target.
 	probeTimeout = 500 * time.Millisecond
 )
 
 // Router is a running router.
 type Router struct {
-	settings settings.Router
-	log      *eventlog.Log
-	control  *router.Control
-	traffic  *router.Forwarder
-	requests *metrics.Requests
-	bytes    *metrics.Traffic
-	callers  *http.Server
-	peers    *http.Server
-	admin    *http.Server
-	failed   chan error
-	stop     context.CancelFunc
+	settings       settings.Router
+	log            *eventlog.Log
+	control        *router.Control
+	forwarder      *router.Forwarder
+	requestMetrics *metrics.Requests
+	peerTraffic    *metrics.Traffic
+	callers        *http.Server
+	peers          *http.Server
+	admin          *http.Server
+	failures       chan error
+	stop           context.CancelFunc
 }
 
-// StartRouter starts a router. The incarnation must rise with every start of the
-// same router; the wall clock in nanoseconds does.
+// StartRouter starts a router and returns when it listens. incarnation must increase with each
+// start of the same router. The wall clock in nanoseconds can be used.
 func StartRouter(s settings.Router, incarnation uint64, log *eventlog.Log) (*Router, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &Router{
-		settings: s, log: log, requests: metrics.NewRequests(), bytes: &metrics.Traffic{},
-		failed: make(chan error, 3), stop: stop,
+		settings: s, log: log, requestMetrics: metrics.NewRequests(), peerTraffic: &metrics.Traffic{},
+		failures: make(chan error, 3), stop: stop,
 	}
 	store := tableservice.New(s.Platform.URL, s.Platform.Timeout.Std())
 	r.control = router.NewControl(
 		core.New(time.Now(), coreSettings(s, incarnation)),
-		peer.NewCaller(addresses(s.Peers), peerTimeout, r.bytes.Wrap),
+		peer.NewCaller(peerAddresses(s.Peers), peerTimeout, r.peerTraffic.Wrap),
 		configstore.New(store, time.Now), target.NewOrders(probeTimeout), log, time.Now,
 	)
 	targets := target.New(target.DefaultSettings())
-	r.traffic = router.NewForwarder(r.control, targets, log, time.Now, s.Limits.StreamSilence.Std())
+	r.forwarder = router.NewForwarder(r.control, targets, log, time.Now, s.Limits.StreamSilence.Std())
 	burn := router.NewBurnRecorder(r.control, s.ID, log, time.Now)
 	claims := router.NewClaims(store, r.control, s.ID, incarnation, log, time.Now)
-	caller := callerhttp.New(callerhttp.Settings{
+	callerServer := callerhttp.New(callerhttp.Settings{
 		MaxBodyBytes: s.Limits.MaxBodyBytes, DefaultDeadline: s.Limits.DefaultDeadline.Std(),
-	}, r.control, r.traffic, claims, observers{r.requests, burn}, log, time.Now)
+	}, r.control, r.forwarder, claims, observers{r.requestMetrics, burn}, log, time.Now)
 	r.callers = &http.Server{
-		Handler: caller.Handler(), MaxHeaderBytes: s.Limits.MaxHeaderBytes,
+		Handler: callerServer.Handler(), MaxHeaderBytes: s.Limits.MaxHeaderBytes,
 		ReadTimeout: s.Limits.ReadTimeout.Std(), ReadHeaderTimeout: s.Limits.ReadTimeout.Std(),
 	}
 	peerMux := http.NewServeMux()
 	peerMux.Handle(peer.NewHandler(burn))
 	r.peers = &http.Server{Handler: peerMux, Protocols: peer.Protocols()}
 	r.admin = &http.Server{Handler: r.adminHandler()}
-	if err := r.listen(); err != nil {
+	if err := r.startServers(); err != nil {
 		stop()
 		return nil, err
 	}
@@ -81,22 +81,23 @@
 	return r, nil
 }
 
-// observers tells several observers of each request.
+// observers is an Observer that passes each result to several observers.
 type observers []callerhttp.Observer
 
-// Observe tells every observer how a request ended.
+// Observe passes the result of a request to each observer.
 func (o observers) Observe(req router.Request, result router.Result) {
-	for _, one := range o {
-		one.Observe(req, result)
+	for _, observer := range o {
+		observer.Observe(req, result)
 	}
 }
 
+// coreSettings returns the settings of the router core.
 func coreSettings(s settings.Router, incarnation uint64) core.Settings {
-	ids := make([]uint32, len(s.Peers))
+	routers := make([]uint32, len(s.Peers))
 	for i, p := range s.Peers {
-		ids[i] = p.ID
+		routers[i] = p.ID
 	}
-	c := core.DefaultSettings(s.ID, ids)
+	c := core.DefaultSettings(s.ID, routers)
 	c.Incarnation = incarnation
 	c.Seed = incarnation
 	c.GossipInterval = s.Control.GossipInterval.Std()
@@ -107,7 +108,8 @@
 	return c
 }
 
-func addresses(peers []settings.Peer) map[uint32]string {
+// peerAddresses returns the addresses of routers by ID.
+func peerAddresses(peers []settings.Peer) map[uint32]string {
 	out := make(map[uint32]string, len(peers))
 	for _, p := range peers {
 		out[p.ID] = p.Address
@@ -115,63 +117,64 @@
 	return out
 }
 
-func (r *Router) listen() error {
-	for _, one := range []struct {
+// startServers opens the listeners and starts the servers.
+func (r *Router) startServers() error {
+	for _, entry := range []struct {
 		server  *http.Server
 		address string
 		wrap    func(net.Listener) net.Listener
 	}{
 		{r.callers, r.settings.Listen.Callers, nil},
-		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.Listen(r.bytes.Listen(l)) }},
+		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.Listen(r.peerTraffic.Listen(l)) }},
 		{r.admin, r.settings.Listen.Admin, nil},
 	} {
-		l, err := listen(one.address)
+		listener, err := listen(entry.address)
 		if err != nil {
 			return err
 		}
-		if one.wrap != nil {
-			l = one.wrap(l)
+		if entry.wrap != nil {
+			listener = entry.wrap(listener)
 		}
-		go serve(one.server, l, r.failed)
+		go serve(entry.server, listener, r.failures)
 	}
 	return nil
 }
 
+// adminHandler serves the metrics and the status of the router as JSON.
 func (r *Router) adminHandler() http.Handler {
-	m := mux.NewRouter()
-	m.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
+	routes := mux.NewRouter()
+	routes.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = r.requests.WriteJSON(w)
+		_ = r.requestMetrics.WriteJSON(w)
 	})
-	m.HandleFunc("/status", func(w http.ResponseWriter, _ *http.Request) {
+	routes.HandleFunc("/status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(struct {
 			router.Status
 			Control metrics.ControlBytes `json:"control"`
-		}{r.control.Status(r.settings.ID), r.bytes.Snapshot()})
+		}{r.control.Status(r.settings.ID), r.peerTraffic.Snapshot()})
 	})
-	return m
+	return routes
 }
 
-// Failures receives an error when a listener breaks.
-func (r *Router) Failures() <-chan error { return r.failed }
+// Failures returns the channel on which the error of a failed listener arrives.
+func (r *Router) Failures() <-chan error { return r.failures }
 
-// Shutdown stops gracefully. The router is unready first and goes on serving for
-// the balancer's lag, since the balancer keeps sending for a while; then open
-// requests finish, and only then the peer service ends, because open requests
-// still give tickets back and this router may own pools.
+// Shutdown stops the router gracefully. First the router becomes unready. It still accepts requests
+// until the balancer has stopped sending them. Then it waits for open requests. The peer service
+// ends last, as open requests release their tickets and this router may own pools.
 func (r *Router) Shutdown(ctx context.Context) {
-	began := time.Now()
+	startedAt := time.Now()
 	r.log.Line(eventlog.Stopping).Msg("")
 	r.control.Leave()
 	sleep(ctx, r.settings.Shutdown.BalancerLag.Std())
-	graceful, cancel := context.WithTimeout(ctx, r.settings.Shutdown.Grace.Std())
+	graceCtx, cancel := context.WithTimeout(ctx, r.settings.Shutdown.Grace.Std())
 	defer cancel()
-	if err := r.callers.Shutdown(graceful); err != nil {
-		r.log.Line(eventlog.RequestsCut).Int64("open", r.traffic.OpenRequests()).Err(err).Msg("")
+	if err := r.callers.Shutdown(graceCtx); err != nil {
+		r.log.Line(eventlog.RequestsCut).Int64("open", r.forwarder.OpenRequests()).Err(err).Msg("")
 	}
-	_ = r.peers.Shutdown(graceful)
-	_ = r.admin.Shutdown(graceful)
+	_ = r.peers.Shutdown(graceCtx)
+	_ = r.admin.Shutdown(graceCtx)
 	r.stop()
-	r.log.Line(eventlog.Stopped).Dur("after", time.Since(began)).Msg("")
+	r.log.Line(eventlog.Stopped).Dur("after", time.Since(startedAt)).Msg("")
 }
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -1,5 +1,5 @@
-// Package daemon wires the binaries: listeners, adapters, the application, and
-// the order of a graceful shutdown.
+// Package daemon assembles the processes of the binaries from listeners, adapters and the
+// application, and implements their start and graceful shutdown.
 package daemon
 
 import (
@@ -11,19 +11,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// serve runs an HTTP server on a listener until it is shut down.
-func serve(server *http.Server, l net.Listener, failed chan<- error) {
-	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		failed <- err
+// serve runs an HTTP server on a listener until the server is shut down. Any other error is sent to
+// failures.
+func serve(server *http.Server, listener net.Listener, failures chan<- error) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		failures <- err
 	}
 }
 
+// listen opens a TCP listener.
 func listen(address string) (net.Listener, error) {
-	l, err := net.Listen("tcp", address)
-	return l, errors.Wrapf(err, "listen on %s", address)
+	listener, err := net.Listen("tcp", address)
+	return listener, errors.Wrapf(err, "listen on %s", address)
 }
 
-// sleep waits for d or until ctx ends.
+// sleep waits until d has passed or ctx is cancelled.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/daemon/stop.go
+++ b/internal/daemon/stop.go
@@ -11,13 +11,14 @@
 
 // Process is a running daemon.
 type Process interface {
-	// Failures receives an error when a listener breaks.
+	// Failures returns the channel on which the error of a failed listener arrives.
 	Failures() <-chan error
-	// Shutdown stops gracefully.
+	// Shutdown stops the process gracefully.
 	Shutdown(ctx context.Context)
 }
 
-// RunUntilStopped waits for SIGTERM, SIGINT or a failure, then shuts down.
+// RunUntilStopped waits for SIGTERM, SIGINT or the failure of a listener, then shuts the process
+// down.
 func RunUntilStopped(p Process, log *eventlog.Log) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -29,20 +30,20 @@
 	p.Shutdown(context.Background())
 }
 
-// RunGateway is RunUntilStopped for a gateway, which also reads its settings again on
-// SIGHUP. Bad ones change nothing.
-func RunGateway(g *Gateway, load func() (GatewaySettings, error), log *eventlog.Log) {
+// RunGateway is RunUntilStopped for a gateway. On SIGHUP it also reloads the settings with
+// loadSettings. Invalid settings change nothing.
+func RunGateway(g *Gateway, loadSettings func() (GatewaySettings, error), log *eventlog.Log) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	hangup := make(chan os.Signal, 1)
-	signal.Notify(hangup, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	for {
 		select {
-		case <-hangup:
-			g.Reload(load())
+		case <-hangups:
+			g.Reload(loadSettings())
 			continue
 		case <-ctx.Done():
-		case err := <-g.Failed():
+		case err := <-g.Failures():
 			log.Line(eventlog.ListenerFailed).Err(err).Msg("")
 		}
 		g.Shutdown(context.Background())
