--- a/internal/app/configstore/configstore.go
+++ b/internal/app/configstore/configstore.go
@@ -176,6 +176,7 @@
 	return op, nil
 }
 
+// storeDownError returns an error with the code StoreDown.
 func storeDownError(err error) error { return code.New(code.StoreDown, "table service: %s", err) }
 
 // AcceptChange writes resources to the configuration. name is the operation name that the
@@ -194,7 +195,7 @@
 			return op, nil, err
 		}
 		op, change, err := s.tryAcceptChange(ctx, name, resources)
-		if errors.Is(err, errHeadMoved) {
+		if errors.Is(err, errHeadChanged) {
 			continue
 		}
 		return op, change, err
@@ -202,8 +203,8 @@
 	return resource.Operation{}, nil, code.New(code.Conflict, "other changes were accepted during each attempt; try again")
 }
 
-// checkUnique refuses a change that has two versions of a resource. The result would depend on
-// their order, and a target that is created twice would become two targets.
+// checkUnique refuses a change that has a resource twice. The result would depend on the order of
+// the two, and a target that is created twice would become two targets.
 func checkUnique(resources []resource.Resource) error {
 	seen := make(map[resource.Key]bool, len(resources))
 	for _, r := range resources {
@@ -224,10 +225,10 @@
 	return code.OK
 }
 
-// errHeadMoved means that another change was accepted first.
-var errHeadMoved = errors.New("configuration head has changed")
+// errHeadChanged means that another change was accepted first.
+var errHeadChanged = errors.New("configuration head has changed")
 
-// tryAcceptChange makes one attempt to accept a change. It returns errHeadMoved if another change
+// tryAcceptChange makes one attempt to accept a change. It returns errHeadChanged if another change
 // was accepted first.
 func (s *Store) tryAcceptChange(ctx context.Context, name string, resources []resource.Resource) (resource.Operation, *resource.Change, error) {
 	noOperation := resource.Operation{}
@@ -289,12 +290,13 @@
 	return r, nil
 }
 
-// maxResources is the largest number of resources in one change.
-const maxResources = 1 << 16
+// uidsPerRevision is the number of UIDs that belong to one revision, and so the largest number of
+// resources in a change that keeps UIDs unique.
+const uidsPerRevision = 1 << 16
 
 // newUID returns the UID of a resource that is created at a revision. index is the position of the
-// resource in the change. UIDs are unique as long as index is less than maxResources.
-func newUID(revision uint64, index int) uint64 { return revision*maxResources + uint64(index) + 1 }
+// resource in the change. UIDs are unique as long as index is less than uidsPerRevision.
+func newUID(revision uint64, index int) uint64 { return revision*uidsPerRevision + uint64(index) + 1 }
 
 // resourceExists reports whether a resource exists once the change is accepted. changed are the
 // resources of the change. An error of the table service counts as a missing resource.
@@ -309,8 +311,8 @@
 }
 
 // checkPoolUnused refuses to delete a pool that still has targets, as requests in progress at these
-// targets would lose their pool. r is the deleted resource, and changed are the resources of
-// the change.
+// targets would lose their pool. r is the deleted resource, and changed are the resources of the
+// change.
 func (s *Store) checkPoolUnused(ctx context.Context, r resource.Resource, changed []resource.Resource) error {
 	if r.Kind != resource.KindPool {
 		return nil
@@ -370,7 +372,7 @@
 	case err == nil:
 		return nil
 	case errors.Is(err, port.ErrConflict):
-		return errHeadMoved
+		return errHeadChanged
 	case errors.Is(err, port.ErrOutcomeUnknown):
 		return code.New(code.ChangeUnknown, "no reply from the table service; look up operation %q", name)
 	default:
--- a/internal/app/configstore/configstore_test.go
+++ b/internal/app/configstore/configstore_test.go
@@ -55,7 +55,7 @@
 
 	// Guards against a lost change. Two operators read the same version of a resource and both
 	// write it. The second write would overwrite the first one unnoticed.
-	It("refuses a change that is based on an older version", func() {
+	It("fails if the change is based on an older version", func() {
 		s := newStore(faketable.New())
 		_, _, err := s.AcceptChange(ctx, "op-1", single(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
@@ -65,7 +65,7 @@
 
 	// Guards against a lost change. Another change is accepted between the check of the version and
 	// the write. It is lost if check and write are not one transaction.
-	It("refuses a change if another one is accepted before its write", func() {
+	It("fails if another change is accepted before the write", func() {
 		t := faketable.New()
 		s := newStore(t)
 		_, _, err := s.AcceptChange(ctx, "op-1", single(team("a", 1, 0)))
@@ -81,13 +81,13 @@
 
 	// Guards against a pool that treats one target as two. A file has the target twice, and each
 	// occurrence would get a UID of its own.
-	It("refuses a change that has a resource twice", func() {
+	It("fails if the change has a resource twice", func() {
 		s := newStore(faketable.New())
 		_, _, err := s.AcceptChange(ctx, "op", []resource.Resource{team("a", 1, 0), team("a", 2, 0)})
 		Expect(codeOf(err)).To(Equal(code.BadResource))
 	})
 
-	It("accepts a repeated operation only once", func() {
+	It("makes no second change for a repeated operation", func() {
 		t := faketable.New()
 		s := newStore(t)
 		first, _, err := s.AcceptChange(ctx, "op-1", single(team("a", 1, 0)))
@@ -99,7 +99,7 @@
 		Expect(t.Commits).To(Equal(1))
 	})
 
-	DescribeTable("refuses invalid references, deletions and fields",
+	DescribeTable("fails for invalid references, deletions and fields",
 		func(r resource.Resource, want code.Code) {
 			s := newStore(faketable.New())
 			_, _, err := s.AcceptChange(ctx, "base", []resource.Resource{
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -51,9 +51,9 @@
 	Behind   []uint32 `json:"behind"`  // routers that did not answer or have an older revision
 }
 
-// callTimeout is the time for which a call to several routers waits for replies. The operator gets
-// an answer after this time at the latest. Routers that a push has not reached by then get the
-// change by gossip or by polling the store.
+// callTimeout is the time for which a call to several routers waits for replies, while an operator
+// waits for the answer. Routers that a push has not reached by then get the change by gossip or by
+// polling the store.
 const callTimeout = time.Second
 
 // PushFanout is the largest number of routers to which a controller pushes a change. These routers
@@ -98,6 +98,8 @@
 	return c.compareRevisions(revision, revisions)
 }
 
+// compareRevisions returns the status of a revision's rollout. revisions has the revision of each
+// router that answered.
 func (c *Controller) compareRevisions(revision uint64, revisions map[uint32]uint64) RolloutStatus {
 	out := RolloutStatus{Revision: revision, Listed: len(c.routers), Behind: []uint32{}}
 	for _, id := range c.routers {
--- a/internal/app/controller/reconciler.go
+++ b/internal/app/controller/reconciler.go
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// maxIntervalExponent bounds the interval between two checks of a change: it is at most 2 to the
-// power of maxIntervalExponent passes.
+// maxIntervalExponent bounds the interval between two checks of a change. The interval is at most 2
+// to the power of maxIntervalExponent passes.
 const maxIntervalExponent = 6
 
 // isDue reports whether the current pass checks a change. The controller that ranks first for the
@@ -186,6 +186,8 @@
 	return nil
 }
 
+// markLeaving marks a target as leaving in the configuration. The name of the operation contains
+// the target's version, so a repeated operation makes no second change.
 func (r *Reconciler) markLeaving(ctx context.Context, target resource.Resource, spec resource.TargetSpec) error {
 	if spec.Leaving {
 		return nil
@@ -216,8 +218,8 @@
 }
 
 // acquireLease acquires or renews the lease of a change. It returns nil if another process holds
-// the lease. If the target doesn't check fencing numbers, a lease is taken over later, by the
-// lifetime of an order: an order of the previous holder has then expired.
+// the lease. If the target doesn't check fencing numbers, an expired lease is taken over only after
+// the time for which an order is valid, as all orders of the previous holder have expired by then.
 func (r *Reconciler) acquireLease(ctx context.Context, name string, checksFencing bool) (*lease.Lease, error) {
 	l, ok := r.leases[name]
 	if !ok {
@@ -261,6 +263,7 @@
 	}
 }
 
+// readStatus returns the stored status of a planned change and the version of its row.
 func (r *Reconciler) readStatus(ctx context.Context, name string) (plannedchange.Status, uint64, error) {
 	var s plannedchange.Status
 	version, err := r.readJSON(ctx, statusPrefix+name, &s)
@@ -284,7 +287,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return row.Version, errors.Wrapf(json.Unmarshal(row.Value, into), "row %s", key)
+	return row.Version, errors.Wrapf(json.Unmarshal(row.Value, into), "decode row %s", key)
 }
 
 // putJSON writes a row on the condition that its version is still the given one.
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -36,13 +36,13 @@
 	ID         string
 	Pool       *routing.Pool
 	Team       string
-	Chat       uint64
+	Chat       uint64 // hash of the team and chat, or of the request's ID if it has no chat
 	Priority   fairqueue.Priority
 	Deadline   time.Time
 	Idempotent bool
 	Stream     bool
 	Method     string
-	Path       string
+	Path       string // with the query
 	Header     http.Header
 	Body       []byte
 }
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -40,7 +40,7 @@
 	stop     context.CancelFunc
 }
 
-// StartController starts a controller and returns when it listens for operators.
+// StartController starts a controller and returns once its port is open.
 func StartController(s settings.Controller, log *eventlog.Log) (*Controller, error) {
 	store := tableservice.New(s.Platform.URL, s.Platform.Timeout.Std())
 	routers := make([]uint32, len(s.Peers))
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// StartGateway starts a gateway and returns when it listens.
+// StartGateway starts a gateway and returns once its ports are open.
 func StartGateway(s GatewaySettings, p Platform, m *metrics.Gateway, log *eventlog.Log) (*Gateway, error) {
 	debug.SetGCPercent(gcPercent)
 	if s.MemoryBytes > 0 {
@@ -208,8 +208,8 @@
 	g.log.Line(eventlog.Stopped).Dur("after", time.Since(startedAt)).Msg("")
 }
 
-// Kill stops the gateway immediately, without telling other routers or callers. Tests use it to
-// simulate the loss of a VM.
+// Kill stops the gateway immediately, without a graceful shutdown. Tests use it to simulate the
+// loss of a VM.
 func (g *Gateway) Kill() {
 	g.stop()
 	_ = g.digestSocket.Close()
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -15,10 +15,10 @@
 const linkReportInterval = 5 * time.Second
 
 // linkReporter reports the bytes that this router exchanges with other routers and the number of
-// routers from which it receives digests directly. It shows the causes of two faults that have no
-// other sign. A router that receives digests from few routers places requests by the load that
+// routers from which it receives digests directly. It makes two faults visible that nothing else
+// shows. A router that receives digests from few routers places requests only by the load that
 // these few report, and looks healthy otherwise. A link that is filled by messages between routers
-// delays the departure reports and the requests, and everything at that router times out.
+// delays departure reports and requests, and all requests at that router time out.
 type linkReporter struct {
 	digests *peer.Datagrams
 	// served counts the table copies that other routers requested, fetched those that this router
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -43,8 +43,8 @@
 	stop           context.CancelFunc
 }
 
-// StartRouter starts a router and returns when it listens. incarnation must increase with each
-// start of the same router. The wall clock in nanoseconds can be used.
+// StartRouter starts a router and returns once its ports are open. incarnation must increase with
+// each start of the same router. The wall clock in nanoseconds meets this.
 func StartRouter(s settings.Router, incarnation uint64, log *eventlog.Log) (*Router, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &Router{
