--- a/internal/app/router/burn.go
+++ b/internal/app/router/burn.go
@@ -14,12 +14,12 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// maxBurnSeries bounds the number of team and pool pairs of one router.
+// maxBurnSeries is the largest number of team and pool pairs that one router measures.
 const maxBurnSeries = 2000
 
-// Burn measures the service level of a router's requests. It is safe for
-// concurrent use.
-type Burn struct {
+// BurnRecorder measures the service level of a router's requests and reports it to the controllers.
+// It is safe for concurrent use.
+type BurnRecorder struct {
 	mu      sync.Mutex
 	tracker *burn.Tracker
 	control *Control
@@ -28,14 +28,14 @@
 	now     func() time.Time
 }
 
-// NewBurn returns an empty Burn.
-func NewBurn(control *Control, self uint32, log *eventlog.Log, now func() time.Time) *Burn {
-	return &Burn{tracker: burn.NewTracker(now(), maxBurnSeries), control: control, self: self, log: log, now: now}
+// NewBurnRecorder returns a BurnRecorder without counts.
+func NewBurnRecorder(control *Control, self uint32, log *eventlog.Log, now func() time.Time) *BurnRecorder {
+	return &BurnRecorder{tracker: burn.NewTracker(now(), maxBurnSeries), control: control, self: self, log: log, now: now}
 }
 
-// Observe counts how a request ended. One whose caller left says nothing of the
-// service.
-func (b *Burn) Observe(req Request, result Result) {
+// Observe counts the result of a request. It ignores requests whose caller disconnected, as they
+// don't show the service level.
+func (b *BurnRecorder) Observe(req Request, result Result) {
 	if result.Code == code.CallerGone {
 		return
 	}
@@ -43,14 +43,14 @@
 	if team, ok := b.control.Table().Team(req.Team); ok {
 		objective = time.Duration(team.Spec.FirstTokenMillis) * time.Millisecond
 	}
-	good := burn.MetServiceLevel(result.Code == code.OK, result.FirstPart, objective)
+	good := burn.MetServiceLevel(result.Code == code.OK, result.FirstPartLatency, objective)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tracker.RecordRequest(b.now(), burn.Key{Pool: req.Pool.Name, Team: req.Team}, good, result.FirstPart)
+	b.tracker.RecordRequest(b.now(), burn.Key{Pool: req.Pool.Name, Team: req.Team}, good, result.FirstPartLatency)
 }
 
-// Handle answers requests for the counts and passes all other messages on.
-func (b *Burn) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
+// Handle answers a BurnRequest with the counts and passes all other messages to the Control.
+func (b *BurnRecorder) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
 	if _, ok := m.(*peerv1.BurnRequest); !ok {
 		return b.control.Handle(ctx, m)
 	}
@@ -58,12 +58,14 @@
 	defer b.mu.Unlock()
 	resp := &peerv1.BurnResponse{Router: b.self}
 	for _, s := range b.tracker.Samples(b.now()) {
-		resp.Series = append(resp.Series, b.toWire(s))
+		resp.Series = append(resp.Series, b.encodeSeries(s))
 	}
 	return resp, nil
 }
 
-func (b *Burn) toWire(s burn.Sample) *peerv1.BurnSeries {
+// encodeSeries encodes the sample of one team and pool. If its histogram can't be encoded, the
+// series has the counts only.
+func (b *BurnRecorder) encodeSeries(s burn.Sample) *peerv1.BurnSeries {
 	encoded, err := s.Histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
 		b.log.Line(eventlog.BurnIncomplete).Str("pool", s.Key.Pool).Str("team", s.Key.Team).Err(err).Msg("")
