--- a/cmd/hemlockdyke-router/main.go
+++ b/cmd/hemlockdyke-router/main.go
@@ -44,13 +44,13 @@
 }
 
 func runOnPlatform(app *kingpin.Application) {
-	s, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
+	s, err := platform.LoadSettings(os.Getenv(platform.SettingsPathEnv))
 	app.FatalIfError(err, "settings")
 	out := eventlog.NewWriter(os.Stdout)
 	defer out.Close()
 	log := eventlog.New(logging.NewGateway(out, s.Gateway.Gateway.Name), time.Now)
 	reload := func() (daemon.GatewaySettings, error) {
-		again, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
+		again, err := platform.LoadSettings(os.Getenv(platform.SettingsPathEnv))
 		return again.Gateway, err
 	}
 	m := metrics.NewGateway(time.Now)
