--- a/internal/app/gateway/answer.go
+++ b/internal/app/gateway/answer.go
@@ -17,42 +17,42 @@
 // maxBufferedBody is the largest answer, in bytes, that is buffered before it is sent.
 const maxBufferedBody = 16 << 20
 
-// forwardBuffered sends an answer after reading all of it. A truncated body must not reach the caller
-// as a complete one.
-func (t *targetAttempt) forwardBuffered(answer *upstream.Answer, reply Reply) attempt.Action {
-	x := t.request
+// forwardBuffered sends an answer to the caller after reading all of it. A truncated body must not
+// reach the caller as a complete one.
+func (t *targetAttempt) forwardBuffered(answer *upstream.Answer, info AnswerInfo) attempt.Action {
+	r := t.request
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBody+1))
 	switch {
-	case x.ctx.Err() != nil && err != nil:
+	case r.ctx.Err() != nil && err != nil:
 		return t.endByContext()
 	case err != nil:
-		t.failBroken("truncated", err)
+		t.recordBrokenConnection("truncated", err)
 	case len(body) > maxBufferedBody:
-		t.fail("too_large", nil)
-	case !reply.Sealed && answer.Status < http.StatusMultipleChoices:
-		t.fail("not_sealed", nil)
+		t.recordFailure("too_large", nil)
+	case !info.Sealed && answer.Status < http.StatusMultipleChoices:
+		t.recordFailure("not_sealed", nil)
 	case impliesNotExecuted(answer.Status):
-		t.fail("false_promise", nil)
+		t.recordFailure("false_promise", nil)
 	case answer.Status >= http.StatusInternalServerError:
 		return t.handleTargetError(answer, body)
 	default:
 		t.outcome = placement.Answered
 		t.recordFirstEvent(true)
-		t.recordExecuted(answer, reply.Sealed)
-		return t.passAnswer(answer, body)
+		t.recordAnswer(answer, info.Sealed)
+		return t.forwardAnswer(answer, body)
 	}
-	return x.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
+	return r.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
 }
 
-// recordExecuted records that the target executed the request and is still running. An answer
-// without a length ends with the connection, exactly as it does when the process exits. Such an
-// answer does not clear the request of suspicion; the target is probed instead.
-func (t *targetAttempt) recordExecuted(answer *upstream.Answer, sealed bool) {
+// recordAnswer clears the request of suspicion, as the target executed it and is still running. An
+// answer without a length does not show that: it ends with the connection, as it also does when the
+// process exits. The target is probed instead.
+func (t *targetAttempt) recordAnswer(answer *upstream.Answer, sealed bool) {
 	switch {
 	case !answer.Framed:
 		t.checkTargetExit(io.EOF)
 	case sealed:
-		t.request.proxy.traffic.poisonGuard.recordExecuted(t.request.proxy.now(), t.request.fingerprint)
+		t.request.proxy.traffic.poisonGuard.recordAnswer(t.request.proxy.now(), t.request.fingerprint)
 	}
 }
 
@@ -70,19 +70,20 @@
 // target; the answer is kept in case no target succeeds.
 func (t *targetAttempt) handleTargetError(answer *upstream.Answer, body []byte) attempt.Action {
 	t.outcome, t.failure = placement.Errored, "target_error"
-	x := t.request
-	if !x.match.route.AllowsRetry() {
-		return t.passAnswer(answer, body)
+	r := t.request
+	if !r.match.route.AllowsRetry() {
+		return t.forwardAnswer(answer, body)
 	}
-	x.targetError = &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
-	return x.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
+	r.targetError = &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
+	return r.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
 }
 
-func (t *targetAttempt) passAnswer(answer *upstream.Answer, body []byte) attempt.Action {
-	x := t.request
-	x.machine.Step(attempt.Part{Attempt: t.number, Echo: t.number})
-	x.sendAnswer(answer.Status, answer.Header, body)
-	return x.machine.Step(attempt.End{Attempt: t.number, Echo: t.number, Total: 1})
+// forwardAnswer sends a complete answer to the caller.
+func (t *targetAttempt) forwardAnswer(answer *upstream.Answer, body []byte) attempt.Action {
+	r := t.request
+	r.machine.Step(attempt.Part{Attempt: t.number, Echo: t.number})
+	r.sendAnswer(answer.Status, answer.Header, body)
+	return r.machine.Step(attempt.End{Attempt: t.number, Echo: t.number, Total: 1})
 }
 
 // streamProgress records how much of a stream the caller has received.
@@ -94,8 +95,8 @@
 // streamReadSize is the size of the buffer for reading a stream, in bytes.
 const streamReadSize = 8 << 10
 
-// forwardStream sends complete events as they arrive. An incomplete event is held back: if the target
-// stops in the middle of it, another target sends the whole event again.
+// forwardStream sends complete events to the caller as they arrive. An incomplete event is held
+// back: if the target stops in the middle of it, another target sends the whole event again.
 func (t *targetAttempt) forwardStream(answer *upstream.Answer) attempt.Action {
 	var pending []byte
 	chunk := make([]byte, streamReadSize)
@@ -104,7 +105,7 @@
 		if n > 0 {
 			t.timer.Stop()
 			pending = append(pending, chunk[:n]...)
-			rest, action := t.passEvents(answer, pending)
+			rest, action := t.forwardEvents(answer, pending)
 			if action.Kind == attempt.Finish {
 				return action
 			}
@@ -120,9 +121,9 @@
 // eventEnd is the separator that ends an event in a text/event-stream.
 var eventEnd = []byte("\n\n")
 
-// passEvents sends the complete events in data and returns the rest.
-func (t *targetAttempt) passEvents(answer *upstream.Answer, data []byte) ([]byte, attempt.Action) {
-	x := t.request
+// forwardEvents sends the complete events in data to the caller and returns the rest of data.
+func (t *targetAttempt) forwardEvents(answer *upstream.Answer, data []byte) ([]byte, attempt.Action) {
+	r := t.request
 	completeBytes := 0
 	for {
 		n := bytes.Index(data[completeBytes:], eventEnd)
@@ -130,8 +131,8 @@
 			break
 		}
 		completeBytes += n + len(eventEnd)
-		x.machine.Step(attempt.Part{Attempt: t.number, Echo: t.number, Offset: x.stream.events})
-		x.stream.events++
+		r.machine.Step(attempt.Part{Attempt: t.number, Echo: t.number, Offset: r.stream.events})
+		r.stream.events++
 		t.events++
 	}
 	if completeBytes == 0 {
@@ -139,18 +140,18 @@
 	}
 	t.recordFirstEvent(true)
 	if t.firstEventAt.IsZero() {
-		t.firstEventAt = x.proxy.now()
+		t.firstEventAt = r.proxy.now()
 		t.answering.Store(true)
 	}
 	if id, ok := findLastEventID(data[:completeBytes]); ok {
-		x.stream.lastEventID = id
+		r.stream.lastEventID = id
 	}
-	if x.firstByteAt.IsZero() {
-		x.firstByteAt, x.status = x.proxy.now(), answer.Status
-		x.responder.SendHeader(answer.Status, answer.Header, -1)
+	if r.firstByteAt.IsZero() {
+		r.firstByteAt, r.status = r.proxy.now(), answer.Status
+		r.responder.SendHeader(answer.Status, answer.Header, -1)
 	}
-	if err := x.responder.Write(data[:completeBytes]); err != nil {
-		return nil, x.machine.Step(attempt.CallerDisconnected{})
+	if err := r.responder.Write(data[:completeBytes]); err != nil {
+		return nil, r.machine.Step(attempt.CallerDisconnected{})
 	}
 	return data[completeBytes:], attempt.Action{}
 }
@@ -168,33 +169,35 @@
 	return string(bytes.TrimSpace(line)), true
 }
 
+// endStream ends the attempt after a read error, which is io.EOF at the end of the body. pending is
+// the incomplete event that was read last.
 func (t *targetAttempt) endStream(answer *upstream.Answer, pending []byte, err error) attempt.Action {
-	x := t.request
+	r := t.request
 	switch {
 	case errors.Is(err, io.EOF) && (answer.Framed || len(pending) == 0):
 		// An answer without a length ends with the connection. A broken one ends with a reset or in
 		// the middle of an event.
 		t.outcome = placement.Answered
-		t.recordExecuted(answer, true)
-		if x.firstByteAt.IsZero() {
-			x.sendAnswer(answer.Status, answer.Header, pending)
+		t.recordAnswer(answer, true)
+		if r.firstByteAt.IsZero() {
+			r.sendAnswer(answer.Status, answer.Header, pending)
 		} else if len(pending) > 0 {
-			_ = x.responder.Write(pending) // a write error also cancels the caller's context
+			_ = r.responder.Write(pending) // a write error also cancels the caller's context
 		}
-		return x.machine.Step(attempt.End{Attempt: t.number, Echo: t.number, Total: x.stream.events})
-	case x.ctx.Err() != nil:
+		return r.machine.Step(attempt.End{Attempt: t.number, Echo: t.number, Total: r.stream.events})
+	case r.ctx.Err() != nil:
 		return t.endByContext()
 	}
-	t.failBroken("stream_cut", err)
-	return x.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
+	t.recordBrokenConnection("stream_cut", err)
+	return r.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
 }
 
-// A silent target is given a multiple of the route's objective. An idempotent request is then
-// retried while enough time remains. Any other request keeps waiting, but the target's silence is
-// recorded for placement.
+// A target counts as silent after a multiple of the route's objective. The silence is recorded for
+// placement, as a failure of the target. An idempotent request is then retried if its route allows
+// another attempt; admission checks that enough time remains. Any other request keeps waiting.
 const (
-	firstByteTimeoutFactor = 2.0
-	eventGapTimeoutFactor  = 3.0
+	answerTimeoutFactor   = 2.0
+	eventGapTimeoutFactor = 3.0
 	// minSilenceTimeout covers the normal variation in a healthy target's response time.
 	minSilenceTimeout = 250 * time.Millisecond
 	// maxSilenceTimeout ends a stream attempt before its caller gives up. Callers give up after at
@@ -206,14 +209,14 @@
 	return min(max(time.Duration(float64(objective)*factor), minSilenceTimeout), maxSilenceTimeout)
 }
 
-// startSilenceTimer starts the timeout for the first byte of the answer.
+// startSilenceTimer starts the timer for the whole answer, or for the first part of a stream.
 func (t *targetAttempt) startSilenceTimer() {
-	wait := silenceTimeout(t.request.match.route.Objective, firstByteTimeoutFactor)
+	wait := silenceTimeout(t.request.match.route.Objective, answerTimeoutFactor)
 	t.silence.SetDeadline(t.startedAt.Add(wait))
 	t.timer = time.AfterFunc(wait, t.onSilenceTimer)
 }
 
-// resetSilenceTimer starts the timeout for the next part of a stream. The timer is stopped while a
+// resetSilenceTimer restarts the timer for the next part of a stream. The timer is stopped while a
 // part is written to the caller, so that a slow caller is not taken for a silent target.
 func (t *targetAttempt) resetSilenceTimer() {
 	wait := silenceTimeout(t.request.match.route.GapObjective, eventGapTimeoutFactor)
@@ -225,11 +228,11 @@
 
 // onSilenceTimer runs when the silence timer expires.
 func (t *targetAttempt) onSilenceTimer() {
-	x := t.request
+	r := t.request
 	t.mu.Lock()
-	silent := t.silence.IsSilent(x.proxy.now())
+	silent := t.silence.IsSilent(r.proxy.now())
 	if !silent {
-		t.silence.SetDeadline(x.proxy.now().Add(minSilenceTimeout))
+		t.silence.SetDeadline(r.proxy.now().Add(minSilenceTimeout))
 	}
 	t.mu.Unlock()
 	if !silent {
@@ -239,10 +242,10 @@
 	t.mu.Lock()
 	t.silenceCounted = true
 	t.mu.Unlock()
-	if x.proxy.traffic.recordSilence(x.proxy.now(), t.choice.Target.UID) {
-		x.logLine(eventlog.TargetSuspended).Str("target", t.choice.Target.ID).Str("why", "silent").Msg("")
+	if r.proxy.traffic.recordSilence(r.proxy.now(), t.choice.Target.UID) {
+		r.logLine(eventlog.TargetSuspended).Str("target", t.choice.Target.ID).Str("why", "silent").Msg("")
 	}
-	if x.match.route.AllowsRetry() && x.match.route.MaxAttempts > t.number {
+	if r.match.route.AllowsRetry() && r.match.route.MaxAttempts > t.number {
 		t.cancel(errSilent)
 	}
 }
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	// removedGraceShare is the fraction of MaxDepartureDelay for which a target remains in use
-	// after its removal from the target list. The rest of the delay is left for the departure to
-	// reach all routers.
-	removedGraceShare = 0.35
-	// lapsedGrace is how long after a store outage entries may take to return if they expired
-	// during the outage. It is also the longest time for which their targets remain in use.
-	lapsedGrace = 2500 * time.Millisecond
+	// retentionShare is the fraction of MaxLeavingDelay for which a target remains in use after its
+	// removal from the target list. The rest of the delay is left for the departure to reach all
+	// routers.
+	retentionShare = 0.35
+	// outageRetention is how long targets remain in use if they are removed from the target list
+	// during a store outage or just after it, since their entries may only have expired. It is also
+	// how long after the outage this applies: by then, the entries of running targets are back.
+	outageRetention = 2500 * time.Millisecond
 	// storeCallTimeout bounds calls to the store that do not wait for changes.
 	storeCallTimeout = 2 * time.Second
 )
@@ -43,11 +44,12 @@
 	inbox   chan func(now time.Time)
 	stopped chan struct{}
 
-	// The fields below are owned by the control goroutine.
+	// The fields below are owned by the control goroutine, except copyServer, routerListRead and
+	// suspectsChanged, which are safe for concurrent use.
 	ctx              context.Context // passed to Run
 	core             *fleet.Core
-	roster           *placement.TargetSet
-	targets          *targetCache
+	targetSet        *placement.TargetSet
+	cachedTargets    *targetCache
 	copyServer       *copyServer
 	rejections       *rejectionLog
 	departures       departureQueue
@@ -56,14 +58,14 @@
 	desiredVersion   uint64 // version of the applied desired state
 	maxAlive         int    // largest number of routers alive at once
 	startedAt        time.Time
-	routerListRead   atomic.Bool // the store's router list has been read
+	routerListRead   atomic.Bool // the store's router list has been read at least once
 	otherRouters     []string    // other routers known to placement; nil if not known yet
-	appliedAt        time.Time
+	desiredAppliedAt time.Time
 	evacuatedCount   int // number of evacuated data centres
 	targetsChangedAt time.Time
 
-	poisonReportPending bool          // poison reports from other routers must be forwarded
-	suspectsChanged     chan struct{} // wakes syncSuspects after a change
+	poisonReportPending bool          // poison reports from other routers must be forwarded at once
+	suspectsChanged     chan struct{} // wakes maintainStoredSuspects after a change
 }
 
 // inboxSize is the capacity of the control goroutine's inbox. Senders block when it is full.
@@ -72,14 +74,14 @@
 // NewControl returns a Control. Run starts it.
 func NewControl(s Settings, store Store, decoder Decoder, peers Peers, up Upstream, log *eventlog.Log, now func() time.Time) *Control {
 	incarnation := rand.Uint64()
-	board := placement.DefaultSettings(s.DataCentre)
-	board.LoadMultiple, board.LoadSlack = s.LoadMultiple, s.LoadSlack
-	board.ColdMultiple, board.ColdSlack = s.ColdMultiple, s.ColdSlack
+	placementSettings := placement.DefaultSettings(s.DataCentre)
+	placementSettings.LoadMultiple, placementSettings.LoadSlack = s.LoadMultiple, s.LoadSlack
+	placementSettings.ColdMultiple, placementSettings.ColdSlack = s.ColdMultiple, s.ColdSlack
 	return &Control{
 		startedAt: now(),
 		settings:  s, store: store, decoder: decoder, peers: peers, upstream: up, log: log, now: now,
 		traffic: &trafficState{
-			board:        placement.New(board, rand.New(rand.NewPCG(incarnation, 1))),
+			balancer:     placement.New(placementSettings, rand.New(rand.NewPCG(incarnation, 1))),
 			gates:        make(map[string]*admission.Gate),
 			retryBudgets: make(map[string]*retry.Window), retryWindow: s.RetryWindow,
 			retryLimits:  retry.Limits{Ratio: s.RetryRatio, Slack: s.RetrySlack, Routers: initialSlackSharers(s.FirstStart)},
@@ -88,13 +90,13 @@
 		suspectsChanged: make(chan struct{}, 1),
 		inbox:           make(chan func(time.Time), inboxSize), stopped: make(chan struct{}),
 		core: fleet.New(now(), fleet.Settings{
-			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadsAtStart: s.ReadStoreAtStart,
-			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.MaxApplyDelay, MaxLeavingDelay: s.MaxDepartureDelay,
+			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadsAtStart: s.ReadsAtStart,
+			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.MaxApplyDelay, MaxLeavingDelay: s.MaxLeavingDelay,
 		}),
-		copyServer: newCopyServer(fleet.NewCopyBudget(now(), s.LinkBytesPerSecond)),
-		roster:     placement.NewTargetSet(),
-		targets:    newTargetCache(decoder),
-		rejections: newRejectionLog(log),
+		copyServer:    newCopyServer(fleet.NewCopyBudget(now(), s.LinkBytesPerSecond)),
+		targetSet:     placement.NewTargetSet(),
+		cachedTargets: newTargetCache(decoder),
+		rejections:    newRejectionLog(log),
 	}
 }
 
@@ -107,7 +109,7 @@
 	}
 	c.ctx = ctx
 	go c.maintainRegistration(ctx)
-	go c.syncSuspects(ctx)
+	go c.maintainStoredSuspects(ctx)
 	if len(c.settings.Seeds) > 0 {
 		c.handleEvent(ctx, c.now(), fleet.AddressesDiscovered{Addresses: toFleetAddresses(c.settings.Seeds)})
 	}
@@ -126,43 +128,43 @@
 	}
 }
 
+// tick runs the periodic work. It is called every fleet.TickInterval.
 func (c *Control) tick(ctx context.Context, now time.Time) {
 	c.tickPoisonGuard(now)
 	content := c.traffic.digestContent(now)
 	content.UrgentReports = c.takeReports(now)
 	c.handleEvent(ctx, now, content)
 	c.traffic.mu.Lock()
-	c.traffic.board.ExpireReports(now)
+	c.traffic.balancer.ExpireReports(now)
 	c.traffic.mu.Unlock()
-	if c.roster.RemoveExpired(now, c.removedGracePeriods(now)) {
+	if c.targetSet.RemoveExpired(now, c.targetRetention(now)) {
 		c.publishTargets(now)
 	}
 	c.probeExitedTargets(ctx, now)
 	c.updateOtherRouters(now)
-	c.upstream.Prune(c.roster.HasLifetime)
+	c.upstream.Prune(c.targetSet.HasLifetime)
 	c.updateSlackSharers(now)
 }
 
-// removedGracePeriods returns how long targets remain in use after their removal from the target
-// list.
-func (c *Control) removedGracePeriods(now time.Time) placement.Retention {
-	k := placement.Retention{AfterRemoval: time.Duration(removedGraceShare * float64(c.settings.MaxDepartureDelay))}
+// targetRetention returns how long targets remain in use after their removal from the target list.
+func (c *Control) targetRetention(now time.Time) placement.Retention {
+	retention := placement.Retention{AfterRemoval: time.Duration(retentionShare * float64(c.settings.MaxLeavingDelay))}
 	outage := c.core.InStoreOutage(now)
 	if outage {
 		since, until := c.core.LastOutage()
-		k.AfterOutageRemoval, k.OutageStart, k.OutageEnd = lapsedGrace, since, until.Add(lapsedGrace)
+		retention.AfterOutageRemoval, retention.OutageStart, retention.OutageEnd = outageRetention, since, until.Add(outageRetention)
 	}
 	if ablate.IsOff(ablate.RemovalGrace) {
-		k = placement.Retention{}
+		retention = placement.Retention{}
 	}
-	c.traffic.removedGrace.Store(int64(max(k.AfterRemoval, k.AfterOutageRemoval)))
+	c.traffic.retentionNanos.Store(int64(max(retention.AfterRemoval, retention.AfterOutageRemoval)))
 	c.traffic.storeOutage.Store(outage)
-	return k
+	return retention
 }
 
 // initialSlackSharers returns the number of routers that share the retry slack when this router
-// starts. It is 0, so that no slack is used, unless the whole fleet starts for the first time. An
-// earlier process may have used the slack a moment ago.
+// starts. It is 0 unless the whole fleet starts for the first time: this router then uses no slack
+// yet, because an earlier process may have used it a moment ago.
 func initialSlackSharers(firstStart bool) int {
 	if firstStart {
 		return 1
@@ -184,8 +186,8 @@
 	c.traffic.retryLimits.Routers = n
 }
 
-// updateOtherRouters passes the known routers to placement after the warm-up hold time. A router
-// that hears no other waits until it has read the store's router list. Otherwise partitioned
+// updateOtherRouters passes the known routers to placement once warmup.StartupDelay is over. A
+// router that hears no other waits until it has read the store's router list. Otherwise partitioned
 // routers would each assume that they are the only one.
 func (c *Control) updateOtherRouters(now time.Time) {
 	if now.Sub(c.startedAt) < warmup.StartupDelay || (c.otherRouters == nil && !c.routerListRead.Load() && c.core.AliveCount(now) == 0) {
@@ -193,7 +195,7 @@
 	}
 	if known := addressStrings(c.core.PeerAddresses()); c.otherRouters == nil || !slices.Equal(known, c.otherRouters) {
 		c.otherRouters = known
-		c.traffic.setRouters(warmup.NewFleet(c.settings.Address, known))
+		c.traffic.setFleet(warmup.NewFleet(c.settings.Address, known))
 	}
 }
 
@@ -202,6 +204,7 @@
 	c.submit(func(now time.Time) { c.handleEvent(ctx, now, ev) })
 }
 
+// submit queues f for the control goroutine. It drops f if that goroutine has stopped.
 func (c *Control) submit(f func(now time.Time)) {
 	select {
 	case c.inbox <- f:
@@ -209,6 +212,7 @@
 	}
 }
 
+// handleEvent passes an event to the core and executes the resulting actions.
 func (c *Control) handleEvent(ctx context.Context, now time.Time, ev fleet.Event) {
 	for _, a := range c.core.Step(now, ev) {
 		c.execute(ctx, now, a)
@@ -222,9 +226,9 @@
 // takeReports returns the reports to send in the next digest.
 func (c *Control) takeReports(now time.Time) fleet.UrgentReports {
 	c.poisonReportPending = false
-	n := c.traffic.poisonGuard.takeReport(now)
-	n.Departures = c.departures.takeBatch()
-	return n
+	reports := c.traffic.poisonGuard.takeReport(now)
+	reports.Departures = c.departures.takeBatch()
+	return reports
 }
 
 // reportDeparture sends a departure detected by request traffic to the other routers at once.
@@ -251,11 +255,11 @@
 	case fleet.TableChanged:
 		c.applyTable(now, a)
 	case fleet.ReportReceived:
-		c.applyLoadReport(now, a)
+		c.applyReport(now, a)
 	case fleet.ReportsDiscarded:
 		c.traffic.forgetLoads(a.Sources)
 	case fleet.SuspectsSynced:
-		c.traffic.poisonGuard.markSuspectsKnown()
+		c.traffic.poisonGuard.markSuspectsSynced()
 	case fleet.RoleChanged:
 		c.log.Line(eventlog.RoleChanged).Bool("relay", a.Relay).Str("feeder", string(a.Feeder)).Msg("")
 	case fleet.PeerUp:
@@ -268,15 +272,16 @@
 	}
 }
 
-// applyLoadReport applies loads, outcomes, departures and poison reports from another router.
-func (c *Control) applyLoadReport(now time.Time, a fleet.ReportReceived) {
+// applyReport applies what another router reported: loads, outcomes, prefix reads, departures and
+// poison reports.
+func (c *Control) applyReport(now time.Time, a fleet.ReportReceived) {
 	var ejected []string
 	c.traffic.mu.Lock()
 	if !a.Partial {
-		ejected = c.traffic.board.ReceiveReport(now, a.Source, a.Loads, a.Outcomes)
+		ejected = c.traffic.balancer.ReceiveReport(now, a.Source, a.Loads, a.Outcomes)
 		c.traffic.loadsReportedAt = now
 	}
-	c.traffic.board.ReceivePrefixReads(now, a.Prompts)
+	c.traffic.balancer.ReceivePrefixReads(now, a.Prompts)
 	c.traffic.mu.Unlock()
 	c.applyDepartures(now, a.Departures)
 	if !a.Poison.Empty() {
@@ -314,7 +319,7 @@
 	c.traffic.mu.Lock()
 	defer c.traffic.mu.Unlock()
 	c.traffic.retryLimits.Ratio, c.traffic.retryLimits.Slack = s.RetryRatio, s.RetrySlack
-	c.traffic.board.SetLoadBounds(s.LoadMultiple, s.LoadSlack, s.ColdMultiple, s.ColdSlack)
+	c.traffic.balancer.SetLoadBounds(s.LoadMultiple, s.LoadSlack, s.ColdMultiple, s.ColdSlack)
 }
 
 // ReceiveDigest processes a digest from another router.
--- a/internal/app/gateway/copies.go
+++ b/internal/app/gateway/copies.go
@@ -19,14 +19,14 @@
 	// minPackBytes is the size from which a copy is compressed. A list of a few changes fits into
 	// one packet uncompressed.
 	minPackBytes = 4 << 10
-	// maxUnpackedBytes bounds the uncompressed size of a copy. A desired state with 31,000 teams
-	// has about 6 MB.
+	// maxUnpackedBytes bounds the uncompressed size of a copy to what a router can spare in memory.
+	// A desired state with 31,000 teams has about 6 MB.
 	maxUnpackedBytes = 32 << 20
 )
 
-// copyServer answers copy requests from other routers. A large copy is compressed once and the
-// result reused. Compressing it for every request would use all of a small router's CPU after a
-// change of many routes, while callers wait.
+// copyServer answers copy requests from other routers. A large copy is packed, that is compressed,
+// once and the result reused. Compressing it for every request would use all of a small router's
+// CPU after a change of many routes, while callers wait.
 type copyServer struct {
 	mu     sync.Mutex
 	budget *fleet.CopyBudget
@@ -60,11 +60,11 @@
 		reply <- answer{c.core.ServeCopy(req), c.core.TableHolders(now, fleet.Table(req.GetTable()), fleet.Address(req.GetAsker()))}
 	})
 	select {
-	case a := <-reply:
+	case result := <-reply:
 		if !req.GetReadsPacked() {
-			return a.reply, nil
+			return result.reply, nil
 		}
-		return c.copyServer.prepareReply(c.now(), req.GetTable(), a.reply, a.holders)
+		return c.copyServer.prepareReply(c.now(), req.GetTable(), result.reply, result.holders)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-c.stopped:
@@ -72,7 +72,7 @@
 	}
 }
 
-// prepareReply compresses a large reply. It returns a busy reply with the other holders of the copy
+// prepareReply packs a large reply. It returns a busy reply with the other holders of the copy
 // if the link budget is exhausted.
 func (c *copyServer) prepareReply(now time.Time, table uint32, r *peerv1.CopyResponse, holders []fleet.Address) (*peerv1.CopyResponse, error) {
 	c.mu.Lock()
@@ -90,6 +90,7 @@
 	return r, nil
 }
 
+// pack returns a reply with its rows compressed.
 func (c *copyServer) pack(table uint32, r *peerv1.CopyResponse) (*peerv1.CopyResponse, error) {
 	key := copyKey{version: r.GetVersion(), whole: r.GetWhole(), rows: len(r.GetRows()), firstRowVersion: r.GetRows()[0].GetVersion()}
 	if last, ok := c.packed[table]; ok && last.key == key {
--- a/internal/app/gateway/copies_test.go
+++ b/internal/app/gateway/copies_test.go
@@ -40,9 +40,9 @@
 		Expect(next.GetVersion()).To(Equal(uint64(8)))
 	})
 
-	// Guards against serving the packed copy of another version. The cache key must include all
-	// that distinguishes two copies of one version: the first row's version, and whether the copy
-	// is whole.
+	// Guards against serving a cached packed copy with other content. The cache key must include
+	// all that distinguishes two copies of one version: the first row's version, and whether the
+	// copy is whole.
 	It("never contain rows of another version or range", func() {
 		testkit.Check("100", func(t *rapid.T) {
 			c := newCopyServer(fleet.NewCopyBudget(now, 0))
@@ -78,8 +78,8 @@
 		}
 	})
 
-	// Load: 59 routers request the same large copy at once and repeat the request every 100 ms. The
-	// link carries 1.25 MB/s.
+	// Load: 59 routers request the same large copy at once and retry every 100 ms while they are
+	// refused. The link carries 1.25 MB/s.
 	It("are refused when the link budget is exhausted, except small ones", func() {
 		c := newCopyServer(fleet.NewCopyBudget(now, link))
 		state := copyOfSize(7, 6)
@@ -101,7 +101,7 @@
 				}
 			}
 			if round == 0 {
-				Expect(served).To(Equal(3), "the link sends three in 80 ms")
+				Expect(served).To(Equal(3), "three copies fit into 80 ms of the link")
 			}
 			small, err := c.prepareReply(at, 1, copyOfSize(9, 1000), nil)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/app/gateway/departures.go
+++ b/internal/app/gateway/departures.go
@@ -25,58 +25,58 @@
 // departureQueue holds the departures that this router has still to send. The zero value is empty.
 type departureQueue struct {
 	pending   []queuedDeparture
-	hasUnsent bool // contains departures never sent yet, which must be sent at once
+	hasUnsent bool // some departures have never been sent and must be sent at once
 }
 
 type queuedDeparture struct {
 	placement.Departure
-	remainingDigests int // number of digests still to contain the departure
+	remainingDigests int // number of digests that must still contain the departure
 }
 
-func (d *departureQueue) add(added []placement.Departure) {
-	d.hasUnsent = d.hasUnsent || len(added) > 0
-	for _, n := range added {
-		d.pending = append(d.pending, queuedDeparture{n, digestsPerDeparture})
+func (q *departureQueue) add(added []placement.Departure) {
+	q.hasUnsent = q.hasUnsent || len(added) > 0
+	for _, d := range added {
+		q.pending = append(q.pending, queuedDeparture{d, digestsPerDeparture})
 	}
 }
 
 // takeBatch returns the departures for the next digest.
-func (d *departureQueue) takeBatch() []placement.Departure {
-	d.hasUnsent = false
-	if len(d.pending) == 0 {
+func (q *departureQueue) takeBatch() []placement.Departure {
+	q.hasUnsent = false
+	if len(q.pending) == 0 {
 		return nil
 	}
-	n := min(len(d.pending), maxDeparturesPerDigest)
+	n := min(len(q.pending), maxDeparturesPerDigest)
 	out := make([]placement.Departure, n)
 	var unfinished []queuedDeparture
-	for i, t := range d.pending[:n] {
-		out[i] = t.Departure
-		if t.remainingDigests--; t.remainingDigests > 0 {
-			unfinished = append(unfinished, t)
+	for i, d := range q.pending[:n] {
+		out[i] = d.Departure
+		if d.remainingDigests--; d.remainingDigests > 0 {
+			unfinished = append(unfinished, d)
 		}
 	}
-	d.pending = append(d.pending[n:], unfinished...)
+	q.pending = append(q.pending[n:], unfinished...)
 	return out
 }
 
 // applyDepartures applies departures reported by another router and forwards those that are new to
 // this router. The sender may reach only few other routers.
 func (c *Control) applyDepartures(now time.Time, reported []placement.Departure) {
-	added, removedIDs := c.roster.ApplyDepartures(now, slices.DeleteFunc(slices.Clone(reported), func(d placement.Departure) bool { return d.Announced || d.Exited }))
+	newDepartures, departedIDs := c.targetSet.ApplyDepartures(now, slices.DeleteFunc(slices.Clone(reported), func(d placement.Departure) bool { return d.Announced || d.Exited }))
 	for _, d := range reported {
 		if (d.Announced && c.traffic.markLeaving(now, d.Target)) || (d.Exited && c.traffic.markExited(now, d.Target)) {
-			added = append(added, d)
+			newDepartures = append(newDepartures, d)
 			c.log.Line(eventlog.TargetLeft).Str("target", c.traffic.targetID(d.Target)).Bool("said", d.Announced).Bool("ended", d.Exited).Msg("")
 		}
 	}
-	if len(added) == 0 {
+	if len(newDepartures) == 0 {
 		return
 	}
-	c.departures.add(added)
-	if len(removedIDs) > 0 {
+	c.departures.add(newDepartures)
+	if len(departedIDs) > 0 {
 		c.publishTargets(now)
 	}
-	for _, id := range removedIDs {
+	for _, id := range departedIDs {
 		c.log.Line(eventlog.TargetLeft).Str("target", id).Msg("")
 	}
 }
--- a/internal/app/gateway/inforce.go
+++ b/internal/app/gateway/inforce.go
@@ -11,8 +11,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// maxLoggedLeaving bounds the leaving targets that one log line names.
-const maxLoggedLeaving = 16
+// maxLoggedDepartures bounds the leaving and removed targets that one log line names.
+const maxLoggedDepartures = 16
 
 // applyTable applies new content of a table. If the content can't be decoded, the last valid
 // content remains applied.
@@ -30,10 +30,10 @@
 		return
 	}
 	c.targetsChangedAt = now
-	leaving := c.applyTargets(now, rows, a.Version, a.Source)
+	departed := c.applyTargets(now, rows, a.Version, a.Source)
 	c.traffic.targetsRowVersion.Store(a.Version)
 	c.log.Line(eventlog.TargetsChanged).Uint64("row", a.Version).Str("source", a.Source).Int("rows", len(rows)).
-		Strs("left", leaving[:min(len(leaving), maxLoggedLeaving)]).Msg("")
+		Strs("left", departed[:min(len(departed), maxLoggedDepartures)]).Msg("")
 }
 
 // applyEvacuations applies evacuation orders. They are applied even if the desired state in the
@@ -57,9 +57,9 @@
 	table := route.Build(state)
 	c.traffic.table.Store(table)
 	c.traffic.mu.Lock()
-	c.traffic.board.SetLimits(poolLimits(table))
+	c.traffic.balancer.SetLimits(poolLimits(table))
 	c.traffic.mu.Unlock()
-	c.appliedAt = now
+	c.desiredAppliedAt = now
 	if rows, version := c.core.Rows(fleet.TargetsTable); len(rows) > 0 {
 		c.applyTargets(now, rows, version, a.Source)
 	}
@@ -68,6 +68,7 @@
 		Str("source", a.Source).Int("routes", len(state.Routes)).Msg("")
 }
 
+// poolLimits returns the limits of all pools for placement.
 func poolLimits(table *route.Table) map[string]placement.PoolLimits {
 	out := make(map[string]placement.PoolLimits)
 	for name, p := range table.Pools() {
@@ -77,7 +78,8 @@
 }
 
 // updateReady makes the router ready when it has the desired state and the target list. It then
-// remains ready during a store outage: other routers keep its tables up to date.
+// remains ready during a store outage: other routers keep its tables up to date, and refusing
+// requests would help no caller.
 func (c *Control) updateReady() {
 	ready := c.traffic.table.Load() != nil && c.core.HasTable(fleet.TargetsTable)
 	if ready != c.traffic.ready.Load() {
@@ -86,18 +88,19 @@
 	}
 }
 
-// staleAfterShare is the fraction of MaxApplyDelay after which a router stops serving if others
-// have a newer desired state that it can't get. A change normally arrives within milliseconds; the
-// rest of the delay is left for requests that have already started.
+// staleAfterShare is the fraction of MaxApplyDelay after which a router stops serving if at least
+// half of the others have a newer desired state that it can't get. A change normally arrives within
+// milliseconds; the rest of the delay is left for requests that have already started.
 const staleAfterShare = 0.75
 
-// updateStaleness records whether other routers have a newer desired state.
+// updateStaleness records whether other routers have a newer desired state, and whether they have
+// had it for too long.
 func (c *Control) updateStaleness(now time.Time) {
-	c.traffic.outdated.Store(c.core.IsBehind())
-	since := c.core.OutdatedFor(now)
-	stale := !ablate.IsOff(ablate.StaleState) && since >= time.Duration(staleAfterShare*float64(c.settings.MaxApplyDelay))
+	c.traffic.behind.Store(c.core.IsBehind())
+	outdatedFor := c.core.OutdatedFor(now)
+	stale := !ablate.IsOff(ablate.StaleState) && outdatedFor >= time.Duration(staleAfterShare*float64(c.settings.MaxApplyDelay))
 	if stale != c.traffic.stale.Load() {
 		c.traffic.stale.Store(stale)
-		c.log.Line(eventlog.StaleChanged).Bool("stale", stale).Uint64("version", c.desiredVersion).Dur("behind", since).Msg("")
+		c.log.Line(eventlog.StaleChanged).Bool("stale", stale).Uint64("version", c.desiredVersion).Dur("behind", outdatedFor).Msg("")
 	}
 }
--- a/internal/app/gateway/keep.go
+++ b/internal/app/gateway/keep.go
@@ -11,97 +11,99 @@
 // maxSuspectsPerCall bounds the suspects that one store call writes, and those that it deletes.
 const maxSuspectsPerCall = 50
 
-// suspectSync keeps a copy of the suspected requests in the store. Routers normally get them from
-// each other. The copy is read only after all routers were lost at once; without it, each suspect
-// would make three more targets exit. Only the suspect's home router writes it.
-type suspectSync struct {
+// suspectStorage keeps a copy of the suspects in the store. Routers normally get them from each
+// other. The copy is read only after all routers were lost at once; without it, each suspect would
+// make three more targets exit. Only the home router of a suspect writes it.
+type suspectStorage struct {
 	control       *Control
-	storedLevels  map[poison.Fingerprint]int // levels in the store as last written or read by this router
+	storedLevels  map[poison.Fingerprint]int // levels that this router last wrote or read
 	retryAt       time.Time
 	retryInterval time.Duration
 }
 
 const (
-	// loadInterval is how often a starting router checks whether it knows the fleet's suspects.
-	loadInterval = 400 * time.Millisecond
-	// saveInterval is how often a router checks the stored suspects while there are any. A suspect
-	// gets a new home when its home router stops.
-	saveInterval = 2 * time.Second
+	// suspectLoadInterval is how often a starting router checks whether it has received the fleet's
+	// suspects, and otherwise reads them from the store if it is a store reader.
+	suspectLoadInterval = 400 * time.Millisecond
+	// suspectSaveInterval is how often a router checks, while there are suspects, whether it must
+	// write any. A suspect gets a new home router when its home router stops.
+	suspectSaveInterval = 2 * time.Second
 )
 
-// syncSuspects synchronises suspects with the store until ctx ends.
-func (c *Control) syncSuspects(ctx context.Context) {
-	k := &suspectSync{control: c, storedLevels: make(map[poison.Fingerprint]int), retryInterval: saveInterval}
-	for k.wait(ctx) {
-		k.sync(ctx)
+// maintainStoredSuspects reads and writes the suspects in the store until ctx ends.
+func (c *Control) maintainStoredSuspects(ctx context.Context) {
+	st := &suspectStorage{control: c, storedLevels: make(map[poison.Fingerprint]int), retryInterval: suspectSaveInterval}
+	for st.awaitWork(ctx) {
+		st.update(ctx)
 	}
 }
 
-// wait blocks until there may be work to do and reports whether ctx is still active.
-func (k *suspectSync) wait(ctx context.Context) bool {
-	guard := k.control.traffic.poisonGuard
+// awaitWork waits until suspects may have to be read or written. It returns false if ctx ends
+// first.
+func (st *suspectStorage) awaitWork(ctx context.Context) bool {
+	guard := st.control.traffic.poisonGuard
 	var due <-chan time.Time
 	switch {
-	case !guard.hasReceivedSuspects():
-		due = time.After(loadInterval)
-	case guard.suspectCount.Load() > 0 || len(k.storedLevels) > 0:
-		due = time.After(saveInterval)
+	case !guard.hasSyncedSuspects():
+		due = time.After(suspectLoadInterval)
+	case guard.suspectCount.Load() > 0 || len(st.storedLevels) > 0:
+		due = time.After(suspectSaveInterval)
 	}
 	select {
 	case <-due:
-	case <-k.control.suspectsChanged:
+	case <-st.control.suspectsChanged:
 	case <-ctx.Done():
 		return false
 	}
 	return true
 }
 
-func (k *suspectSync) sync(ctx context.Context) {
-	c := k.control
+func (st *suspectStorage) update(ctx context.Context) {
+	c := st.control
 	now := c.now()
-	if now.Before(k.retryAt) {
+	if now.Before(st.retryAt) {
 		return
 	}
 	var err error
-	if !c.traffic.poisonGuard.hasReceivedSuspects() {
+	if !c.traffic.poisonGuard.hasSyncedSuspects() {
 		isReader := false
 		c.submitAndWait(func(time.Time) { isReader = c.core.ReadsStore() })
 		if !isReader {
 			return // the store reader sends the suspects to the others
 		}
-		err = k.load(ctx)
+		err = st.loadSuspects(ctx)
 	} else {
-		err = k.save(ctx, now)
+		err = st.saveSuspects(ctx, now)
 	}
 	if err != nil {
 		c.log.Line(eventlog.KeepFailed).Err(err).Msg("")
-		k.retryAt = now.Add(k.retryInterval)
-		k.retryInterval = min(2*k.retryInterval, maxStoreRetryInterval)
+		st.retryAt = now.Add(st.retryInterval)
+		st.retryInterval = min(2*st.retryInterval, maxStoreRetryInterval)
 		return
 	}
-	k.retryInterval = saveInterval
+	st.retryInterval = suspectSaveInterval
 }
 
-// load reads the suspects that earlier routers stored.
-func (k *suspectSync) load(ctx context.Context) error {
+// loadSuspects reads the suspects that earlier routers stored.
+func (st *suspectStorage) loadSuspects(ctx context.Context) error {
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	stored, err := k.control.store.LoadSuspects(callCtx)
+	stored, err := st.control.store.LoadSuspects(callCtx)
 	if err != nil {
 		return err
 	}
 	for _, s := range stored {
-		k.storedLevels[s.Request] = s.Level
+		st.storedLevels[s.Request] = s.Level
 	}
-	k.control.traffic.poisonGuard.restore(k.control.now(), stored)
+	st.control.traffic.poisonGuard.restore(st.control.now(), stored)
 	return nil
 }
 
-// save writes the changes of this router's suspects to the store.
-func (k *suspectSync) save(ctx context.Context, now time.Time) error {
-	put, refused := k.control.traffic.poisonGuard.suspectsToSave(now, k.storedLevels)
+// saveSuspects writes the changes of this router's suspects to the store.
+func (st *suspectStorage) saveSuspects(ctx context.Context, now time.Time) error {
+	put, refused := st.control.traffic.poisonGuard.suspectsToSave(now, st.storedLevels)
 	var drop []poison.Fingerprint
-	for f := range k.storedLevels {
+	for f := range st.storedLevels {
 		if !refused[f] {
 			drop = append(drop, f)
 		}
@@ -109,26 +111,28 @@
 	if len(put)+len(drop) == 0 {
 		return nil
 	}
-	put, drop = put[:min(len(put), maxSuspectsPerCall)], drop[:min(len(drop), maxSuspectsPerCall)] // the next call writes the rest
+	// The next call writes and deletes the rest.
+	put, drop = put[:min(len(put), maxSuspectsPerCall)], drop[:min(len(drop), maxSuspectsPerCall)]
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
-	if err := k.control.store.SaveSuspects(callCtx, put, drop); err != nil {
+	if err := st.control.store.SaveSuspects(callCtx, put, drop); err != nil {
 		return err
 	}
 	for _, s := range put {
-		k.storedLevels[s.Request] = s.Level
+		st.storedLevels[s.Request] = s.Level
 	}
 	for _, f := range drop {
-		delete(k.storedLevels, f)
+		delete(st.storedLevels, f)
 	}
 	return nil
 }
 
-// hasSuspects reports whether this router has received the fleet's suspects.
-func (g *poisonGuard) hasReceivedSuspects() bool {
+// hasSyncedSuspects reports whether this router has received the fleet's suspects, from other
+// routers or from the store.
+func (g *poisonGuard) hasSyncedSuspects() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.suspectsKnown
+	return g.suspectsSynced
 }
 
 // restore adds the suspects read from the store.
@@ -136,12 +140,12 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.detector.Restore(now, stored)
-	g.suspectsKnown = true
+	g.suspectsSynced = true
 	g.updateSuspectCount()
 }
 
-// suspectsToSave returns the suspects that this router must write, and the fingerprints of all
-// refused requests. stored has the levels in the store.
+// suspectsToSave returns the suspects that this router must write because it is their home router,
+// and the fingerprints of all refused requests. stored has the levels in the store.
 func (g *poisonGuard) suspectsToSave(now time.Time, stored map[poison.Fingerprint]int) (put []poison.Suspect, refused map[poison.Fingerprint]bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -144,21 +144,21 @@
 	return m.routers[address]
 }
 
-func (n *meshPeers) SendDigest(to []string, d *peerv1.Digest, yours []*peerv1.Report) {
+func (p *meshPeers) SendDigest(to []string, d *peerv1.Digest, recipientReports []*peerv1.Report) {
 	for i, a := range to {
 		copied := proto.Clone(d).(*peerv1.Digest)
-		if i < len(yours) {
-			copied.Yours = yours[i]
+		if i < len(recipientReports) {
+			copied.Yours = recipientReports[i]
 		}
-		if c := n.mesh.router(a); c != nil {
-			go c.ReceiveDigest(context.Background(), n.from, copied)
+		if c := p.mesh.router(a); c != nil {
+			go c.ReceiveDigest(context.Background(), p.from, copied)
 		}
 	}
 }
 
-func (n *meshPeers) RequestCopy(ctx context.Context, to string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
-	c := n.mesh.router(to)
-	if c == nil || n.mesh.linksFull.Load() {
+func (p *meshPeers) RequestCopy(ctx context.Context, to string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+	c := p.mesh.router(to)
+	if c == nil || p.mesh.linksFull.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -194,7 +194,7 @@
 func (nopCodec) PrepareHeader(*gateway.Call, gateway.Attempt) http.Header { return http.Header{} }
 func (nopCodec) MatchesCall(*gateway.Call, http.Header) bool              { return true }
 func (nopCodec) StripRouterHeaders(http.Header)                           {}
-func (nopCodec) DecodeReply(int, http.Header) gateway.Reply               { return gateway.Reply{} }
+func (nopCodec) DecodeAnswer(int, http.Header) gateway.AnswerInfo         { return gateway.AnswerInfo{} }
 
 type discardResponder struct{}
 
@@ -210,9 +210,10 @@
 
 	// Guards against requests to a leaving target long after it announced its shutdown. A router
 	// with a full link knew from other routers that there was a newer target list, but its copies
-	// of the list timed out one after another. A request reached the target 3.09 s after the
-	// announcement; the other routers had applied the list within 0.1 s. Departures of some tens of
-	// bytes were sent only within whole tables, and queued behind them.
+	// of the list timed out one after another. The other routers applied the list 0.1 s after the
+	// announcement, this one after 2.6 s; a request that it placed before reached the target after
+	// 3.09 s. Departures, which have some tens of bytes, were sent only as whole tables and queued
+	// behind other ones.
 	It("sends nothing to a target that others know to be leaving or removed from the list", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -224,8 +225,8 @@
 		sent := &attemptRecorder{sent: make(map[uint64]int)}
 		start := func(address string, s gateway.Store) *gateway.Control {
 			c := gateway.NewControl(gateway.Settings{
-				Name: address, Address: address, Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, ReadStoreAtStart: true,
-				MaxApplyDelay: maxDelay, MaxDepartureDelay: maxDelay, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
+				Name: address, Address: address, Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, ReadsAtStart: true,
+				MaxApplyDelay: maxDelay, MaxLeavingDelay: maxDelay, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
 			}, s, stateDecoder{}, &meshPeers{from: address, mesh: m}, sent, eventlog.Nop(), time.Now)
 			m.mu.Lock()
 			m.routers[address] = c
@@ -237,29 +238,29 @@
 		congested := start("10.0.0.2:1", refusingStore{})
 		Eventually(congested.Ready, 3*time.Second).Should(BeTrue())
 		proxy := gateway.NewProxy(congested, nopCodec{}, sent, discardResponder{}, eventlog.Nop(), time.Now)
-		requests := func() {
+		sendRequests := func() {
 			for i := range 30 {
 				match, got := proxy.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
 				Expect(got).To(Equal(code.OK))
 				proxy.Serve(ctx, match, nil, discardResponder{})
 			}
 		}
-		requests()
+		sendRequests()
 		Expect(sent.takeCount("t0")).To(BeNumerically(">", 0))
 
 		m.linksFull.Store(true)
 		store.put("t0", "draining")
 		time.Sleep(maxDelay)
-		requests()
+		sendRequests()
 		Expect(sent.takeCount("t0")).To(BeZero(), "the target is leaving")
 		store.put("t1", "")
 		time.Sleep(maxDelay)
-		requests()
+		sendRequests()
 		Expect(sent.takeCount("t1")).To(BeZero(), "the target was removed from the list")
 
 		m.linksFull.Store(false)
 		store.put("t0", "ready")
-		Eventually(func() int { requests(); return sent.takeCount("t0") }, 3*time.Second).Should(BeNumerically(">", 0), "the newest list is applied")
+		Eventually(func() int { sendRequests(); return sent.takeCount("t0") }, 3*time.Second).Should(BeNumerically(">", 0), "the newest list is applied")
 	})
 })
 
@@ -277,11 +278,12 @@
 
 var _ = Describe("a copy request", func() {
 	// Guards against packed or busy replies to routers of an earlier release, which can't read
-	// them. Such a router would read a newer version without rows and consider itself up to date.
+	// them. While half of a fleet runs that release, such a router would read a newer version
+	// without rows and consider itself up to date.
 	It("is answered with uncompressed rows unless the requester reads packed replies", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:1", ReadStoreAtStart: true, MaxApplyDelay: time.Second, LinkBytesPerSecond: 1000},
+		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:1", ReadsAtStart: true, MaxApplyDelay: time.Second, LinkBytesPerSecond: 1000},
 			largeStore{}, versionDecoder{}, &fullLinkPeers{}, failingUpstream{}, eventlog.Nop(), time.Now)
 		go c.Run(ctx)
 		Eventually(c.Ready, time.Second).Should(BeTrue())
--- a/internal/app/gateway/listing.go
+++ b/internal/app/gateway/listing.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// registrationInterval is the mean interval between checks of the store's router list. A
-	// starting router has heard from other routers by the first check, unless it is the only one.
+	// registrationInterval is the mean interval between checks whether the store's router list must
+	// be read or changed. A starting router has heard from other routers by the first check, unless
+	// it is the only one.
 	registrationInterval = 2 * time.Second
 	// maxStoreRetryInterval bounds the interval between retries of failed calls, which doubles each
 	// time. Store calls cost money even if they fail.
@@ -38,61 +39,64 @@
 
 // maintainRegistration updates the router list until ctx ends.
 func (c *Control) maintainRegistration(ctx context.Context) {
-	l := &registration{control: c, retryInterval: registrationInterval, sweptAt: c.now(), registered: make(map[fleet.Address]bool)}
+	r := &registration{control: c, retryInterval: registrationInterval, sweptAt: c.now(), registered: make(map[fleet.Address]bool)}
 	for sleepWithJitter(ctx, registrationInterval) {
-		l.update(ctx)
+		r.update(ctx)
 	}
 }
 
-func (l *registration) update(ctx context.Context) {
-	c := l.control
-	var alone, first bool
+// update registers local routers. A router that hears no other reads the list to find some; the
+// first store reader removes stale entries.
+func (r *registration) update(ctx context.Context) {
+	c := r.control
+	var alone, isFirstReader bool
 	var local []fleet.Address
 	c.submitAndWait(func(now time.Time) {
-		alone, first = c.core.AliveCount(now) == 0, c.core.IsFirstReader()
+		alone, isFirstReader = c.core.AliveCount(now) == 0, c.core.IsFirstReader()
 		local = c.core.LocalRouters(now)
 	})
 	now := c.now()
-	if missing := l.unregistered(local); len(missing) > 0 && !now.Before(l.retryAt) {
-		l.register(ctx, now, missing)
+	if missing := r.unregistered(local); len(missing) > 0 && !now.Before(r.retryAt) {
+		r.register(ctx, now, missing)
 	}
 	switch {
 	case alone:
-		_, _ = l.readRouterList(ctx) // readRouterList logs the error; the next update retries
-	case first && now.Sub(l.sweptAt) >= sweepInterval:
-		l.sweptAt = now
-		l.removeStaleRouters(ctx)
+		_, _ = r.readRouterList(ctx) // readRouterList logs the error; the next update retries
+	case isFirstReader && now.Sub(r.sweptAt) >= sweepInterval:
+		r.sweptAt = now
+		r.removeStaleRouters(ctx)
 	}
 }
 
-// unregistered returns the local routers that must be registered. Routers that stop delete their
-// own entries, or the sweep does; if they return they are registered again.
-func (l *registration) unregistered(local []fleet.Address) []fleet.Address {
-	maps.DeleteFunc(l.registered, func(a fleet.Address, _ bool) bool { return !slices.Contains(local, a) })
-	return slices.DeleteFunc(slices.Clone(local), func(a fleet.Address) bool { return l.registered[a] })
+// unregistered returns the local routers that must be registered. It forgets the registration of
+// routers that are no longer local: they delete their entries when they stop, or the sweep does. If
+// they return, they are registered again.
+func (r *registration) unregistered(local []fleet.Address) []fleet.Address {
+	maps.DeleteFunc(r.registered, func(a fleet.Address, _ bool) bool { return !slices.Contains(local, a) })
+	return slices.DeleteFunc(slices.Clone(local), func(a fleet.Address) bool { return r.registered[a] })
 }
 
 // register adds entries to the router list. Entries left by earlier processes at the same addresses
 // remain valid.
-func (l *registration) register(ctx context.Context, now time.Time, missing []fleet.Address) {
-	c := l.control
+func (r *registration) register(ctx context.Context, now time.Time, missing []fleet.Address) {
+	c := r.control
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	if err := c.store.RegisterRouters(callCtx, addressStrings(missing)); err != nil {
 		c.log.Line(eventlog.ListFailed).Int("routers", len(missing)).Err(err).Msg("")
-		l.retryAt = now.Add(l.retryInterval)
-		l.retryInterval = min(2*l.retryInterval, maxStoreRetryInterval)
+		r.retryAt = now.Add(r.retryInterval)
+		r.retryInterval = min(2*r.retryInterval, maxStoreRetryInterval)
 		return
 	}
-	l.retryInterval = registrationInterval
+	r.retryInterval = registrationInterval
 	for _, a := range missing {
-		l.registered[a] = true
+		r.registered[a] = true
 	}
 }
 
 // readRouterList reads the router list and passes it to the core.
-func (l *registration) readRouterList(ctx context.Context) ([]fleet.Address, error) {
-	c := l.control
+func (r *registration) readRouterList(ctx context.Context) ([]fleet.Address, error) {
+	c := r.control
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	stored, err := c.store.RegisteredRouters(callCtx)
@@ -101,7 +105,7 @@
 		return nil, err
 	}
 	// Other routers delete entries of routers that they have not heard of for long.
-	maps.DeleteFunc(l.registered, func(a fleet.Address, _ bool) bool { return !slices.Contains(stored, string(a)) })
+	maps.DeleteFunc(r.registered, func(a fleet.Address, _ bool) bool { return !slices.Contains(stored, string(a)) })
 	found := toFleetAddresses(stored)
 	c.postEvent(ctx, fleet.AddressesDiscovered{Addresses: found})
 	c.routerListRead.Store(true)
@@ -111,15 +115,15 @@
 // removeStaleRouters deletes routers from which nothing has been heard for long. A VM that is lost
 // can't delete its own entry, and the list would grow for ever. Reading the list also lets the two
 // sides of a partition find each other again after they have forgotten one another.
-func (l *registration) removeStaleRouters(ctx context.Context) {
-	c := l.control
-	heard := make(map[fleet.Address]bool)
-	c.submitAndWait(func(time.Time) { heard = c.core.RecentRouters() })
-	found, err := l.readRouterList(ctx)
+func (r *registration) removeStaleRouters(ctx context.Context) {
+	c := r.control
+	recent := make(map[fleet.Address]bool)
+	c.submitAndWait(func(time.Time) { recent = c.core.RecentRouters() })
+	found, err := r.readRouterList(ctx)
 	if err != nil {
 		return
 	}
-	for _, a := range l.sweep.Stale(found, heard) {
+	for _, a := range r.sweep.Stale(found, recent) {
 		callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 		err := c.store.UnregisterRouter(callCtx, string(a))
 		cancel()
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -18,24 +18,24 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// poisonGuard blocks requests that are suspected of making their targets exit. Requests report the
-// outcome of attempts to it and ask it before every send; the control goroutine passes it the
-// reports of other routers. It is safe for concurrent use.
+// poisonGuard refuses requests that are suspected of making their targets exit. Request goroutines
+// report the outcome of attempts to it and call admit before every attempt; the control goroutine
+// passes it the reports of other routers. It is safe for concurrent use.
 type poisonGuard struct {
 	self string
 	// suspectCount is the number of refused requests. While it is 0, admit takes no lock.
 	suspectCount atomic.Int64
 
-	mu            sync.Mutex
-	detector      *poison.Detector
-	aliveRouters  []string // other routers that are alive
-	suspectsKnown bool     // this router has received the fleet's suspects
+	mu             sync.Mutex
+	detector       *poison.Detector
+	aliveRouters   []string // other routers that are alive
+	suspectsSynced bool     // this router has received the fleet's suspects
 
 	probes map[uint64]*exitProbe // by target lifetime
 }
 
-func newPoisonGuard(self string, suspectsKnown bool) *poisonGuard {
-	return &poisonGuard{self: self, suspectsKnown: suspectsKnown, detector: poison.NewDetector(), probes: make(map[uint64]*exitProbe)}
+func newPoisonGuard(self string, suspectsSynced bool) *poisonGuard {
+	return &poisonGuard{self: self, suspectsSynced: suspectsSynced, detector: poison.NewDetector(), probes: make(map[uint64]*exitProbe)}
 }
 
 // admit decides whether a request may be sent to a target.
@@ -48,8 +48,8 @@
 	return g.detector.Admit(now, f, func() bool { return f.IsHomeRouter(g.self, g.aliveRouters) })
 }
 
-// recordExecuted records that a target answered a request.
-func (g *poisonGuard) recordExecuted(now time.Time, f poison.Fingerprint) {
+// recordAnswer records that a target answered a request and went on running.
+func (g *poisonGuard) recordAnswer(now time.Time, f poison.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.detector.RecordAnswer(now, f)
@@ -71,20 +71,21 @@
 	}
 }
 
-// mergeReport merges another router's poison report and reports whether it must be forwarded.
-func (g *poisonGuard) mergeReport(now time.Time, n poison.Report) (fresh bool) {
+// mergeReport merges another router's poison report and reports whether entries must be forwarded
+// at once.
+func (g *poisonGuard) mergeReport(now time.Time, report poison.Report) (mustForward bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.detector.ReceiveReport(now, n)
+	g.detector.ReceiveReport(now, report)
 	g.updateSuspectCount()
 	return g.detector.HasUrgentReport()
 }
 
-// takeReport returns the poison report to send now.
+// takeReport returns the poison report for the next digest, with all suspects of this router.
 func (g *poisonGuard) takeReport(now time.Time) fleet.UrgentReports {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return fleet.UrgentReports{Poison: g.detector.NextReport(now), HeldSuspects: g.detector.ListSuspects(now), HeldSynced: g.suspectsKnown}
+	return fleet.UrgentReports{Poison: g.detector.NextReport(now), HeldSuspects: g.detector.ListSuspects(now), HeldSynced: g.suspectsSynced}
 }
 
 // tick expires probes and suspects, and sets the routers that are alive.
@@ -102,13 +103,14 @@
 	return changes
 }
 
+// updateSuspectCount must be called with mu held, after each change of the detector.
 func (g *poisonGuard) updateSuspectCount() { g.suspectCount.Store(int64(g.detector.SuspectCount())) }
 
-// markSuspectsKnown records that this router has received the fleet's suspects.
-func (g *poisonGuard) markSuspectsKnown() {
+// markSuspectsSynced records that this router has received the fleet's suspects.
+func (g *poisonGuard) markSuspectsSynced() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.suspectsKnown = true
+	g.suspectsSynced = true
 }
 
 // exitProbe checks whether a target has exited after a connection to it was reset.
@@ -174,17 +176,17 @@
 // partition or a lost VM causes no reset. A target that has announced its shutdown is not probed,
 // since it exits for that reason.
 func (t *targetAttempt) checkTargetExit(err error) {
-	r, f := t.request.proxy, t.request.fingerprint
-	now := r.now()
-	if !isConnectionReset(err) || (!t.firstEventAt.IsZero() && now.Sub(t.firstEventAt) > exitBlameWindow) || r.traffic.isLeavingOrRemoved(t.choice.Target.UID) {
+	p, f := t.request.proxy, t.request.fingerprint
+	now := p.now()
+	if !isConnectionReset(err) || (!t.firstEventAt.IsZero() && now.Sub(t.firstEventAt) > exitBlameWindow) || p.traffic.isLeavingOrRemoved(t.choice.Target.UID) {
 		return
 	}
-	probe, exited := r.traffic.poisonGuard.beginProbe(now, t.choice.Target.UID, f)
+	probe, exited := p.traffic.poisonGuard.beginProbe(now, t.choice.Target.UID, f)
 	switch {
 	case exited:
-		r.handleTargetExit(t.choice.Target, []poison.Fingerprint{f})
+		p.handleTargetExit(t.choice.Target, []poison.Fingerprint{f})
 	case probe:
-		go r.probeTarget(t.choice.Target)
+		go p.probeTarget(t.choice.Target)
 	}
 }
 
@@ -192,8 +194,8 @@
 // process listens there any more. The other routers are told, so that they need not find out with
 // requests of their own.
 func (t *targetAttempt) checkRefusedConnection(err error) {
-	if r := t.request.proxy; errors.Is(err, syscall.ECONNREFUSED) && !r.traffic.isLeavingOrRemoved(t.choice.Target.UID) {
-		r.handleTargetExit(t.choice.Target, nil)
+	if p := t.request.proxy; errors.Is(err, syscall.ECONNREFUSED) && !p.traffic.isLeavingOrRemoved(t.choice.Target.UID) {
+		p.handleTargetExit(t.choice.Target, nil)
 	}
 }
 
@@ -202,10 +204,10 @@
 }
 
 // probeTarget probes the target's port. The port of an exited process refuses connections.
-func (r *Proxy) probeTarget(target placement.Target) {
+func (p *Proxy) probeTarget(target placement.Target) {
 	exited := errors.Is(probePort(context.Background(), target.Address), syscall.ECONNREFUSED)
-	if requests := r.traffic.poisonGuard.finishProbe(r.now(), target.UID, exited); exited {
-		r.handleTargetExit(target, requests)
+	if requests := p.traffic.poisonGuard.finishProbe(p.now(), target.UID, exited); exited {
+		p.handleTargetExit(target, requests)
 	}
 }
 
@@ -231,15 +233,18 @@
 	}
 }
 
-func (r *Proxy) handleTargetExit(target placement.Target, requests []poison.Fingerprint) {
-	r.log.Line(eventlog.TargetEnded).Str("target", target.ID).Int("requests", len(requests)).Msg("")
-	r.traffic.poisonGuard.recordExit(r.now(), target.UID, requests)
-	if r.traffic.markExited(r.now(), target.UID) {
-		r.reportDeparture(placement.Departure{Target: target.UID, Exited: true})
+// handleTargetExit records that a target exited, and the requests that it executed then. If the
+// exit is new, it is reported to the other routers.
+func (p *Proxy) handleTargetExit(target placement.Target, requests []poison.Fingerprint) {
+	p.log.Line(eventlog.TargetEnded).Str("target", target.ID).Int("requests", len(requests)).Msg("")
+	p.traffic.poisonGuard.recordExit(p.now(), target.UID, requests)
+	if p.traffic.markExited(p.now(), target.UID) {
+		p.reportDeparture(placement.Departure{Target: target.UID, Exited: true})
 	}
 }
 
-// tickPoisonGuard advances the guard's time and logs changes of suspects.
+// tickPoisonGuard advances the guard's time and logs changes of suspects. It cancels the open
+// attempts of new suspects and wakes maintainStoredSuspects.
 func (c *Control) tickPoisonGuard(now time.Time) {
 	for _, ch := range c.traffic.poisonGuard.tick(now, addressStrings(c.core.AliveAddresses(now))) {
 		cancelled := 0
--- a/internal/app/gateway/ports.go
+++ b/internal/app/gateway/ports.go
@@ -56,7 +56,8 @@
 	// EvacuatedDataCentres returns the data centres that must not get requests. The rows are those
 	// of the table that also holds the desired state.
 	EvacuatedDataCentres(rows []replica.Row) []string
-	// Targets returns the targets by pool, and the rows that could not be decoded.
+	// Targets returns the targets by pool, and the rows that could not be decoded. The ID of a
+	// target is the key of its row.
 	Targets(rows []replica.Row) (map[string][]placement.Target, []RejectedEntry)
 }
 
@@ -69,9 +70,9 @@
 
 // Peers sends messages to other routers.
 type Peers interface {
-	// SendDigest sends m to every address without waiting and without retransmission. If yours is
-	// not nil, yours[i] is added to the digest for to[i].
-	SendDigest(to []string, m *peerv1.Digest, yours []*peerv1.Report)
+	// SendDigest sends a digest to every address without waiting and without retransmission. If
+	// recipientReports is not nil, recipientReports[i] is added to the digest for to[i].
+	SendDigest(to []string, digest *peerv1.Digest, recipientReports []*peerv1.Report)
 	// RequestCopy requests a table copy from the router at address.
 	RequestCopy(ctx context.Context, address string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error)
 }
@@ -90,12 +91,12 @@
 	ID      string
 	APIKey  string        // API key of the caller; empty if none was sent
 	Timeout time.Duration // how long the caller waits; 0 if unknown
-	// ChatHash is the hash of the longest prompt part that later requests share; 0 if there is
-	// none.
+	// ChatHash is the hash of the longest prompt prefix that other requests may share; 0 if there
+	// is none.
 	ChatHash uint64
-	// PromptParts are the prefixes of the prompt that later requests may share, shortest first.
-	PromptParts  []placement.Prefix
-	PromptTokens int // tokens in the whole prompt; 0 if there is no prompt
+	// PromptPrefixes are the prefixes of the prompt that other requests may share, shortest first.
+	PromptPrefixes []placement.Prefix
+	PromptTokens   int // tokens in the whole prompt; 0 if there is no prompt
 	// LastEventID is the ID of the event after which the caller resumes a stream.
 	LastEventID string
 	Method      string
@@ -108,30 +109,32 @@
 // Attempt contains the values that an attempt adds to the caller's request.
 type Attempt struct {
 	Remaining   time.Duration // time until the request's deadline
-	TargetID    string        // lifetime that may execute the request; no other may
+	TargetID    string        // only the target with this ID may execute the request
 	Team        string
 	Priority    int    // 0 is the most urgent
 	LastEventID string // ID of the last event that the caller has; empty if none
-	// CacheSource is the address of the target from which to fetch cached prompt parts; empty if
+	// CacheSource is the address of the target from which to fetch cached prompt prefixes; empty if
 	// there is none.
 	CacheSource string
 }
 
-// Reply contains the routing information in the header of a target's answer.
-type Reply struct {
+// AnswerInfo contains the routing information in the header of a target's answer.
+type AnswerInfo struct {
 	// NotExecuted is true if the target guarantees that it did not execute the request.
 	NotExecuted bool
-	// WrongTarget is true if the address now belongs to another lifetime.
+	// WrongTarget is true if the address now belongs to another target.
 	WrongTarget bool
 	// Sealed is true if the header proves that the answer was made by the target itself.
 	Sealed bool
 	// Leaving is true if the target announces its shutdown.
 	Leaving bool
-	// PauseDuration is how long this router must send no requests to the target; 0 if not given.
+	// PauseDuration is how long this router must send no requests to the target; 0 if the target
+	// announced no pause.
 	PauseDuration time.Duration
-	// ColdDuration is how long the target remains cold; 0 if not given.
+	// ColdDuration is how long the target remains cold; 0 if the target announced nothing.
 	ColdDuration time.Duration
-	// InvalidPause is the value sent in place of a valid pause; empty if there is none.
+	// InvalidPause is the announced pause as received if it is invalid or too long; empty
+	// otherwise. PauseDuration is limited if the pause is too long.
 	InvalidPause string
 }
 
@@ -141,8 +144,8 @@
 	PrepareHeader(call *Call, a Attempt) http.Header
 	// MatchesCall reports whether an answer with header h belongs to call.
 	MatchesCall(call *Call, h http.Header) bool
-	// DecodeReply decodes the status and header of an answer.
-	DecodeReply(status int, h http.Header) Reply
+	// DecodeAnswer decodes the status and header of an answer.
+	DecodeAnswer(status int, h http.Header) AnswerInfo
 	// StripRouterHeaders deletes the headers that targets send to routers only.
 	StripRouterHeaders(h http.Header)
 }
--- a/internal/app/gateway/relay.go
+++ b/internal/app/gateway/relay.go
@@ -20,7 +20,7 @@
 type Observer interface {
 	RecordResult(r Result)
 	// CountSignal counts a signal: one of SignalLeaving, SignalPause and SignalInvalid.
-	CountSignal(what string)
+	CountSignal(signal string)
 }
 
 // Signals that targets send in their answers.
@@ -65,8 +65,9 @@
 }
 
 const (
-	// maxNotExecuted is the number of targets that may refuse a request before its caller is told
-	// to retry later. In a full or changing pool a third target rarely accepts it.
+	// maxNotExecuted is the number of attempts that do not count towards a route's MaxAttempts
+	// because no target executed the request. Further refusals count: in a full or changing pool
+	// a third target rarely accepts the request, so its caller is soon told to retry later.
 	maxNotExecuted = 2
 	// answerGrace is how long after the deadline an answer from a target is still accepted before
 	// the router sends its own.
@@ -101,14 +102,14 @@
 	return poison.FingerprintOf(m.teamName(), m.call.Method, m.call.Host, m.call.Path, body)
 }
 
-// Classes of requests whose team has no rank of its own.
+// Classes of requests that have no team, or whose team has no priority of its own.
 const (
 	classNoTeam  = "no_team"
 	classDefault = "default"
 )
 
-// teamClass returns the class of the request's team for metrics. Teams are grouped by rank, because
-// there are too many for a metric each.
+// teamClass returns the class of the request's team for metrics. Teams are grouped by priority,
+// because there are too many for a metric each.
 func (m *MatchedRequest) teamClass() string {
 	switch {
 	case m.team == nil:
@@ -119,8 +120,9 @@
 	return "rank_" + strconv.Itoa(*m.team.Priority)
 }
 
-// rank returns the request's priority: the team's if it has one, else the route's.
-func (m *MatchedRequest) rank() int {
+// priority returns the request's priority, which admission calls its rank: the team's if it has
+// one, else the route's.
+func (m *MatchedRequest) priority() int {
 	if m.team != nil && m.team.Priority != nil {
 		return *m.team.Priority
 	}
@@ -128,23 +130,23 @@
 }
 
 // Match finds the route and team of a request. If the code is not code.OK, there is no match.
-func (r *Proxy) Match(call *Call) (*MatchedRequest, code.Code) {
-	table := r.traffic.table.Load()
-	if table == nil || !r.traffic.ready.Load() {
+func (p *Proxy) Match(call *Call) (*MatchedRequest, code.Code) {
+	table := p.traffic.table.Load()
+	if table == nil || !p.traffic.ready.Load() {
 		return nil, code.NotReady
 	}
-	if r.traffic.stale.Load() {
+	if p.traffic.stale.Load() {
 		return nil, code.StaleConfig
 	}
 	rt, ok := table.Match(call.Host, call.Path)
 	if !ok {
-		return nil, r.denialCode(code.NotFound)
+		return nil, p.denialCode(code.NotFound)
 	}
-	m := &MatchedRequest{call: call, route: rt, startedAt: r.now(), desiredVersion: table.Version, MaxBodyBytes: table.MaxBodyBytes}
+	m := &MatchedRequest{call: call, route: rt, startedAt: p.now(), desiredVersion: table.Version, MaxBodyBytes: table.MaxBodyBytes}
 	if team, ok := table.TeamByKey(call.APIKey); ok {
 		m.team = team
 	} else if table.RequiresKey() && !rt.Public {
-		return nil, r.denialCode(code.UnknownKey)
+		return nil, p.denialCode(code.UnknownKey)
 	}
 	hash := call.ChatHash
 	if hash == 0 {
@@ -156,8 +158,8 @@
 
 // denialCode returns the code for a request that the applied desired state does not allow. A denial
 // is final, so if other routers have a newer state the caller is told to retry instead.
-func (r *Proxy) denialCode(c code.Code) code.Code {
-	if r.traffic.outdated.Load() {
+func (p *Proxy) denialCode(c code.Code) code.Code {
+	if p.traffic.behind.Load() {
 		return code.StaleConfig
 	}
 	return c
@@ -175,8 +177,8 @@
 	return time.Duration(float64(d) * (0.5 + rand.Float64()))
 }
 
-// isWaitForTarget reports whether a code asks the caller to wait for an available target.
-func isWaitForTarget(c code.Code) bool {
+// isTargetUnavailable reports whether a code means that no target accepts the request now.
+func isTargetUnavailable(c code.Code) bool {
 	return c == code.TargetsPaused || c == code.TargetsCold || c == code.TargetRefused || c == code.NoTarget
 }
 
@@ -187,7 +189,7 @@
 }
 
 // Serve forwards a matched request and answers the caller. ctx ends when the caller disconnects.
-func (r *Proxy) Serve(ctx context.Context, m *MatchedRequest, body []byte, responder Responder) {
+func (p *Proxy) Serve(ctx context.Context, m *MatchedRequest, body []byte, responder Responder) {
 	timeout := m.call.Timeout
 	if t := m.route.Timeout; t > 0 && (timeout == 0 || t < timeout) {
 		timeout = t
@@ -195,31 +197,32 @@
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
-	x := &openRequest{
-		proxy: r, match: m, body: body, responder: responder, deadline: m.startedAt.Add(timeout), fingerprint: m.fingerprint(body),
+	r := &openRequest{
+		proxy: p, match: m, body: body, responder: responder, deadline: m.startedAt.Add(timeout), fingerprint: m.fingerprint(body),
 		machine: attempt.New(attempt.Spec{
 			Idempotent: m.route.AllowsRetry(), MaxAttempts: max(m.route.MaxAttempts, 1), MaxNotExecuted: maxNotExecuted,
 		}),
 	}
-	if shutdownDeadline := r.traffic.shutdownDeadline.Load(); shutdownDeadline != nil {
-		// A request that may outlive the process would be cut off, so it is refused. Shorter
-		// requests still arrive while the load balancer has too few other routers, and are served.
-		if x.deadline.After(*shutdownDeadline) {
-			x.finish(code.ShuttingDown)
+	if shutdownDeadline := p.traffic.shutdownDeadline.Load(); shutdownDeadline != nil {
+		// A request that may outlive the process would be cut off, so it is refused. The load
+		// balancer still sends requests here while it has too few other routers; those that end
+		// in time are served.
+		if r.deadline.After(*shutdownDeadline) {
+			r.finish(code.ShuttingDown)
 			return
 		}
 	} else {
-		r.traffic.earlyRequests.Add(1)
-		defer r.traffic.earlyRequests.Add(-1)
+		p.traffic.earlyRequests.Add(1)
+		defer p.traffic.earlyRequests.Add(-1)
 	}
-	x.stream.lastEventID = m.call.LastEventID
+	r.stream.lastEventID = m.call.LastEventID
 	var cancel context.CancelFunc
-	x.ctx, cancel = context.WithDeadline(ctx, x.deadline.Add(answerGrace))
+	r.ctx, cancel = context.WithDeadline(ctx, r.deadline.Add(answerGrace))
 	defer cancel()
-	r.traffic.countRequest(m.startedAt, m.pool)
-	action := x.attemptNext()
+	p.traffic.countRequest(m.startedAt, m.pool)
+	action := r.attemptNext()
 	for action.Kind == attempt.RequestTicket {
-		action = x.retry()
+		action = r.retry()
 	}
-	x.finish(action.Code)
+	r.finish(action.Code)
 }
--- a/internal/app/gateway/run.go
+++ b/internal/app/gateway/run.go
@@ -22,15 +22,19 @@
 	match     *MatchedRequest
 	body      []byte
 	responder Responder
-	machine   *attempt.Machine
-	ctx       context.Context
-	deadline  time.Time // by which the caller gets a final answer
+	// machine decides on retries. Its tickets come from the owner of a pool; the gateway has no
+	// owners, so it grants them itself, after placement and admission.
+	machine  *attempt.Machine
+	ctx      context.Context
+	deadline time.Time // until which the caller waits for an answer
 
 	retries     int
 	retryDenied bool
-	// retryAfter is the time until there is capacity again; 0 if the code determines it.
+	// retryAfter is when the caller should retry according to admission, before jitter; 0 if the
+	// result code alone decides.
 	retryAfter time.Duration
-	// minRetryAfter is the minimum delay before the caller should retry; 0 if there is none.
+	// minRetryAfter replaces retryAfter if a retry before that time is useless: while the request
+	// is refused as a suspect, or all targets are paused or cold. It is 0 otherwise.
 	minRetryAfter time.Duration
 	firstByteAt   time.Time
 	status        int
@@ -49,139 +53,141 @@
 }
 
 // retry sends the request to another target if the retry budget allows it.
-func (x *openRequest) retry() attempt.Action {
-	r := x.proxy
-	if budget, ok := r.traffic.takeRetry(r.now(), x.match.pool); !ok {
-		x.retryDenied = true
-		x.logLine(eventlog.RepeatDenied).Str("pool", x.match.pool).Int("repeats", budget.Retries).Float64("allowed", budget.Allowed).
-			Float64("requests", budget.Requests).Float64("slack", budget.Slack).Msg("")
-		return x.machine.Step(attempt.TicketRefused{Code: code.TargetRefused})
+func (r *openRequest) retry() attempt.Action {
+	p := r.proxy
+	if headroom, ok := p.traffic.takeRetry(p.now(), r.match.pool); !ok {
+		r.retryDenied = true
+		r.logLine(eventlog.RepeatDenied).Str("pool", r.match.pool).Int("repeats", headroom.Retries).Float64("allowed", headroom.Allowed).
+			Float64("requests", headroom.Requests).Float64("slack", headroom.Slack).Msg("")
+		return r.machine.Step(attempt.TicketRefused{Code: code.TargetRefused})
 	}
-	x.retries++
-	return x.attemptNext()
+	r.retries++
+	return r.attemptNext()
 }
 
 // attemptNext places the request and makes one attempt.
-func (x *openRequest) attemptNext() attempt.Action {
-	r := x.proxy
-	now := r.now()
-	if x.ctx.Err() != nil || !now.Before(x.deadline) {
-		return x.endEarly()
+func (r *openRequest) attemptNext() attempt.Action {
+	p := r.proxy
+	now := p.now()
+	if r.ctx.Err() != nil || !now.Before(r.deadline) {
+		return r.endEarly()
 	}
-	suspicion := r.traffic.poisonGuard.admit(now, x.fingerprint)
-	if suspicion.Refused {
-		x.logLine(eventlog.PoisonRefused).Stringer("fingerprint", x.fingerprint).Dur("wait", suspicion.RetryAfter).Msg("")
-		x.minRetryAfter = suspicion.RetryAfter
-		return x.machine.Step(attempt.TicketRefused{Code: code.Poison})
+	poisonDecision := p.traffic.poisonGuard.admit(now, r.fingerprint)
+	if poisonDecision.Refused {
+		r.logLine(eventlog.PoisonRefused).Stringer("fingerprint", r.fingerprint).Dur("wait", poisonDecision.RetryAfter).Msg("")
+		r.minRetryAfter = poisonDecision.RetryAfter
+		return r.machine.Step(attempt.TicketRefused{Code: code.Poison})
 	}
-	x.suspectTrial = suspicion.Trial
-	if x.suspectTrial {
-		defer func() { r.traffic.poisonGuard.endTrial(r.now(), x.fingerprint) }()
+	r.suspectTrial = poisonDecision.Trial
+	if r.suspectTrial {
+		defer func() { p.traffic.poisonGuard.endTrial(p.now(), r.fingerprint) }()
 	}
-	choice, verdict, ok := r.traffic.place(now, placement.Request{
-		Pool: x.match.pool, Chat: x.match.call.ChatHash, PromptPrefixes: x.match.call.PromptParts, PromptTokens: x.match.call.PromptTokens,
-		Objective: x.match.route.Objective, Excluded: x.machine.Excluded(),
-	}, admission.Request{Team: x.match.teamName(), Rank: x.match.rank(), RouteRank: x.match.route.Priority, Remaining: x.deadline.Sub(now), Objective: x.match.route.Objective}, x.machine.MayHaveExecuted())
+	choice, decision, ok := p.traffic.placeRequest(now, placement.Request{
+		Pool: r.match.pool, Chat: r.match.call.ChatHash, PromptPrefixes: r.match.call.PromptPrefixes, PromptTokens: r.match.call.PromptTokens,
+		Objective: r.match.route.Objective, Excluded: r.machine.Excluded(),
+	}, admission.Request{Team: r.match.teamName(), Rank: r.match.priority(), RouteRank: r.match.route.Priority, Remaining: r.deadline.Sub(now), Objective: r.match.route.Objective}, r.machine.MayHaveExecuted())
 	switch {
 	case !ok:
-		return x.machine.Step(attempt.TicketRefused{Code: r.traffic.noTargetCode(now, x.match.pool)})
-	case verdict.Code != code.OK:
-		x.logLine(eventlog.NotAdmitted).Str("target", choice.Target.ID).Int("open", choice.Open).
-			Dur("wait", verdict.Wait).Dur("left", x.deadline.Sub(now)).Int("rank", x.match.rank()).Msg("")
-		x.retryAfter = verdict.RetryAfter
-		return x.machine.Step(attempt.TicketRefused{Code: verdict.Code})
+		return r.machine.Step(attempt.TicketRefused{Code: p.traffic.noTargetCode(now, r.match.pool)})
+	case decision.Code != code.OK:
+		r.logLine(eventlog.NotAdmitted).Str("target", choice.Target.ID).Int("open", choice.Open).
+			Dur("wait", decision.Wait).Dur("left", r.deadline.Sub(now)).Int("rank", r.match.priority()).Msg("")
+		r.retryAfter = decision.RetryAfter
+		return r.machine.Step(attempt.TicketRefused{Code: decision.Code})
 	}
-	action := x.machine.Step(attempt.TicketGranted{Target: choice.Target.UID})
-	a := &targetAttempt{request: x, choice: choice, number: action.Attempt, startedAt: now, outcome: placement.Neutral}
-	x.logPlaced(a, r.traffic.loadReportAge(now))
+	action := r.machine.Step(attempt.TicketGranted{Target: choice.Target.UID})
+	a := &targetAttempt{request: r, choice: choice, number: action.Attempt, startedAt: now, outcome: placement.Neutral}
+	r.logPlaced(a, p.traffic.loadReportAge(now))
 	action = a.make()
 	if a.failure == failureNotExecuted {
-		x.retryAfter = verdict.RetryAfter
+		r.retryAfter = decision.RetryAfter
 	}
 	a.recordFirstEvent(false)
-	took := r.now().Sub(now)
-	if r.traffic.finishAttempt(r.now(), x.match.pool, x.match.teamName(), choice.Target.UID, a.finalOutcome(), took, a.loadSignal(took)) {
-		x.logLine(eventlog.TargetSuspended).Str("target", choice.Target.ID).Str("why", a.failure).Msg("")
+	took := p.now().Sub(now)
+	if p.traffic.finishAttempt(p.now(), r.match.pool, r.match.teamName(), choice.Target.UID, a.finalOutcome(), took, a.loadSignal(took)) {
+		r.logLine(eventlog.TargetSuspended).Str("target", choice.Target.ID).Str("why", a.failure).Msg("")
 	}
 	if a.failure != "" {
-		x.logLine(eventlog.AttemptFailed).Int("attempt", a.number).Str("target", choice.Target.ID).
+		r.logLine(eventlog.AttemptFailed).Int("attempt", a.number).Str("target", choice.Target.ID).
 			Str("why", a.failure).AnErr("error", a.err).Int("events", a.events).Dur("after", took).Msg("")
 	}
 	return action
 }
 
-// endEarly ends the request because its caller disconnected or its deadline passed.
-func (x *openRequest) endEarly() attempt.Action {
-	if errors.Is(context.Cause(x.ctx), context.Canceled) {
-		return x.machine.Step(attempt.CallerDisconnected{})
+// endEarly ends a request whose caller disconnected or whose deadline passed.
+func (r *openRequest) endEarly() attempt.Action {
+	if errors.Is(context.Cause(r.ctx), context.Canceled) {
+		return r.machine.Step(attempt.CallerDisconnected{})
 	}
-	return x.machine.Step(attempt.DeadlinePassed{})
+	return r.machine.Step(attempt.DeadlinePassed{})
 }
 
-func (x *openRequest) finish(c code.Code) {
-	r := x.proxy
+// finish answers the caller with the result code c if no answer was sent, aborts a partly sent
+// answer, and records the result.
+func (r *openRequest) finish(c code.Code) {
+	p := r.proxy
 	switch {
 	case c == code.OK:
-	case x.firstByteAt.IsZero() && x.targetError != nil:
+	case r.firstByteAt.IsZero() && r.targetError != nil:
 		// The target's own error tells the caller more than a result code.
-		x.sendAnswer(x.targetError.status, x.targetError.header, x.targetError.body)
-	case x.firstByteAt.IsZero():
-		if wait := r.traffic.availableAfter(r.now(), x.match.pool); wait > 0 && x.minRetryAfter == 0 && isWaitForTarget(c) {
-			x.minRetryAfter = wait
+		r.sendAnswer(r.targetError.status, r.targetError.header, r.targetError.body)
+	case r.firstByteAt.IsZero():
+		if wait := p.traffic.availableAfter(p.now(), r.match.pool); wait > 0 && r.minRetryAfter == 0 && isTargetUnavailable(c) {
+			r.minRetryAfter = wait
 		}
-		retryAfter := x.retryAfter
+		retryAfter := r.retryAfter
 		if retryAfter == 0 {
-			retryAfter = admission.RetryAfter(c, x.deadline.Sub(r.now()))
+			retryAfter = admission.RetryAfter(c, r.deadline.Sub(p.now()))
 		}
-		if x.minRetryAfter > 0 {
-			x.responder.SendError(c, addPositiveJitter(x.minRetryAfter))
+		if r.minRetryAfter > 0 {
+			r.responder.SendError(c, addPositiveJitter(r.minRetryAfter))
 		} else {
-			x.responder.SendError(c, addJitter(retryAfter))
+			r.responder.SendError(c, addJitter(retryAfter))
 		}
 	default:
-		x.responder.Abort()
+		r.responder.Abort()
 	}
-	now := r.now()
+	now := p.now()
 	res := Result{
-		Route: x.match.route.Name, Pool: x.match.pool, Team: x.match.teamName(), Class: x.match.teamClass(),
-		Code: c, Status: x.status, Objective: x.match.route.Objective,
-		Attempts: x.machine.Attempts(), Retries: x.retries, RetryDenied: x.retryDenied, TotalTime: now.Sub(x.match.startedAt),
+		Route: r.match.route.Name, Pool: r.match.pool, Team: r.match.teamName(), Class: r.match.teamClass(),
+		Code: c, Status: r.status, Objective: r.match.route.Objective,
+		Attempts: r.machine.Attempts(), Retries: r.retries, RetryDenied: r.retryDenied, TotalTime: now.Sub(r.match.startedAt),
 	}
-	if !x.firstByteAt.IsZero() {
-		res.FirstByteTime = x.firstByteAt.Sub(x.match.startedAt)
+	if !r.firstByteAt.IsZero() {
+		res.FirstByteTime = r.firstByteAt.Sub(r.match.startedAt)
 	}
-	r.observer.RecordResult(res)
+	p.observer.RecordResult(res)
 	kind := eventlog.Finished
 	if c != code.OK {
 		kind = eventlog.Failed
 	}
-	x.logLine(kind).Int("code", int(c)).Str("name", c.Lookup().Name).Str("ran", c.Lookup().Execution.String()).
-		Int("status", x.status).Int("attempts", res.Attempts).Dur("first", res.FirstByteTime).Dur("total", res.TotalTime).
-		Dur("budget", x.deadline.Sub(x.match.startedAt)).Msg("")
+	r.logLine(kind).Int("code", int(c)).Str("name", c.Lookup().Name).Str("ran", c.Lookup().Execution.String()).
+		Int("status", r.status).Int("attempts", res.Attempts).Dur("first", res.FirstByteTime).Dur("total", res.TotalTime).
+		Dur("budget", r.deadline.Sub(r.match.startedAt)).Msg("")
 }
 
 // sendAnswer sends a complete answer to the caller.
-func (x *openRequest) sendAnswer(status int, header http.Header, body []byte) {
-	x.firstByteAt, x.status = x.proxy.now(), status
-	x.responder.SendHeader(status, header, int64(len(body)))
-	_ = x.responder.Write(body) // a write error also cancels the caller's context
+func (r *openRequest) sendAnswer(status int, header http.Header, body []byte) {
+	r.firstByteAt, r.status = r.proxy.now(), status
+	r.responder.SendHeader(status, header, int64(len(body)))
+	_ = r.responder.Write(body) // a write error also cancels the caller's context
 }
 
 // logLine returns a log event with the request's ID and route.
-func (x *openRequest) logLine(k eventlog.Kind) *zerolog.Event {
-	return x.proxy.log.Line(k).Str("request", x.match.call.ID).Str("route", x.match.route.Name)
+func (r *openRequest) logLine(k eventlog.Kind) *zerolog.Event {
+	return r.proxy.log.Line(k).Str("request", r.match.call.ID).Str("route", r.match.route.Name)
 }
 
 // logPlaced logs the target of an attempt and the reasons for the choice.
-func (x *openRequest) logPlaced(a *targetAttempt, loadReportAge time.Duration) {
+func (r *openRequest) logPlaced(a *targetAttempt, loadReportAge time.Duration) {
 	c := a.choice
-	line := x.logLine(eventlog.Placed)
+	line := r.logLine(eventlog.Placed)
 	if removedAt := c.Target.RemovedAt; !removedAt.IsZero() {
-		line.Dur("gone", a.startedAt.Sub(removedAt)).Dur("grace", time.Duration(x.proxy.traffic.removedGrace.Load())).Bool("store_away", x.proxy.traffic.storeOutage.Load())
+		line.Dur("gone", a.startedAt.Sub(removedAt)).Dur("grace", time.Duration(r.proxy.traffic.retentionNanos.Load())).Bool("store_away", r.proxy.traffic.storeOutage.Load())
 	}
-	line.Int("attempt", a.number).Str("pool", x.match.pool).Str("team", x.match.teamName()).
-		Stringer("fingerprint", x.fingerprint).Str("target", c.Target.ID).Str("rule", string(c.Rule)).Int("open", c.Open).Float64("bound", c.Bound).
-		Str("source", c.CacheSource).Dur("loads_age", loadReportAge).Uint64("version", x.match.desiredVersion).
-		Uint64("targets_row", x.proxy.traffic.targetsRowVersion.Load()).
-		Str("resume_from", x.stream.lastEventID).Bool("trial", x.suspectTrial).Msg("")
+	line.Int("attempt", a.number).Str("pool", r.match.pool).Str("team", r.match.teamName()).
+		Stringer("fingerprint", r.fingerprint).Str("target", c.Target.ID).Str("rule", string(c.Rule)).Int("open", c.Open).Float64("bound", c.Bound).
+		Str("source", c.CacheSource).Dur("loads_age", loadReportAge).Uint64("version", r.match.desiredVersion).
+		Uint64("targets_row", r.proxy.traffic.targetsRowVersion.Load()).
+		Str("resume_from", r.stream.lastEventID).Bool("trial", r.suspectTrial).Msg("")
 }
--- a/internal/app/gateway/said.go
+++ b/internal/app/gateway/said.go
@@ -11,27 +11,27 @@
 // a late one to an earlier request on the same connection. Signals take effect as soon as the
 // header is read: the store may learn of them much later, and the next request is placed at once.
 func (t *targetAttempt) applySignals(status int, h http.Header) {
-	r := t.request.proxy
-	reply := r.codec.DecodeReply(status, h)
-	if reply.WrongTarget {
-		return // the address belongs to another lifetime
+	p := t.request.proxy
+	info := p.codec.DecodeAnswer(status, h)
+	if info.WrongTarget {
+		return // the signals are those of another target
 	}
-	if reply.ColdDuration > 0 && r.traffic.markCold(r.now(), t.choice.Target.UID, reply.ColdDuration) {
-		r.log.Line(eventlog.TargetCold).Str("target", t.choice.Target.ID).Dur("cold", reply.ColdDuration).Msg("")
+	if info.ColdDuration > 0 && p.traffic.markCold(p.now(), t.choice.Target.UID, info.ColdDuration) {
+		p.log.Line(eventlog.TargetCold).Str("target", t.choice.Target.ID).Dur("cold", info.ColdDuration).Msg("")
 	}
-	if !reply.Leaving && reply.PauseDuration == 0 && reply.InvalidPause == "" {
+	if !info.Leaving && info.PauseDuration == 0 && info.InvalidPause == "" {
 		return
 	}
-	r.log.Line(eventlog.TargetSaid).Str("target", t.choice.Target.ID).Bool("leaving", reply.Leaving).
-		Dur("pause", reply.PauseDuration).Str("bad", reply.InvalidPause[:min(len(reply.InvalidPause), maxLoggedInvalid)]).Msg("")
-	for signal, present := range map[string]bool{SignalLeaving: reply.Leaving, SignalPause: reply.PauseDuration > 0, SignalInvalid: reply.InvalidPause != ""} {
+	p.log.Line(eventlog.TargetSaid).Str("target", t.choice.Target.ID).Bool("leaving", info.Leaving).
+		Dur("pause", info.PauseDuration).Str("bad", info.InvalidPause[:min(len(info.InvalidPause), maxLoggedInvalid)]).Msg("")
+	for signal, present := range map[string]bool{SignalLeaving: info.Leaving, SignalPause: info.PauseDuration > 0, SignalInvalid: info.InvalidPause != ""} {
 		if present {
-			r.observer.CountSignal(signal)
+			p.observer.CountSignal(signal)
 		}
 	}
-	r.traffic.setPause(r.now(), t.choice.Target.UID, reply.PauseDuration)
-	if reply.Leaving && r.traffic.markLeaving(r.now(), t.choice.Target.UID) {
-		r.reportDeparture(placement.Departure{Target: t.choice.Target.UID, Announced: true})
+	p.traffic.setPause(p.now(), t.choice.Target.UID, info.PauseDuration)
+	if info.Leaving && p.traffic.markLeaving(p.now(), t.choice.Target.UID) {
+		p.reportDeparture(placement.Departure{Target: t.choice.Target.UID, Announced: true})
 	}
 }
 
--- a/internal/app/gateway/settings.go
+++ b/internal/app/gateway/settings.go
@@ -10,17 +10,19 @@
 	Strength uint32
 	Address  string   // address for other routers, as IP:PORT
 	Seeds    []string // addresses at which other routers may run
-	// ReadStoreAtStart is true if the router reads the store as soon as it starts. It is false for
+	// ReadsAtStart is true if the router reads the store soon after its start. It is false for
 	// routers that start together with others, which read the store and send them the tables.
-	ReadStoreAtStart bool
+	// See fleet.Settings.
+	ReadsAtStart bool
 	// FirstStart is true if the whole fleet starts for the first time, so that no earlier state
 	// exists.
 	FirstStart bool
-	// MaxApplyDelay is the time within which a desired state must be applied. MaxDepartureDelay is
-	// the time after which a leaving target must get no more requests.
-	MaxApplyDelay     time.Duration
-	MaxDepartureDelay time.Duration
-	// RetryRatio, RetrySlack and RetryWindow define the retry budget of the fleet.
+	// MaxApplyDelay is the time within which a desired state must be applied. MaxLeavingDelay is
+	// the time within which a leaving target must stop receiving requests.
+	MaxApplyDelay   time.Duration
+	MaxLeavingDelay time.Duration
+	// RetryRatio, RetrySlack and RetryWindow define the retry budget of the fleet: in any span of
+	// length RetryWindow, retries <= RetryRatio * requests + RetrySlack. See retry.Window.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
--- a/internal/app/gateway/status.go
+++ b/internal/app/gateway/status.go
@@ -11,17 +11,17 @@
 	Ready                bool
 	StoreReader          bool // this router reads the store
 	DesiredVersion       uint64
-	DesiredAge           time.Duration // time since the desired state was applied
-	TargetsAge           time.Duration // time since the target list changed
-	LivePeers            int           // other routers alive
-	DirectPeers          int           // live peers heard directly
-	IsRelay              bool          // this router is a relay of its data centre
-	Feeder               string        // address of the relay that feeds this router; empty if none
-	FeedAge              time.Duration // time since the feeder last sent; 0 for relays and before the first time
-	EvacuatedDataCentres int           // number of evacuated data centres
-	ColdTargets          int           // number of cold targets
-	Suspects             int           // number of refused requests that are suspected of making targets exit
-	OpenRequests         map[string]int
+	DesiredAge           time.Duration  // time since the desired state was applied
+	TargetsAge           time.Duration  // time since the target list changed
+	LivePeers            int            // other routers alive
+	DirectPeers          int            // live peers heard directly
+	IsRelay              bool           // this router is a relay of its data centre
+	Feeder               string         // address of this router's feeder; empty if none
+	FeedAge              time.Duration  // time since the feeder's last digest; 0 if none
+	EvacuatedDataCentres int            // number of evacuated data centres
+	ColdTargets          int            // number of cold targets
+	Suspects             int            // number of refused requests
+	OpenRequests         map[string]int // open requests of the fleet by target ID
 }
 
 // Status returns the router's current status.
@@ -30,7 +30,7 @@
 	c.submitAndWait(func(now time.Time) {
 		s = Status{
 			Ready: c.Ready(), StoreReader: c.core.ReadsStore(), DesiredVersion: c.desiredVersion,
-			EvacuatedDataCentres: c.evacuatedCount, DesiredAge: now.Sub(c.appliedAt), TargetsAge: now.Sub(c.targetsChangedAt), LivePeers: c.core.AliveCount(now), DirectPeers: c.core.DirectPeerCount(now),
+			EvacuatedDataCentres: c.evacuatedCount, DesiredAge: now.Sub(c.desiredAppliedAt), TargetsAge: now.Sub(c.targetsChangedAt), LivePeers: c.core.AliveCount(now), DirectPeers: c.core.DirectPeerCount(now),
 		}
 		var feeder fleet.Address
 		s.IsRelay, feeder = c.core.Role()
@@ -42,7 +42,7 @@
 	s.Suspects = int(c.traffic.poisonGuard.suspectCount.Load())
 	c.traffic.mu.Lock()
 	defer c.traffic.mu.Unlock()
-	s.ColdTargets = c.traffic.board.CountCold(c.now())
-	s.OpenRequests = c.traffic.board.OpenByTarget()
+	s.ColdTargets = c.traffic.balancer.CountCold(c.now())
+	s.OpenRequests = c.traffic.balancer.OpenByTarget()
 	return s
 }
--- a/internal/app/gateway/targetcache.go
+++ b/internal/app/gateway/targetcache.go
@@ -55,7 +55,7 @@
 	return pools, rejected
 }
 
-// has reports whether the list contains a key.
+// has reports whether the target list contains a row with a key, even if the row is invalid.
 func (l *targetCache) has(key string) bool {
 	_, ok := l.rows[key]
 	return ok
--- a/internal/app/gateway/targets.go
+++ b/internal/app/gateway/targets.go
@@ -9,22 +9,22 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// applyTargets applies a version of the target list. It returns the IDs of the targets that stop
-// getting new requests because they are leaving or were removed from the list.
-func (c *Control) applyTargets(now time.Time, rows []replica.Row, version uint64, source string) (leaving []string) {
-	targets, rejected := c.targets.update(rows)
+// applyTargets applies a version of the target list. It returns the IDs of the targets that get no
+// new requests from now on because they are leaving or were removed from the list.
+func (c *Control) applyTargets(now time.Time, rows []replica.Row, version uint64, source string) (departed []string) {
+	targets, rejected := c.cachedTargets.update(rows)
 	rejected = append(rejected, c.rejectUnknownPools(targets)...)
 	c.rejections.record(rejected, source)
-	staying := c.roster.ActiveTargets()
-	restarted := c.roster.Update(now, version, targets, c.rejections.keys())
-	departures, leaving := c.roster.DeparturesSince(staying, c.targets.has)
+	activeBefore := c.targetSet.ActiveTargets()
+	restarted := c.targetSet.Update(now, version, targets, c.rejections.keys())
+	departures, departed := c.targetSet.DeparturesSince(activeBefore, c.cachedTargets.has)
 	c.departures.add(departures)
 	c.publishTargets(now)
 	for _, t := range restarted {
 		n := c.traffic.openAttempts.cancelRestarted(t.UID)
 		c.log.Line(eventlog.TargetRestarted).Str("target", t.ID).Int64("started", t.StartedAtMs).Int("attempts", n).Msg("")
 	}
-	return leaving
+	return departed
 }
 
 // rejectUnknownPools deletes the pools that the applied desired state does not contain from
@@ -48,9 +48,10 @@
 	return out
 }
 
+// publishTargets passes the current targets to the balancer and updates the readiness.
 func (c *Control) publishTargets(now time.Time) {
 	c.traffic.mu.Lock()
-	c.traffic.board.SetTargets(now, c.roster.ByPool())
+	c.traffic.balancer.SetTargets(now, c.targetSet.ByPool())
 	c.traffic.mu.Unlock()
 	c.updateReady()
 }
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -27,13 +27,13 @@
 	err                error
 	firstEventRecorded bool      // the first event, or its absence, was recorded for placement
 	events             int       // events of a stream sent to the caller
-	firstEventAt       time.Time // when the first event was sent; zero if none
-	// answering is true once part of the answer was sent to the caller.
+	firstEventAt       time.Time // when the first event arrived; zero if none
+	// answering is true once the first complete event of a stream has arrived.
 	answering atomic.Bool
 
 	ctx    context.Context
 	cancel context.CancelCauseFunc
-	// timer expires when the target has been silent for too long.
+	// timer expires when the target may have been silent for too long.
 	timer          *time.Timer
 	mu             sync.Mutex // guards silence and silenceCounted
 	silence        attempt.SilenceWatch
@@ -77,74 +77,76 @@
 	}
 }
 
-// make sends the request and forwards the answer.
+// make makes the attempt: it sends the request and forwards the answer.
 func (t *targetAttempt) make() attempt.Action {
-	x := t.request
-	t.ctx, t.cancel = context.WithCancelCause(x.ctx)
+	r := t.request
+	t.ctx, t.cancel = context.WithCancelCause(r.ctx)
 	defer t.cancel(nil)
-	x.proxy.traffic.openAttempts.add(t)
-	defer x.proxy.traffic.openAttempts.remove(t)
+	r.proxy.traffic.openAttempts.add(t)
+	defer r.proxy.traffic.openAttempts.remove(t)
 	t.startSilenceTimer()
 	defer func() { t.timer.Stop() }()
-	answer, err := x.proxy.upstream.Do(t.ctx, t.upstreamRequest())
+	answer, err := r.proxy.upstream.Do(t.ctx, t.upstreamRequest())
 	if err != nil {
-		return t.sendFailed(err)
+		return t.handleSendError(err)
 	}
 	defer answer.Close()
-	reply := x.proxy.codec.DecodeReply(answer.Status, answer.Header)
-	x.proxy.codec.StripRouterHeaders(answer.Header) // these headers would look like this router's own
+	info := r.proxy.codec.DecodeAnswer(answer.Status, answer.Header)
+	r.proxy.codec.StripRouterHeaders(answer.Header) // they would look like this router's own
 	switch {
-	case reply.NotExecuted:
-		return t.endNotExecuted(reply)
-	case x.match.route.Kind == route.Stream && answer.Status == http.StatusOK && reply.Sealed:
+	case info.NotExecuted:
+		return t.handleNotExecuted(info)
+	case r.match.route.Kind == route.Stream && answer.Status == http.StatusOK && info.Sealed:
 		return t.forwardStream(answer)
 	}
-	return t.forwardBuffered(answer, reply)
+	return t.forwardBuffered(answer, info)
 }
 
 func (t *targetAttempt) upstreamRequest() upstream.Request {
-	x := t.request
-	call := x.match.call
+	r := t.request
+	call := r.match.call
 	a := Attempt{
-		Remaining: x.deadline.Sub(t.startedAt), TargetID: t.choice.Target.ID, LastEventID: x.stream.lastEventID,
-		CacheSource: t.choice.CacheSource, Team: x.match.teamName(), Priority: x.match.rank(),
+		Remaining: r.deadline.Sub(t.startedAt), TargetID: t.choice.Target.ID, LastEventID: r.stream.lastEventID,
+		CacheSource: t.choice.CacheSource, Team: r.match.teamName(), Priority: r.match.priority(),
 	}
 	return upstream.Request{
 		Target: t.choice.Target.UID, Address: t.choice.Target.Address,
-		Method: call.Method, URI: call.URI, Host: call.Host, Header: x.proxy.codec.PrepareHeader(call, a), Body: x.body,
-		Echoes: func(h http.Header) bool { return x.proxy.codec.MatchesCall(call, h) },
+		Method: call.Method, URI: call.URI, Host: call.Host, Header: r.proxy.codec.PrepareHeader(call, a), Body: r.body,
+		Echoes: func(h http.Header) bool { return r.proxy.codec.MatchesCall(call, h) },
 		Heard:  t.applySignals,
 		Sent:   t.confirmSend,
 	}
 }
 
-// fail records the reason for a failure and marks the target as failed.
-func (t *targetAttempt) fail(reason string, err error) {
+// recordFailure records the reason for a failure. It counts as a failure of the target.
+func (t *targetAttempt) recordFailure(reason string, err error) {
 	t.failure, t.err, t.outcome = reason, err, placement.Failed
 }
 
-func (t *targetAttempt) sendFailed(err error) attempt.Action {
-	x := t.request
-	if x.ctx.Err() != nil {
+// handleSendError ends an attempt that got no answer.
+func (t *targetAttempt) handleSendError(err error) attempt.Action {
+	r := t.request
+	if r.ctx.Err() != nil {
 		return t.endByContext()
 	}
 	if errors.Is(err, upstream.ErrWithdrawn) {
 		t.failure = failureWithdrawn
-		return x.machine.Step(attempt.NotSent{Attempt: t.number})
+		return r.machine.Step(attempt.NotSent{Attempt: t.number})
 	}
 	if errors.Is(err, upstream.ErrNotSent) {
-		t.fail("not_sent", err)
+		t.recordFailure("not_sent", err)
 		t.outcome = placement.Unreachable
 		t.checkRefusedConnection(err)
-		return x.machine.Step(attempt.NotSent{Attempt: t.number})
+		return r.machine.Step(attempt.NotSent{Attempt: t.number})
 	}
-	t.failBroken("broken", err)
-	return x.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
+	t.recordBrokenConnection("broken", err)
+	return r.machine.Step(attempt.ConnectionFailed{Attempt: t.number})
 }
 
-// failBroken records a broken connection and checks whether the target has exited.
-func (t *targetAttempt) failBroken(reason string, err error) {
-	t.fail(t.failureCause(reason), err)
+// recordBrokenConnection records a broken connection. Unless this router cancelled the attempt
+// itself, it checks whether the target has exited.
+func (t *targetAttempt) recordBrokenConnection(reason string, err error) {
+	t.recordFailure(t.failureCause(reason), err)
 	if t.failure == reason {
 		t.checkTargetExit(err)
 	}
@@ -171,7 +173,7 @@
 // failureRestarted is the reason for attempts that were cancelled because the target restarted.
 const failureRestarted = "restarted"
 
-// failureCause returns the reason for which this router cancelled the attempt, or otherwise if it
+// failureCause returns the reason for which this router cancelled the attempt, or fallback if it
 // did not.
 func (t *targetAttempt) failureCause(fallback string) string {
 	cause := context.Cause(t.ctx)
@@ -189,23 +191,24 @@
 // endByContext ends an attempt whose caller disconnected or whose deadline passed. If the deadline
 // passed, the target counts as failed.
 func (t *targetAttempt) endByContext() attempt.Action {
-	x := t.request
-	if !errors.Is(context.Cause(x.ctx), context.Canceled) {
-		t.fail("deadline", nil)
+	r := t.request
+	if !errors.Is(context.Cause(r.ctx), context.Canceled) {
+		t.recordFailure("deadline", nil)
 	}
-	return x.endEarly()
+	return r.endEarly()
 }
 
 // failureNotExecuted is the reason for attempts that the target did not execute.
 const failureNotExecuted = "turned_away"
 
-func (t *targetAttempt) endNotExecuted(reply Reply) attempt.Action {
+// handleNotExecuted ends an attempt that the target guarantees not to have executed.
+func (t *targetAttempt) handleNotExecuted(info AnswerInfo) attempt.Action {
 	t.failure, t.outcome = failureNotExecuted, placement.Refused
 	switch {
-	case reply.WrongTarget:
-		t.fail("wrong_target", nil)
-	case reply.PauseDuration > 0:
-		t.outcome = placement.Neutral // the target has announced its state itself
+	case info.WrongTarget:
+		t.recordFailure("wrong_target", nil)
+	case info.PauseDuration > 0:
+		t.outcome = placement.Neutral // the pause is already recorded
 	}
 	return t.request.machine.Step(attempt.TargetRefused{Attempt: t.number})
 }
--- a/internal/app/gateway/underway.go
+++ b/internal/app/gateway/underway.go
@@ -30,34 +30,34 @@
 	return &attemptRegistry{byTarget: make(map[uint64]map[*targetAttempt]context.CancelCauseFunc)}
 }
 
-func (u *attemptRegistry) add(t *targetAttempt) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (r *attemptRegistry) add(t *targetAttempt) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	uid := t.choice.Target.UID
-	if u.byTarget[uid] == nil {
-		u.byTarget[uid] = make(map[*targetAttempt]context.CancelCauseFunc)
+	if r.byTarget[uid] == nil {
+		r.byTarget[uid] = make(map[*targetAttempt]context.CancelCauseFunc)
 	}
-	u.byTarget[uid][t] = t.cancel
+	r.byTarget[uid][t] = t.cancel
 }
 
-func (u *attemptRegistry) remove(t *targetAttempt) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+func (r *attemptRegistry) remove(t *targetAttempt) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	uid := t.choice.Target.UID
-	delete(u.byTarget[uid], t)
-	if len(u.byTarget[uid]) == 0 {
-		delete(u.byTarget, uid)
+	delete(r.byTarget[uid], t)
+	if len(r.byTarget[uid]) == 0 {
+		delete(r.byTarget, uid)
 	}
 }
 
-// cancelSuspected cancels a request's attempts that have not yet received any part of an answer,
-// and returns how many there were. An attempt with an answer continues, as it may clear the
-// request.
-func (u *attemptRegistry) cancelSuspected(f poison.Fingerprint) int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
+// cancelSuspected cancels a request's attempts, except those that are answering, and returns how
+// many it cancelled. An attempt that is answering continues, as its end may clear the request of
+// suspicion.
+func (r *attemptRegistry) cancelSuspected(f poison.Fingerprint) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	n := 0
-	for _, attempts := range u.byTarget {
+	for _, attempts := range r.byTarget {
 		for t, cancel := range attempts {
 			if t.request.fingerprint == f && !t.answering.Load() {
 				cancel(errSuspected)
@@ -70,11 +70,11 @@
 
 // cancelRestarted cancels the attempts at a lifetime that has ended and returns how many there
 // were.
-func (u *attemptRegistry) cancelRestarted(uid uint64) int {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, cancel := range u.byTarget[uid] {
+func (r *attemptRegistry) cancelRestarted(uid uint64) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, cancel := range r.byTarget[uid] {
 		cancel(errRestarted)
 	}
-	return len(u.byTarget[uid])
+	return len(r.byTarget[uid])
 }
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -16,8 +16,8 @@
 )
 
 // trafficState is the state that request goroutines share with the control goroutine: the routing
-// table, which is replaced as a whole, and the board of open requests. Placing and finishing a
-// request takes 2 us with 12 targets and 8 us with 120 (BenchmarkPlace).
+// table, which is replaced as a whole, and the balancer, which counts the open requests. Placing
+// and finishing a request takes 2 us with 12 targets and 8 us with 120 (BenchmarkPlace).
 type trafficState struct {
 	table        atomic.Pointer[route.Table]
 	shuttingDown atomic.Bool
@@ -27,14 +27,14 @@
 	// earlyRequests is the number of open requests accepted before shutdownDeadline was set.
 	earlyRequests atomic.Int64
 	ready         atomic.Bool
-	// outdated is true if another router has a newer desired state, stale if that has lasted too
-	// long.
-	outdated, stale atomic.Bool
+	// behind is true if any live router has a newer desired state. stale is true if at least half
+	// of them have had one for so long that this router must not serve by its own any more.
+	behind, stale atomic.Bool
 
-	// removedGrace is how long targets remain in use after their removal from the target list, in
+	// retentionNanos is how long targets remain in use after their removal from the target list, in
 	// nanoseconds. storeOutage is true if a store outage has extended it.
-	removedGrace atomic.Int64
-	storeOutage  atomic.Bool
+	retentionNanos atomic.Int64
+	storeOutage    atomic.Bool
 	// targetsRowVersion is the row version of the applied target list.
 	targetsRowVersion atomic.Uint64
 
@@ -42,7 +42,7 @@
 	poisonGuard  *poisonGuard
 
 	mu              sync.Mutex
-	board           *placement.Balancer
+	balancer        *placement.Balancer
 	gates           map[string]*admission.Gate
 	retryBudgets    map[string]*retry.Window
 	retryLimits     retry.Limits
@@ -50,229 +50,231 @@
 	loadsReportedAt time.Time // when another router last reported its loads
 }
 
-// place chooses a target and decides whether to send the request. A request that a target has
-// already partly executed is always admitted, since rejecting it would waste that work. ok is false
-// if the pool has no target.
-func (v *trafficState) place(now time.Time, a placement.Request, q admission.Request, partlyExecuted bool) (c placement.Choice, verdict admission.Decision, ok bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	gate, age := v.poolGate(a.Pool), v.maxLoadReportAge(now)
-	a.LoadsOutdated = gate.HasShortWork(age)
-	c, ok = v.board.Place(now, a)
+// placeRequest chooses a target and decides whether to send the request there. A request that a
+// target may have executed in part is always admitted, since refusing it would waste that work. ok
+// is false if the pool has no target.
+func (t *trafficState) placeRequest(now time.Time, request placement.Request, admissionRequest admission.Request, mayHaveExecuted bool) (c placement.Choice, decision admission.Decision, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	gate, age := t.poolGate(request.Pool), t.maxLoadReportAge(now)
+	request.LoadsOutdated = gate.HasShortWork(age)
+	c, ok = t.balancer.Place(now, request)
 	if !ok {
-		return c, verdict, false
+		return c, decision, false
 	}
-	verdict = gate.Decide(now, q, admission.Load{Open: c.Open, Slots: c.Target.Slots, ReportAge: age})
-	if verdict.Code != code.OK && !partlyExecuted {
-		v.board.RecordFirstEvent(now, c, false)
-		v.board.FinishRequest(now, c.Target.UID, placement.Neutral)
-		return c, verdict, true
+	decision = gate.Decide(now, admissionRequest, admission.Load{Open: c.Open, Slots: c.Target.Slots, ReportAge: age})
+	if decision.Code != code.OK && !mayHaveExecuted {
+		t.balancer.RecordFirstEvent(now, c, false)
+		t.balancer.FinishRequest(now, c.Target.UID, placement.Neutral)
+		return c, decision, true
 	}
-	gate.RecordStart(q.Team)
-	verdict.Code = code.OK
-	return c, verdict, true
+	gate.RecordStart(admissionRequest.Team)
+	decision.Code = code.OK
+	return c, decision, true
 }
 
 // recordFirstEvent records that an attempt has received its first event, or will not receive one.
-func (v *trafficState) recordFirstEvent(now time.Time, c placement.Choice, answered bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.board.RecordFirstEvent(now, c, answered)
+func (t *trafficState) recordFirstEvent(now time.Time, c placement.Choice, answered bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.balancer.RecordFirstEvent(now, c, answered)
 }
 
-// maxLoadReportAge returns the age of the load reports used for admission, or 0 if there are no
-// other routers. Routers report once per tick, so one tick is added for the report in transit.
-func (v *trafficState) maxLoadReportAge(now time.Time) time.Duration {
-	if v.loadsReportedAt.IsZero() {
+// maxLoadReportAge returns the load report age that admission assumes; 0 if no other router has
+// reported. Routers report once per tick, so one tick is added for the report in transit.
+func (t *trafficState) maxLoadReportAge(now time.Time) time.Duration {
+	if t.loadsReportedAt.IsZero() {
 		return 0
 	}
-	return fleet.TickInterval + now.Sub(v.loadsReportedAt)
+	return fleet.TickInterval + now.Sub(t.loadsReportedAt)
 }
 
-// finishAttempt releases an attempt's place at its target and records the outcome. It reports
-// whether the target is now suspended.
-func (v *trafficState) finishAttempt(now time.Time, pool, team string, target uint64, o placement.Outcome, took time.Duration, answer admission.Outcome) (suspended bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.poolGate(pool).RecordEnd(now, team, took, answer)
-	return v.board.FinishRequest(now, target, o)
+// finishAttempt removes an attempt from the open requests of its target and records its outcome. It
+// reports whether the target is now suspended or ejected.
+func (t *trafficState) finishAttempt(now time.Time, pool, team string, target uint64, outcome placement.Outcome, took time.Duration, loadSignal admission.Outcome) (suspended bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.poolGate(pool).RecordEnd(now, team, took, loadSignal)
+	return t.balancer.FinishRequest(now, target, outcome)
 }
 
-func (v *trafficState) poolGate(pool string) *admission.Gate {
-	g, ok := v.gates[pool]
+// poolGate returns the admission gate of a pool, which it creates on first use.
+func (t *trafficState) poolGate(pool string) *admission.Gate {
+	g, ok := t.gates[pool]
 	if !ok {
 		g = admission.NewGate()
-		v.gates[pool] = g
+		t.gates[pool] = g
 	}
 	return g
 }
 
 // isLeavingOrRemoved reports whether a target is leaving or was removed from the target list.
-func (v *trafficState) isLeavingOrRemoved(target uint64) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.IsLeavingOrRemoved(target)
+func (t *trafficState) isLeavingOrRemoved(target uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.IsLeavingOrRemoved(target)
 }
 
 // markLeaving records that a target announced its shutdown and reports whether that is new.
-func (v *trafficState) markLeaving(now time.Time, target uint64) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.MarkLeaving(now, target)
+func (t *trafficState) markLeaving(now time.Time, target uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.MarkLeaving(now, target)
 }
 
 // markExited records that a target's process has exited and reports whether that is new.
-func (v *trafficState) markExited(now time.Time, target uint64) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.MarkExited(now, target)
+func (t *trafficState) markExited(now time.Time, target uint64) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.MarkExited(now, target)
 }
 
 // exitedTargetsToProbe returns the targets that are believed to have exited and are due for a
 // probe.
-func (v *trafficState) exitedTargetsToProbe(now time.Time) []placement.Target {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.ExitedTargetsToProbe(now)
+func (t *trafficState) exitedTargetsToProbe(now time.Time) []placement.Target {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.ExitedTargetsToProbe(now)
 }
 
 // recordProbe records whether a target believed to have exited accepts connections.
-func (v *trafficState) recordProbe(now time.Time, target uint64, accepts bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.board.RecordProbe(now, target, accepts)
+func (t *trafficState) recordProbe(now time.Time, target uint64, accepts bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.balancer.RecordProbe(now, target, accepts)
 }
 
 // setPause records a target's pause for this router; d is 0 if the target announced none.
-func (v *trafficState) setPause(now time.Time, target uint64, d time.Duration) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.board.MarkPaused(now, target, d)
+func (t *trafficState) setPause(now time.Time, target uint64, d time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.balancer.MarkPaused(now, target, d)
 }
 
 // markCold records how long a target remains cold and reports whether that is new.
-func (v *trafficState) markCold(now time.Time, target uint64, d time.Duration) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.MarkCold(now, target, d)
+func (t *trafficState) markCold(now time.Time, target uint64, d time.Duration) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.MarkCold(now, target, d)
 }
 
-// setRouters sets the routers that share the capacity of cold targets.
-func (v *trafficState) setRouters(f *warmup.Fleet) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.board.SetFleet(f)
+// setFleet sets the fleet, from which the routers that may send to a cold target are selected.
+func (t *trafficState) setFleet(f *warmup.Fleet) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.balancer.SetFleet(f)
 }
 
 // maySend reports whether a placed request may still be sent to its target.
-func (v *trafficState) maySend(now time.Time, c placement.Choice) bool {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.MaySend(now, c)
+func (t *trafficState) maySend(now time.Time, c placement.Choice) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.MaySend(now, c)
 }
 
 // noTargetCode returns the result code for a request that found no target.
-func (v *trafficState) noTargetCode(now time.Time, pool string) code.Code {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (t *trafficState) noTargetCode(now time.Time, pool string) code.Code {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	switch {
-	case v.board.IsEvacuated(pool):
+	case t.balancer.IsEvacuated(pool):
 		return code.Evacuated
-	case v.board.PausedRetryAfter(now, pool) > 0:
+	case t.balancer.PausedRetryAfter(now, pool) > 0:
 		return code.TargetsPaused
-	case v.board.ColdRetryAfter(now, pool) > 0:
+	case t.balancer.ColdRetryAfter(now, pool) > 0:
 		return code.TargetsCold
 	}
 	return code.NoTarget
 }
 
 // setEvacuated sets the evacuated data centres and returns the changes.
-func (v *trafficState) setEvacuated(now time.Time, dataCentres []string) []evacuation.Change {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.SetEvacuated(now, dataCentres)
+func (t *trafficState) setEvacuated(now time.Time, dataCentres []string) []evacuation.Change {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.SetEvacuated(now, dataCentres)
 }
 
-// availableAfter returns the time until the first target of a pool accepts requests, if all are
-// paused or cold; 0 otherwise.
-func (v *trafficState) availableAfter(now time.Time, pool string) time.Duration {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return max(v.board.PausedRetryAfter(now, pool), v.board.ColdRetryAfter(now, pool))
+// availableAfter returns the time until the first target of a pool accepts requests if all of them
+// are paused or all are cold; 0 otherwise.
+func (t *trafficState) availableAfter(now time.Time, pool string) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return max(t.balancer.PausedRetryAfter(now, pool), t.balancer.ColdRetryAfter(now, pool))
 }
 
 // targetID returns the ID of a target by its lifetime's UID; empty if unknown.
-func (v *trafficState) targetID(target uint64) string {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.TargetID(target)
+func (t *trafficState) targetID(target uint64) string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.TargetID(target)
 }
 
 // recordSilence records that a target is silent while the request still waits. It reports whether
 // the target is now suspended.
-func (v *trafficState) recordSilence(now time.Time, target uint64) (suspended bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return v.board.RecordSilence(now, target)
+func (t *trafficState) recordSilence(now time.Time, target uint64) (suspended bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.balancer.RecordSilence(now, target)
 }
 
-func (v *trafficState) retryBudget(now time.Time, pool string) *retry.Window {
-	w, ok := v.retryBudgets[pool]
+// retryBudget returns the retry budget of a pool, which it creates on first use.
+func (t *trafficState) retryBudget(now time.Time, pool string) *retry.Window {
+	w, ok := t.retryBudgets[pool]
 	if !ok {
-		w = retry.NewWindow(now, v.retryWindow)
-		v.retryBudgets[pool] = w
+		w = retry.NewWindow(now, t.retryWindow)
+		t.retryBudgets[pool] = w
 	}
 	return w
 }
 
-func (v *trafficState) countRequest(now time.Time, pool string) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	v.retryBudget(now, pool).RecordRequest(now)
+func (t *trafficState) countRequest(now time.Time, pool string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.retryBudget(now, pool).RecordRequest(now)
 }
 
 // takeRetry takes one retry from the pool's budget. If ok is false, the budget is exhausted and
-// full describes it.
-func (v *trafficState) takeRetry(now time.Time, pool string) (room retry.Headroom, ok bool) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	w := v.retryBudget(now, pool)
-	if w.TryRetry(now, v.retryLimits) {
+// headroom shows what it allows.
+func (t *trafficState) takeRetry(now time.Time, pool string) (headroom retry.Headroom, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	w := t.retryBudget(now, pool)
+	if w.TryRetry(now, t.retryLimits) {
 		return retry.Headroom{}, true
 	}
-	return w.TightestHeadroom(now, v.retryLimits), false
+	return w.TightestHeadroom(now, t.retryLimits), false
 }
 
 // forgetLoads drops the loads reported by the given routers, or all reports if sources is empty.
-func (v *trafficState) forgetLoads(sources []uint32) {
-	v.mu.Lock()
-	defer v.mu.Unlock()
+func (t *trafficState) forgetLoads(sources []uint32) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if len(sources) == 0 {
-		v.board.ForgetAllRouters()
+		t.balancer.ForgetAllRouters()
 	}
 	for _, s := range sources {
-		v.board.ForgetRouter(s)
+		t.balancer.ForgetRouter(s)
 	}
 }
 
 // loadReportAge returns the time since another router last reported its loads; 0 if none has.
-func (v *trafficState) loadReportAge(now time.Time) time.Duration {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	if v.loadsReportedAt.IsZero() {
+func (t *trafficState) loadReportAge(now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.loadsReportedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(v.loadsReportedAt)
+	return now.Sub(t.loadsReportedAt)
 }
 
-// maxPromptsPerDigest bounds the cached prompts reported in a digest. They take 16 bytes each and
+// maxPrefixReadsPerDigest bounds the prefix reads reported in a digest. They take 16 bytes each and
 // must fit into one packet.
-const maxPromptsPerDigest = 32
+const maxPrefixReadsPerDigest = 32
 
-// digestContent returns the router's own loads, target outcomes and cached prompts for the next
+// digestContent returns the router's own loads, target outcomes and prefix reads for the next
 // digest.
-func (v *trafficState) digestContent(now time.Time) fleet.Tick {
-	v.mu.Lock()
-	defer v.mu.Unlock()
-	return fleet.Tick{Loads: v.board.OwnLoads(), Outcomes: v.board.OutcomesToReport(now), Prompts: v.board.TakePrefixReads(maxPromptsPerDigest)}
+func (t *trafficState) digestContent(now time.Time) fleet.Tick {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return fleet.Tick{Loads: t.balancer.OwnLoads(), Outcomes: t.balancer.OutcomesToReport(now), Prompts: t.balancer.TakePrefixReads(maxPrefixReadsPerDigest)}
 }
