--- a/cmd/hemlockdyke-bench/main.go
+++ b/cmd/hemlockdyke-bench/main.go
@@ -22,16 +22,16 @@
 	app := kingpin.New("hemlockdyke-bench", "Measures a hemlockdyke fleet.")
 	cmd := app.Command("load", "Drive a running fleet and check every answer.")
 	s := load.Settings{}
-	cmd.Flag("router", "Base URL of a router.").Required().StringsVar(&s.Routers)
-	cmd.Flag("engine", "Base URL of a stand-in engine.").Required().StringsVar(&s.Engines)
-	cmd.Flag("service", "Base URL of the stand-in service.").Required().StringVar(&s.Service)
+	cmd.Flag("router", "Base URL of a router.").Required().StringsVar(&s.RouterURLs)
+	cmd.Flag("engine", "Base URL of a stand-in engine.").Required().StringsVar(&s.EngineURLs)
+	cmd.Flag("service", "Base URL of the stand-in service.").Required().StringVar(&s.ServiceURL)
 	cmd.Flag("team", "Team.").Required().StringsVar(&s.Teams)
 	cmd.Flag("model", "Model.").Required().StringVar(&s.Model)
-	cmd.Flag("pool", "Service pool.").Required().StringVar(&s.Pool)
+	cmd.Flag("pool", "Service pool.").Required().StringVar(&s.ServicePool)
 	cmd.Flag("chats", "Number of chats.").Default("60").IntVar(&s.Chats)
-	cmd.Flag("turns", "Turns of each chat.").Default("6").IntVar(&s.Turns)
-	cmd.Flag("parallel", "Chats at a time.").Default("24").IntVar(&s.Parallel)
-	cmd.Flag("pause", "Mean pause between turns.").Default("100ms").DurationVar(&s.Pause)
+	cmd.Flag("turns", "Turns of each chat.").Default("6").IntVar(&s.TurnsPerChat)
+	cmd.Flag("parallel", "Chats at a time.").Default("24").IntVar(&s.ConcurrentChats)
+	cmd.Flag("pause", "Mean pause between turns.").Default("100ms").DurationVar(&s.MeanPause)
 	cmd.Flag("seed", "Seed.").Default("1").Uint64Var(&s.Seed)
 	limit := cmd.Flag("limit", "Longest run.").Default("50s").Duration()
 
@@ -56,7 +56,7 @@
 	case exp.FullCommand():
 		runExperiment(*only, *onlyPolicy, *seeds)
 	case get.FullCommand():
-		app.FatalIfError(load.Get(os.Stdout, *getURL, *getWait), "get")
+		app.FatalIfError(load.FetchWhenOK(os.Stdout, *getURL, *getWait), "get")
 	case slopes.FullCommand():
 		app.FatalIfError(capacity.Run(os.Stdout), "capacity")
 	case spread.FullCommand():
@@ -101,7 +101,7 @@
 	if err := enc.Encode(report); err != nil {
 		return err
 	}
-	if report.Failed() {
+	if report.HasFailures() {
 		os.Exit(1)
 	}
 	return nil
@@ -114,8 +114,8 @@
 			for _, loss := range []float64{0, 0.05} {
 				for seed := range seeds {
 					experiment.RunSpread(experiment.SpreadSettings{
-						Routers: routers, Changes: 40, Interval: 8 * time.Second, PushTo: controller.PushTo,
-						StoreDown: down, Loss: loss, Seed: seed + 1,
+						Routers: routers, Changes: 40, ChangeInterval: 8 * time.Second, PushedRouters: controller.PushTo,
+						HasStoreOutage: down, LossRate: loss, Seed: seed + 1,
 					}).Print(os.Stdout)
 				}
 			}
--- a/cmd/hemlockdyke-standin/main.go
+++ b/cmd/hemlockdyke-standin/main.go
@@ -34,12 +34,12 @@
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
 	platform := mux.NewRouter()
-	table.New().Register(platform)
+	table.New().RegisterRoutes(platform)
 	app.FatalIfError(listen(*host, *platformPort, platform), "platform")
 	for i := range *engines {
 		e := engine.New(engine.Settings{
-			Name: fmt.Sprintf("engine-%d", i), Step: *step, CacheTokens: *cache,
-			PrefillPerSecond: *prefill, ChecksFencing: *fencing,
+			Name: fmt.Sprintf("engine-%d", i), TimePerToken: *step, CacheTokens: *cache,
+			PrefillTokensPerSecond: *prefill, ChecksFencing: *fencing,
 		})
 		app.FatalIfError(listen(*host, *enginePort+i, e.Handler()), "engine")
 	}
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -21,14 +21,14 @@
 // drive starts a load and returns a function that waits for its report.
 func (f *fleet) drive(chats, turns int) func() load.Report {
 	s := load.Settings{
-		Service: f.url(servicePort), Model: "drafter", Pool: "notices", Teams: []string{"dealers"},
-		Chats: chats, Turns: turns, Parallel: 12, Seed: 1, Pause: 50 * time.Millisecond,
+		ServiceURL: f.url(servicePort), Model: "drafter", ServicePool: "notices", Teams: []string{"dealers"},
+		Chats: chats, TurnsPerChat: turns, ConcurrentChats: 12, Seed: 1, MeanPause: 50 * time.Millisecond,
 	}
 	for i := 1; i <= routers; i++ {
-		s.Routers = append(s.Routers, f.url(callerPort+i))
+		s.RouterURLs = append(s.RouterURLs, f.url(callerPort+i))
 	}
 	for i := range engines {
-		s.Engines = append(s.Engines, f.url(enginePort+i))
+		s.EngineURLs = append(s.EngineURLs, f.url(enginePort+i))
 	}
 	var report load.Report
 	var err error
@@ -61,15 +61,15 @@
 		time.Sleep(500 * time.Millisecond) // the load is under way
 		f.routers[2].signal(syscall.SIGKILL)
 		report := wait()
-		Expect(report.Failed()).To(BeFalse(), "%+v", report)
-		Expect(report.Whole).To(Equal(150))
+		Expect(report.HasFailures()).To(BeFalse(), "%+v", report)
+		Expect(report.Complete).To(Equal(150))
 	})
 
 	// Symptom: a caller names a request, and nobody can say what became of it. Cause: requests
 	// were logged for debugging only, and on another stream than on the platform.
 	It("leave the way of each request in their logs", func() {
 		f := newFleet(true)
-		Expect(f.drive(10, 3)().Failed()).To(BeFalse())
+		Expect(f.drive(10, 3)().HasFailures()).To(BeFalse())
 		found := 0
 		for i := 1; i <= routers; i++ {
 			file := filepath.Join(GinkgoT().TempDir(), "router.log")
@@ -99,9 +99,9 @@
 			f.awaitReady(i)
 		}
 		report := wait()
-		Expect(report.Failed()).To(BeFalse(), "%+v", report)
-		Expect(report.Broken).To(BeZero(), "%+v", report)
-		Expect(report.Whole).To(Equal(480))
+		Expect(report.HasFailures()).To(BeFalse(), "%+v", report)
+		Expect(report.BrokenConnections).To(BeZero(), "%+v", report)
+		Expect(report.Complete).To(Equal(480))
 	})
 
 	// Symptom: a router that was frozen while a target was drained sends work there.
@@ -115,10 +115,10 @@
 		accepted := f.apply("leave", target.Resource)
 		time.Sleep(3500 * time.Millisecond) // longer than a router may serve uninformed
 		f.routers[2].signal(syscall.SIGCONT)
-		before := f.engine(1).Served
+		before := f.engine(1).ServedRequests
 		report := f.drive(10, 3)()
-		Expect(report.Failed()).To(BeFalse(), "%+v", report)
-		Expect(f.engine(1).Served).To(Equal(before))
+		Expect(report.HasFailures()).To(BeFalse(), "%+v", report)
+		Expect(f.engine(1).ServedRequests).To(Equal(before))
 		f.expectEverywhere(accepted.Operation.Revision)
 	})
 })
@@ -175,7 +175,7 @@
 			time.Sleep(1500 * time.Millisecond) // the frozen one looks again
 			status := f.engine(1)
 			Expect(status.State).To(HaveKeyWithValue("drain", "true"))
-			Expect(status.OrdersDone).To(BeNumerically("<=", 2), "an order may be repeated, as it states what shall be")
+			Expect(status.OrdersExecuted).To(BeNumerically("<=", 2), "an order may be repeated, as it states what shall be")
 			Expect(f.engine(0).State).To(HaveKeyWithValue("load", "v7"))
 		},
 		Entry("with targets that check fencing numbers", true),
--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -154,7 +154,7 @@
 func wholeAnswer() string {
 	var b strings.Builder
 	for i := range 5 {
-		b.WriteString(engine.Word("hello", i))
+		b.WriteString(engine.AnswerToken("hello", i))
 	}
 	return b.String()
 }
@@ -275,7 +275,7 @@
 	// table service is down.
 	It("with a key are refused as not run while the table service is down", func() {
 		r := newRig()
-		r.table.Next = func(bool) faketable.Fault { return faketable.Refused }
+		r.table.ChooseFault = func(bool) faketable.Fault { return faketable.Refused }
 		resp, text := r.post("/services/notices/send", "x", wire.HeaderIdempotencyKey, "k4")
 		Expect(codeIn(text)).To(Equal(2006))
 		Expect(resp.Header.Get("Retry-After")).NotTo(BeEmpty())
@@ -286,14 +286,14 @@
 		func(fault faketable.Fault) {
 			r := newRig()
 			writes := 0
-			r.table.Next = func(write bool) faketable.Fault {
+			r.table.ChooseFault = func(write bool) faketable.Fault {
 				if write {
 					writes++
 				}
 				if write && writes == 1 {
 					return fault
 				}
-				return faketable.None
+				return faketable.NoFault
 			}
 			for range 3 {
 				r.post("/services/notices/send", "x", wire.HeaderIdempotencyKey, "k5")
@@ -302,7 +302,7 @@
 		},
 		Entry("reply lost", faketable.ReplyLost),
 		Entry("write lost", faketable.WriteLost),
-		Entry("write late", faketable.WriteLate),
+		Entry("write late", faketable.WriteDelayed),
 		Entry("refused", faketable.Refused),
 	)
 })
--- a/internal/app/configstore/configstore_test.go
+++ b/internal/app/configstore/configstore_test.go
@@ -70,8 +70,8 @@
 		s := newStore(t)
 		_, _, err := s.Accept(ctx, "op-1", one(team("a", 1, 0)))
 		Expect(err).NotTo(HaveOccurred())
-		t.Between = func() {
-			t.Between = nil
+		t.BeforeCommit = func() {
+			t.BeforeCommit = nil
 			_, _, err := s.Accept(ctx, "rival", one(team("a", 7, 1)))
 			Expect(err).NotTo(HaveOccurred())
 		}
@@ -125,13 +125,13 @@
 			tab := faketable.New()
 			s := newStore(tab)
 			faulty := true
-			tab.Next = func(bool) faketable.Fault {
+			tab.ChooseFault = func(bool) faketable.Fault {
 				if !faulty {
-					return faketable.None
+					return faketable.NoFault
 				}
 				return rapid.SampledFrom([]faketable.Fault{
-					faketable.None, faketable.None, faketable.None, faketable.Refused,
-					faketable.ReplyLost, faketable.WriteLost, faketable.WriteLate,
+					faketable.NoFault, faketable.NoFault, faketable.NoFault, faketable.Refused,
+					faketable.ReplyLost, faketable.WriteLost, faketable.WriteDelayed,
 				}).Draw(t, "fault")
 			}
 			said := make(map[string]error)
--- a/internal/app/controller/matrix_test.go
+++ b/internal/app/controller/matrix_test.go
@@ -214,13 +214,13 @@
 
 func (w *world) tableFault(passes int, fault faketable.Fault) {
 	w.hold(passes, func() {
-		w.table.Next = func(write bool) faketable.Fault {
+		w.table.ChooseFault = func(write bool) faketable.Fault {
 			if write || fault == faketable.Refused {
 				return fault
 			}
-			return faketable.None
+			return faketable.NoFault
 		}
-	}, func() { w.table.Next = nil })
+	}, func() { w.table.ChooseFault = nil })
 }
 
 // controlFaults are what can strike.
@@ -244,20 +244,20 @@
 	{"table down", func(w *world) { w.tableFault(6, faketable.Refused) }},
 	{"replies of the table lost", func(w *world) { w.tableFault(4, faketable.ReplyLost) }},
 	{"writes of the table lost", func(w *world) { w.tableFault(4, faketable.WriteLost) }},
-	{"writes of the table late", func(w *world) { w.tableFault(4, faketable.WriteLate) }},
+	{"writes of the table late", func(w *world) { w.tableFault(4, faketable.WriteDelayed) }},
 	{"write limit: every second write refused", func(w *world) {
 		n := 0
 		w.hold(8, func() {
-			w.table.Next = func(write bool) faketable.Fault {
+			w.table.ChooseFault = func(write bool) faketable.Fault {
 				if write {
 					n++
 				}
 				if write && n%2 == 0 {
 					return faketable.Refused
 				}
-				return faketable.None
+				return faketable.NoFault
 			}
-		}, func() { w.table.Next = nil })
+		}, func() { w.table.ChooseFault = nil })
 	}},
 	{"racing operator changes the target", func(w *world) {
 		target, err := w.store.Get(context.Background(), resource.Key{Kind: resource.KindTarget, Name: "t"})
--- a/internal/app/router/claims_test.go
+++ b/internal/app/router/claims_test.go
@@ -42,7 +42,7 @@
 		tab := faketable.New()
 		entered, first := make(chan struct{}), make(chan struct{})
 		var once sync.Once
-		tab.Between = func() { once.Do(func() { close(entered); <-first }) }
+		tab.BeforeCommit = func() { once.Do(func() { close(entered); <-first }) }
 		claims := newClaims(tab, 1)
 		kinds := make(chan claim.ActionKind, 10)
 		var tries sync.WaitGroup
@@ -68,7 +68,7 @@
 
 	It("share transactions", func() {
 		tab := faketable.New()
-		tab.Between = func() { time.Sleep(time.Millisecond) }
+		tab.BeforeCommit = func() { time.Sleep(time.Millisecond) }
 		claims := newClaims(tab, 1)
 		var tries sync.WaitGroup
 		for i := range 100 {
@@ -87,9 +87,9 @@
 	It("that were refused leave no row behind", func() {
 		tab := faketable.New()
 		writes := 0
-		tab.Next = func(write bool) faketable.Fault {
+		tab.ChooseFault = func(write bool) faketable.Fault {
 			if !write {
-				return faketable.None
+				return faketable.NoFault
 			}
 			writes++
 			switch writes {
@@ -98,7 +98,7 @@
 			case 2:
 				return faketable.Refused
 			}
-			return faketable.None
+			return faketable.NoFault
 		}
 		claims := newClaims(tab, 1)
 		_, action := claims.Take(ctx, request("x"), "k")
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -137,7 +137,7 @@
 		if err != nil {
 			return err
 		}
-		points = append(points, point{float64(n), cost.Total()})
+		points = append(points, point{float64(n), cost.TotalBytes()})
 	}
 	report(w, "exchange", "bytes_per_call", "asks_and_releases", points)
 	for _, one := range []struct {
@@ -151,7 +151,7 @@
 			return err
 		}
 		fmt.Fprintf(w, "capacity role=exchange figure=%s out=%.0f in=%.0f packets=%.2f overhead=%.0f cpu_us_both_ends=%.1f\n",
-			one.name, cost.Out, cost.In, cost.Packets, cost.Total()-float64(proto.Size(req)+proto.Size(resp)),
+			one.name, cost.BytesOut, cost.BytesIn, cost.Packets, cost.TotalBytes()-float64(proto.Size(req)+proto.Size(resp)),
 			float64((cpu()-before).Microseconds())/calls)
 	}
 	return nil
@@ -168,7 +168,7 @@
 		if err != nil {
 			return err
 		}
-		wireBytes = append(wireBytes, point{float64(n), cost.Total()})
+		wireBytes = append(wireBytes, point{float64(n), cost.TotalBytes()})
 		processor = append(processor, point{float64(n), idle(n)})
 		ids := make([]uint32, n)
 		for i := range ids {
@@ -201,14 +201,14 @@
 	change := poolChange(12, 10)
 	for i := range ids {
 		s := core.DefaultSettings(ids[i], ids)
-		net.Add(core.New(clock.Now(), s), time.Duration(i)*time.Millisecond%core.TickInterval)
+		net.AddNode(core.New(clock.Now(), s), time.Duration(i)*time.Millisecond%core.TickInterval)
 	}
 	for i := range ids {
 		net.Step(i, core.StoreReadCompleted{Changes: []resource.Change{change}})
 	}
-	clock.Run(5 * time.Second)
+	clock.RunUntil(5 * time.Second)
 	before := cpu()
-	clock.Run((5 + idleSeconds) * time.Second)
+	clock.RunUntil((5 + idleSeconds) * time.Second)
 	return float64((cpu() - before).Microseconds()) / idleSeconds / float64(n)
 }
 
--- a/internal/capacity/store.go
+++ b/internal/capacity/store.go
@@ -34,13 +34,13 @@
 
 func newCounted() *counted {
 	c := &counted{Table: faketable.New()}
-	c.Next = func(write bool) faketable.Fault {
+	c.ChooseFault = func(write bool) faketable.Fault {
 		if write {
 			c.writes.Add(1)
 		} else {
 			c.reads.Add(1)
 		}
-		return faketable.None
+		return faketable.NoFault
 	}
 	return c
 }
@@ -61,7 +61,7 @@
 	var writes []point
 	for _, rate := range []int{10, 100, 1000} {
 		table := newCounted()
-		table.Between = func() { time.Sleep(commitTime) }
+		table.BeforeCommit = func() { time.Sleep(commitTime) }
 		c := router.NewClaims(table, alive{}, 1, 1, eventlog.Nop(), time.Now)
 		req := router.Request{Method: http.MethodPost, Team: "t", Pool: &routing.Pool{Name: "p"}}
 		var calls sync.WaitGroup
@@ -187,7 +187,7 @@
 		if err != nil {
 			return err
 		}
-		onWire = append(onWire, point{float64(n), cost.Total()})
+		onWire = append(onWire, point{float64(n), cost.TotalBytes()})
 		processor = append(processor, point{float64(n), float64((cpu() - before).Microseconds()) / pulls})
 	}
 	report(w, "start", "bytes_of_a_pull", "teams", onWire)
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -20,14 +20,14 @@
 
 // WireCost is what one call costs on the wire, headers included.
 type WireCost struct {
-	// Out and In are bytes from and to the caller.
-	Out, In float64
+	// BytesOut and BytesIn are bytes from and to the caller.
+	BytesOut, BytesIn float64
 	// Packets is the number of packets both ways.
 	Packets float64
 }
 
-// Total returns the bytes both ways.
-func (w WireCost) Total() float64 { return w.Out + w.In }
+// TotalBytes returns the bytes both ways.
+func (w WireCost) TotalBytes() float64 { return w.BytesOut + w.BytesIn }
 
 type echo struct{ reply proto.Message }
 
@@ -61,9 +61,9 @@
 	outPackets := per(after.Writes-before.Writes) + 1 // the acknowledgement of the reply
 	inPackets := per(afterServer.Writes - beforeServer.Writes)
 	return WireCost{
-		Out:     per(after.Out-before.Out) + tcpHeader*outPackets,
-		In:      per(after.In-before.In) + tcpHeader*inPackets,
-		Packets: outPackets + inPackets,
+		BytesOut: per(after.Out-before.Out) + tcpHeader*outPackets,
+		BytesIn:  per(after.In-before.In) + tcpHeader*inPackets,
+		Packets:  outPackets + inPackets,
 	}, nil
 }
 
--- a/internal/core/router/fleet_test.go
+++ b/internal/core/router/fleet_test.go
@@ -82,11 +82,11 @@
 		leaving: make(map[uint64]time.Time), cut: make(map[[2]int]bool), maxLeavingGrantDelay: 6 * time.Second,
 	}
 	f.net = fakenet.New(f.clock, func(int, int) time.Duration { return time.Millisecond })
-	f.net.Lost = func(a, b int) bool { return f.cut[[2]int{a, b}] || (f.loss > 0 && f.rand.Float64() < f.loss) }
+	f.net.IsLost = func(a, b int) bool { return f.cut[[2]int{a, b}] || (f.loss > 0 && f.rand.Float64() < f.loss) }
 	f.net.Hooks = fakenet.Hooks{
-		Grant: f.onGrant, Refuse: f.onRefuse, Probe: f.onProbe,
+		GrantTarget: f.onGrant, RefuseRequest: f.onRefuse, ProbeTarget: f.onProbe,
 		ReadStore: func(node int, a core.ReadStore) {
-			f.clock.After(time.Millisecond, func() { f.net.Step(node, f.store.readAfter(a.AfterRevision)) })
+			f.clock.AfterFunc(time.Millisecond, func() { f.net.Step(node, f.store.readAfter(a.AfterRevision)) })
 		},
 	}
 	f.acceptChange(baseResources(targets))
@@ -94,7 +94,7 @@
 		f.routers = append(f.routers, uint32(i+1))
 	}
 	for i := range routers {
-		f.net.Add(f.newCore(i), time.Duration(i)*time.Millisecond)
+		f.net.AddNode(f.newCore(i), time.Duration(i)*time.Millisecond)
 	}
 	return f
 }
@@ -143,7 +143,7 @@
 func (f *fleet) pushChange(change resource.Change, to ...int) {
 	m := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
 	for _, node := range to {
-		f.net.Deliver(fakenet.Outside, node, m, func(core.AnswerCall) {})
+		f.net.Deliver(fakenet.OutsideCaller, node, m, func(core.AnswerCall) {})
 	}
 }
 
@@ -163,7 +163,7 @@
 func (f *fleet) sendRequest(node int, priority fairqueue.Priority) uint64 {
 	f.nextID++
 	f.recordStep("request %d at router %d, priority %d", f.nextID, node+1, priority)
-	if !f.net.Up(node) {
+	if !f.net.IsUp(node) {
 		return f.nextID
 	}
 	f.undecided[f.nextID] = node
@@ -220,7 +220,7 @@
 
 func (f *fleet) onProbe(node int, a core.ProbeTarget) {
 	open := f.openRequestsAt(a.Target.UID)
-	f.clock.After(2*time.Millisecond, func() {
+	f.clock.AfterFunc(2*time.Millisecond, func() {
 		f.net.Step(node, core.LoadReported{Pool: poolName, Target: a.Target.UID, OpenRequests: open})
 	})
 }
@@ -243,7 +243,7 @@
 
 // kill ends a router's process; its requests end with it.
 func (f *fleet) kill(node int) {
-	if !f.net.Up(node) {
+	if !f.net.IsUp(node) {
 		return
 	}
 	f.recordStep("kill router %d", node+1)
@@ -261,27 +261,27 @@
 }
 
 func (f *fleet) restart(node int) {
-	if !f.net.Up(node) {
+	if !f.net.IsUp(node) {
 		f.recordStep("restart router %d", node+1)
 		f.net.Restart(node, f.newCore(node))
 	}
 }
 
 func (f *fleet) stall(node int) {
-	if f.net.Up(node) {
+	if f.net.IsUp(node) {
 		f.recordStep("stall router %d", node+1)
-		f.net.Pause(node)
+		f.net.Stall(node)
 	}
 }
 
 func (f *fleet) resume(node int) {
-	if f.net.Up(node) && f.net.Paused(node) {
+	if f.net.IsUp(node) && f.net.IsStalled(node) {
 		f.recordStep("resume router %d", node+1)
 		f.net.Resume(node)
 	}
 }
 
-func (f *fleet) advance(d time.Duration) { f.clock.Run(f.clock.Elapsed() + d) }
+func (f *fleet) advance(d time.Duration) { f.clock.RunUntil(f.clock.Elapsed() + d) }
 
 // endFaults ends every fault and lets all requests end.
 func (f *fleet) endFaults() {
--- a/internal/experiment/baseline.go
+++ b/internal/experiment/baseline.go
@@ -49,7 +49,7 @@
 	for i := range b.inFlight {
 		clear(b.inFlight[i])
 	}
-	b.sim.clock.After(reportInterval, b.poll)
+	b.sim.clock.AfterFunc(reportInterval, b.poll)
 }
 
 // configure reaches the routers after a report interval, as health checks would.
@@ -58,7 +58,7 @@
 		b.engines = engines
 		return
 	}
-	b.sim.clock.After(reportInterval, func() { b.engines = engines })
+	b.sim.clock.AfterFunc(reportInterval, func() { b.engines = engines })
 }
 
 func (b *baseline) arrive(r *request) {
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -36,13 +36,13 @@
 }
 
 func newEngine(s *simulation, name string, uid uint64) *engine {
-	return &engine{sim: s, uid: uid, name: name, up: true, open: make(map[*request]bool), cache: newLRU(s.scenario.CacheTokens)}
+	return &engine{sim: s, uid: uid, name: name, up: true, open: make(map[*request]bool), cache: newLRU(s.scenario.CacheTokensPerEngine)}
 }
 
 // submit takes a request; done is called when it ends.
 func (e *engine) submit(r *request, done func(ok bool)) {
 	if !e.up {
-		e.sim.clock.After(refusedAfter, func() { done(false) })
+		e.sim.clock.AfterFunc(refusedAfter, func() { done(false) })
 		return
 	}
 	r.done = done
@@ -70,15 +70,15 @@
 		r.counted = true
 		e.sim.measure.prompt(r, min(cached, r.chat.built))
 	}
-	prefill := time.Duration(float64(r.prompt-cached) / e.sim.scenario.PrefillPerSecond * float64(time.Second))
-	first := prefill + e.sim.scenario.Step
-	e.sim.clock.After(first, func() {
+	prefill := time.Duration(float64(r.prompt-cached) / e.sim.scenario.PrefillTokensPerSecond * float64(time.Second))
+	first := prefill + e.sim.scenario.TimePerToken
+	e.sim.clock.AfterFunc(first, func() {
 		if e.open[r] && !r.started {
 			r.started = true
 			e.sim.measure.firstToken(r)
 		}
 	})
-	e.sim.clock.After(prefill+time.Duration(r.answer)*e.sim.scenario.Step, func() { e.finish(r) })
+	e.sim.clock.AfterFunc(prefill+time.Duration(r.answer)*e.sim.scenario.TimePerToken, func() { e.finish(r) })
 }
 
 func (e *engine) finish(r *request) {
@@ -120,7 +120,7 @@
 	open := e.sim.inOrder(e.open)
 	e.up, e.run, e.queue = false, 0, nil
 	e.open = make(map[*request]bool)
-	e.cache = newLRU(e.sim.scenario.CacheTokens)
+	e.cache = newLRU(e.sim.scenario.CacheTokensPerEngine)
 	for _, r := range open {
 		r.done(false)
 	}
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -53,8 +53,8 @@
 		placed: make(map[askKey]uint64),
 	}
 	f.net.Hooks = fakenet.Hooks{
-		Grant: f.onGrant, Refuse: f.onRefuse, Send: f.onSend, Respond: f.onRespond,
-		Probe: f.onProbe, ReadStore: f.onReadStore,
+		GrantTarget: f.onGrant, RefuseRequest: f.onRefuse, CallPeer: f.onSend, AnswerCall: f.onRespond,
+		ProbeTarget: f.onProbe, ReadStore: f.onReadStore,
 	}
 	ids := make([]uint32, s.scenario.Routers)
 	for i := range ids {
@@ -69,10 +69,10 @@
 		return core.New(s.clock.Now(), settings)
 	}
 	for i := range ids {
-		f.net.Add(f.newCore(i), core.TickInterval)
+		f.net.AddNode(f.newCore(i), core.TickInterval)
 		f.net.Step(i, core.StoreReadCompleted{})
 	}
-	if s.scenario.KillOwnerEvery > 0 {
+	if s.scenario.OwnerKillInterval > 0 {
 		f.killOwners()
 	}
 	return f
@@ -83,14 +83,14 @@
 
 // killOwners kills the pool's owner again and again and restarts it.
 func (f *fleet) killOwners() {
-	f.sim.clock.After(f.sim.scenario.KillOwnerEvery, func() {
-		ids := make([]uint32, f.net.Nodes())
+	f.sim.clock.AfterFunc(f.sim.scenario.OwnerKillInterval, func() {
+		ids := make([]uint32, f.net.NodeCount())
 		for i := range ids {
 			ids[i] = uint32(i + 1)
 		}
 		owner, _ := rendezvous.Highest(rendezvous.Hash(poolName), ids)
 		f.kill(int(owner) - 1)
-		f.sim.clock.After(restartAfter, func() { f.net.Restart(int(owner)-1, f.newCore(int(owner)-1)) })
+		f.sim.clock.AfterFunc(restartAfter, func() { f.net.Restart(int(owner)-1, f.newCore(int(owner)-1)) })
 		f.killOwners()
 	})
 }
@@ -123,9 +123,9 @@
 // delay is the one-way delay between two places.
 func (s *simulation) delay(a, b int) time.Duration {
 	if a%s.scenario.DataCentres == b%s.scenario.DataCentres {
-		return s.scenario.Local
+		return s.scenario.LocalDelay
 	}
-	return s.scenario.OneWay
+	return s.scenario.RemoteDelay
 }
 
 // configure accepts the engines as a new revision and pushes it to every router.
@@ -145,7 +145,7 @@
 	}
 	f.changes = append(f.changes, change)
 	push := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
-	for i := range f.net.Nodes() {
+	for i := range f.net.NodeCount() {
 		f.net.Deliver(0, i, push, func(core.AnswerCall) {})
 	}
 }
@@ -165,8 +165,8 @@
 // arrive hands a request to its router, or to the next one that is up, as the
 // balancer would.
 func (f *fleet) arrive(r *request) {
-	for !f.net.Up(r.router) {
-		r.router = (r.router + 1) % f.net.Nodes()
+	for !f.net.IsUp(r.router) {
+		r.router = (r.router + 1) % f.net.NodeCount()
 	}
 	f.ask(r, nil, false)
 }
@@ -186,13 +186,13 @@
 	if a.AfterRevision < uint64(len(f.changes)) {
 		read.Changes = f.changes[a.AfterRevision:]
 	}
-	f.sim.clock.After(f.sim.scenario.OneWay, func() { f.net.Step(router, read) })
+	f.sim.clock.AfterFunc(f.sim.scenario.RemoteDelay, func() { f.net.Step(router, read) })
 }
 
 func (f *fleet) onProbe(router int, a core.ProbeTarget) {
 	open := len(f.sim.engines[a.Target.UID-firstTargetUID].open)
 	f.sim.measure.control += reportBytes
-	f.sim.clock.After(f.sim.scenario.OneWay, func() {
+	f.sim.clock.AfterFunc(f.sim.scenario.RemoteDelay, func() {
 		f.net.Step(router, core.LoadReported{Pool: poolName, Target: a.Target.UID, OpenRequests: open})
 	})
 }
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -52,7 +52,7 @@
 // and the configuration that adds it has had the time to reach a router. Until
 // then no policy could send it anything.
 func (m *measure) takesWork(e engineState) bool {
-	known := m.sim.clock.Now().Sub(e.added) > m.sim.scenario.OneWay || e.added.IsZero()
+	known := m.sim.clock.Now().Sub(e.added) > m.sim.scenario.RemoteDelay || e.added.IsZero()
 	return known && !e.leaving && m.sim.engines[e.uid].up
 }
 
@@ -72,7 +72,7 @@
 	case fairqueue.Bulk:
 		return
 	}
-	inSurge := m.sim.clock.Elapsed() >= m.sim.scenario.SurgeFrom && m.sim.clock.Elapsed() <= m.sim.scenario.SurgeTo+surgeTail
+	inSurge := m.sim.clock.Elapsed() >= m.sim.scenario.SurgeStart && m.sim.clock.Elapsed() <= m.sim.scenario.SurgeEnd+surgeTail
 	if inSurge {
 		m.urgent = append(m.urgent, ms)
 	} else {
@@ -87,7 +87,7 @@
 
 // sample records the skew of the engines that take new work.
 func (m *measure) sample() {
-	m.sim.clock.After(sampleEvery, func() {
+	m.sim.clock.AfterFunc(sampleEvery, func() {
 		total, highest, active := 0, 0, 0
 		for _, e := range m.sim.listed {
 			if !m.takesWork(e) {
@@ -106,31 +106,31 @@
 
 // Result is one line of an experiment.
 type Result struct {
-	Scenario, Policy string
-	Seed             uint64
-	Reuse            float64
-	SkewP99, SkewMax float64
-	Violations       int
-	Overshoot        int
-	Grants           int
-	ControlBytes     float64 // per router and second
-	UrgentP99        float64 // ms, during the surge
-	CalmP99          float64 // ms, outside it
-	FirstP95         float64 // ms, normal requests
-	Shed             int
-	Failed           int
-	Offered          int
+	Scenario, Policy            string
+	Seed                        uint64
+	CacheReuse                  float64
+	SkewP99, SkewMax            float64
+	BoundViolations             int
+	MaxOvershoot                int
+	Grants                      int
+	ControlBytesPerRouterSecond float64 // per router and second
+	UrgentInSurgeP99            float64 // ms, during the surge
+	UrgentOutsideSurgeP99       float64 // ms, outside it
+	NormalFirstTokenP95         float64 // ms, normal requests
+	Shed                        int
+	Failed                      int
+	Offered                     int
 }
 
 func (m *measure) result(policyName string, seed uint64) Result {
 	seconds := m.sim.scenario.Duration.Seconds()
 	return Result{
 		Scenario: m.sim.scenario.Name, Policy: policyName, Seed: seed,
-		Reuse:   float64(m.reused) / float64(max(m.reusable, 1)),
-		SkewP99: stats.Quantile(m.skews, 0.99), SkewMax: stats.Quantile(m.skews, 1),
-		Violations: m.violations, Overshoot: m.overshoot, Grants: m.grants,
-		ControlBytes: m.control / seconds / float64(m.sim.scenario.Routers),
-		UrgentP99:    stats.Quantile(m.urgent, 0.99), CalmP99: stats.Quantile(m.calm, 0.99),
-		FirstP95: stats.Quantile(m.normal, 0.95), Shed: m.shed, Failed: m.failed, Offered: m.offered,
+		CacheReuse: float64(m.reused) / float64(max(m.reusable, 1)),
+		SkewP99:    stats.Quantile(m.skews, 0.99), SkewMax: stats.Quantile(m.skews, 1),
+		BoundViolations: m.violations, MaxOvershoot: m.overshoot, Grants: m.grants,
+		ControlBytesPerRouterSecond: m.control / seconds / float64(m.sim.scenario.Routers),
+		UrgentInSurgeP99:            stats.Quantile(m.urgent, 0.99), UrgentOutsideSurgeP99: stats.Quantile(m.calm, 0.99),
+		NormalFirstTokenP95: stats.Quantile(m.normal, 0.95), Shed: m.shed, Failed: m.failed, Offered: m.offered,
 	}
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -52,39 +52,39 @@
 // Print writes one result line.
 func (r Result) Print(w io.Writer) {
 	fmt.Fprintf(w, "scenario=%s policy=%s seed=%d reuse=%.3f skew_p99=%.2f skew_max=%.2f bound_violations=%d overshoot=%d grants=%d control_bytes_per_router_s=%.0f urgent_p99_ms=%.0f urgent_calm_p99_ms=%.0f first_token_p95_ms=%.0f shed=%d failed=%d offered=%d sent_per_offered=%.2f\n",
-		r.Scenario, r.Policy, r.Seed, r.Reuse, r.SkewP99, r.SkewMax, r.Violations, r.Overshoot, r.Grants,
-		r.ControlBytes, r.UrgentP99, r.CalmP99, r.FirstP95, r.Shed, r.Failed, r.Offered, float64(r.Grants)/float64(r.Offered))
+		r.Scenario, r.Policy, r.Seed, r.CacheReuse, r.SkewP99, r.SkewMax, r.BoundViolations, r.MaxOvershoot, r.Grants,
+		r.ControlBytesPerRouterSecond, r.UrgentInSurgeP99, r.UrgentOutsideSurgeP99, r.NormalFirstTokenP95, r.Shed, r.Failed, r.Offered, float64(r.Grants)/float64(r.Offered))
 }
 
 // Summary holds the median and range of a figure over the seeds.
-type Summary struct{ Low, Median, High float64 }
+type Summary struct{ Min, Median, Max float64 }
 
-// Summarize returns the summary of a figure of results.
-func Summarize(results []Result, figure func(Result) float64) Summary {
+// Summarise returns the summary of a figure of results.
+func Summarise(results []Result, figure func(Result) float64) Summary {
 	values := make([]float64, len(results))
 	for i, r := range results {
 		values[i] = figure(r)
 	}
 	sort.Float64s(values)
-	return Summary{Low: values[0], Median: values[len(values)/2], High: values[len(values)-1]}
+	return Summary{Min: values[0], Median: values[len(values)/2], Max: values[len(values)-1]}
 }
 
 // PrintSummary writes the medians and ranges of one policy in one scenario.
 func PrintSummary(w io.Writer, results []Result) {
 	show := func(format string, figure func(Result) float64) string {
-		s := Summarize(results, figure)
-		return fmt.Sprintf(format+"["+format+","+format+"]", s.Median, s.Low, s.High)
+		s := Summarise(results, figure)
+		return fmt.Sprintf(format+"["+format+","+format+"]", s.Median, s.Min, s.Max)
 	}
 	fmt.Fprintf(w, "summary scenario=%s policy=%s seeds=%d reuse=%s skew_p99=%s bound_violations=%s overshoot=%s control_bytes_per_router_s=%s urgent_p99_ms=%s urgent_calm_p99_ms=%s first_token_p95_ms=%s shed=%s failed=%s sent_per_offered=%s\n",
 		results[0].Scenario, results[0].Policy, len(results),
-		show("%.3f", func(r Result) float64 { return r.Reuse }),
+		show("%.3f", func(r Result) float64 { return r.CacheReuse }),
 		show("%.2f", func(r Result) float64 { return r.SkewP99 }),
-		show("%.0f", func(r Result) float64 { return float64(r.Violations) }),
-		show("%.0f", func(r Result) float64 { return float64(r.Overshoot) }),
-		show("%.0f", func(r Result) float64 { return r.ControlBytes }),
-		show("%.0f", func(r Result) float64 { return r.UrgentP99 }),
-		show("%.0f", func(r Result) float64 { return r.CalmP99 }),
-		show("%.0f", func(r Result) float64 { return r.FirstP95 }),
+		show("%.0f", func(r Result) float64 { return float64(r.BoundViolations) }),
+		show("%.0f", func(r Result) float64 { return float64(r.MaxOvershoot) }),
+		show("%.0f", func(r Result) float64 { return r.ControlBytesPerRouterSecond }),
+		show("%.0f", func(r Result) float64 { return r.UrgentInSurgeP99 }),
+		show("%.0f", func(r Result) float64 { return r.UrgentOutsideSurgeP99 }),
+		show("%.0f", func(r Result) float64 { return r.NormalFirstTokenP95 }),
 		show("%.0f", func(r Result) float64 { return float64(r.Shed) }),
 		show("%.0f", func(r Result) float64 { return float64(r.Failed) }),
 		show("%.2f", func(r Result) float64 { return float64(r.Grants) / float64(r.Offered) }))
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -76,7 +76,7 @@
 	s.nextChat++
 	return &chat{
 		id: s.nextChat, team: fmt.Sprintf("team-%d", s.rand.IntN(s.scenario.Teams)),
-		turn: s.rand.IntN(s.scenario.LastTurn), size: s.around(s.scenario.FirstPrompt),
+		turn: s.rand.IntN(s.scenario.TurnsPerChat), size: s.around(s.scenario.FirstPromptTokens),
 	}
 }
 
@@ -89,18 +89,18 @@
 func (s *simulation) run(p policy) {
 	s.policy = p
 	p.configure(s.listed)
-	s.arrivals(s.scenario.Rate, 0, s.scenario.Duration, s.nextTurn)
+	s.arrivals(s.scenario.RequestRate, 0, s.scenario.Duration, s.nextTurn)
 	if s.scenario.SurgeRate > 0 {
-		s.arrivals(s.scenario.SurgeRate, s.scenario.SurgeFrom, s.scenario.SurgeTo, s.surge)
+		s.arrivals(s.scenario.SurgeRate, s.scenario.SurgeStart, s.scenario.SurgeEnd, s.surge)
 	}
-	if s.scenario.Churn {
+	if s.scenario.HasChurn {
 		s.churn()
 	}
-	if s.scenario.OutageTo > 0 {
+	if s.scenario.OutageEnd > 0 {
 		s.outage()
 	}
 	s.measure.sample()
-	s.clock.Run(s.scenario.Duration)
+	s.clock.RunUntil(s.scenario.Duration)
 }
 
 // arrivals makes requests by a Poisson process between two times.
@@ -111,9 +111,9 @@
 			return
 		}
 		make()
-		s.clock.After(time.Duration(s.rand.ExpFloat64()/rate*float64(time.Second)), next)
+		s.clock.AfterFunc(time.Duration(s.rand.ExpFloat64()/rate*float64(time.Second)), next)
 	}
-	s.clock.After(from, next)
+	s.clock.AfterFunc(from, next)
 }
 
 // nextTurn lets a random idle chat return.
@@ -127,17 +127,17 @@
 		return // every chat waits for an answer
 	}
 	c := s.chats[i]
-	if c.turn >= s.scenario.LastTurn {
+	if c.turn >= s.scenario.TurnsPerChat {
 		c = s.newChat()
 		c.turn = 0
 		s.chats[i] = c
 	}
 	c.busy = true
 	c.turn++
-	c.size += s.around(s.scenario.Growth)
+	c.size += s.around(s.scenario.PromptGrowthTokens)
 	s.submit(&request{
 		team: c.team, chat: c, priority: fairqueue.Normal, prompt: c.size,
-		answer: s.around(s.scenario.Answer),
+		answer: s.around(s.scenario.AnswerTokens),
 	}, time.Minute)
 }
 
@@ -165,7 +165,7 @@
 	c := &chat{id: s.nextChat, team: "team-0"}
 	s.submit(&request{
 		team: c.team, chat: c, priority: fairqueue.Bulk,
-		prompt: s.around(s.scenario.FirstPrompt), answer: s.around(s.scenario.Answer),
+		prompt: s.around(s.scenario.FirstPromptTokens), answer: s.around(s.scenario.AnswerTokens),
 	}, 20*time.Second)
 }
 
@@ -189,15 +189,15 @@
 func (s *simulation) outage() {
 	for uid := uint64(1); uid <= uint64(s.scenario.Engines); uid += 2 {
 		e := s.engines[uid]
-		s.clock.After(s.scenario.OutageFrom, e.crash)
-		s.clock.After(s.scenario.OutageTo, func() { e.up = true })
+		s.clock.AfterFunc(s.scenario.OutageStart, e.crash)
+		s.clock.AfterFunc(s.scenario.OutageEnd, func() { e.up = true })
 	}
 }
 
 // churn changes the engines: two join, two leave, one flaps.
 func (s *simulation) churn() {
 	change := func(at time.Duration, do func()) {
-		s.clock.After(at, func() {
+		s.clock.AfterFunc(at, func() {
 			do()
 			s.policy.configure(append([]engineState(nil), s.listed...))
 		})
@@ -208,8 +208,8 @@
 	change(100*time.Second, func() { s.leave(7) })
 	for i := range 6 {
 		at := 40*time.Second + time.Duration(i)*8*time.Second
-		s.clock.After(at, s.engines[5].crash)
-		s.clock.After(at+2*time.Second, func() { s.engines[5].up = true })
+		s.clock.AfterFunc(at, s.engines[5].crash)
+		s.clock.AfterFunc(at+2*time.Second, func() { s.engines[5].up = true })
 	}
 }
 
--- a/internal/experiment/spread.go
+++ b/internal/experiment/spread.go
@@ -20,15 +20,15 @@
 type SpreadSettings struct {
 	Routers int
 	Changes int
-	// Interval is the time between two changes.
-	Interval time.Duration
-	// PushTo is the number of routers that the accepting controller reaches.
-	PushTo int
-	// StoreDown takes the store away right after each change is accepted.
-	StoreDown bool
-	// Loss is the share of messages that are lost.
-	Loss float64
-	Seed uint64
+	// ChangeInterval is the time between two changes.
+	ChangeInterval time.Duration
+	// PushedRouters is the number of routers that the accepting controller reaches.
+	PushedRouters int
+	// HasStoreOutage takes the store away right after each change is accepted.
+	HasStoreOutage bool
+	// LossRate is the share of messages that are lost.
+	LossRate float64
+	Seed     uint64
 }
 
 // SpreadResult is what a spread experiment measured.
@@ -40,7 +40,7 @@
 	Unfinished int
 	Reverts    int
 	// Bytes per router and second, by kind of message.
-	Gossip, Push, Pull float64
+	GossipBytes, PushBytes, PullBytes float64
 	// Messages per router and second, all kinds.
 	Messages float64
 	// StoreReads per second, of the whole fleet.
@@ -106,8 +106,8 @@
 		inForce: make([]uint64, s.Routers), bytes: make(map[string]float64),
 	}
 	sp.net = fakenet.New(sp.clock, fleetDelay(s.Routers))
-	sp.net.Lost = func(int, int) bool { return s.Loss > 0 && sp.rand.Float64() < s.Loss }
-	sp.net.Hooks = fakenet.Hooks{Publish: sp.onPublish, Send: sp.onSend, Respond: sp.onRespond, ReadStore: sp.onReadStore}
+	sp.net.IsLost = func(int, int) bool { return s.LossRate > 0 && sp.rand.Float64() < s.LossRate }
+	sp.net.Hooks = fakenet.Hooks{PublishTable: sp.onPublish, CallPeer: sp.onSend, AnswerCall: sp.onRespond, ReadStore: sp.onReadStore}
 	ids := make([]uint32, s.Routers)
 	for i := range ids {
 		ids[i] = uint32(i + 1)
@@ -115,10 +115,10 @@
 	for i := range ids {
 		settings := core.DefaultSettings(ids[i], ids)
 		settings.Seed = s.Seed
-		sp.net.Add(core.New(sp.clock.Now(), settings), time.Duration(sp.rand.Int64N(int64(core.TickInterval))))
+		sp.net.AddNode(core.New(sp.clock.Now(), settings), time.Duration(sp.rand.Int64N(int64(core.TickInterval))))
 	}
 	sp.accept()
-	sp.clock.Run(20 * time.Second)
+	sp.clock.RunUntil(20 * time.Second)
 	sp.measure()
 	return sp.finish()
 }
@@ -130,8 +130,8 @@
 	for range sp.s.Changes {
 		sp.down = false
 		sp.accept()
-		sp.down = sp.s.StoreDown
-		sp.clock.Run(sp.clock.Elapsed() + sp.s.Interval)
+		sp.down = sp.s.HasStoreOutage
+		sp.clock.RunUntil(sp.clock.Elapsed() + sp.s.ChangeInterval)
 		if sp.missing > 0 {
 			sp.result.Unfinished++
 		}
@@ -139,14 +139,14 @@
 }
 
 func (sp *spread) finish() SpreadResult {
-	seconds := sp.s.Interval.Seconds() * float64(sp.s.Changes)
+	seconds := sp.s.ChangeInterval.Seconds() * float64(sp.s.Changes)
 	per := func(v float64) float64 { return v / seconds / float64(sp.s.Routers) }
 	r := sp.result
 	r.SpreadSettings = sp.s
 	r.P50 = time.Duration(stats.Quantile(sp.times, 0.5))
 	r.P99 = time.Duration(stats.Quantile(sp.times, 0.99))
 	r.Max = time.Duration(stats.Quantile(sp.times, 1))
-	r.Gossip, r.Push, r.Pull = per(sp.bytes["gossip"]), per(sp.bytes["push"]), per(sp.bytes["pull"])
+	r.GossipBytes, r.PushBytes, r.PullBytes = per(sp.bytes["gossip"]), per(sp.bytes["push"]), per(sp.bytes["pull"])
 	r.Messages = per(float64(sp.messages))
 	r.StoreReads = float64(sp.reads) / seconds
 	return r
@@ -164,9 +164,9 @@
 	sp.accepted = sp.clock.Now()
 	sp.missing = sp.s.Routers
 	push := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
-	for _, node := range sp.rand.Perm(sp.s.Routers)[:min(sp.s.PushTo, sp.s.Routers)] {
+	for _, node := range sp.rand.Perm(sp.s.Routers)[:min(sp.s.PushedRouters, sp.s.Routers)] {
 		sp.bytes["push"] += callBytes + float64(proto.Size(push))
-		sp.net.Deliver(fakenet.Outside, node, push, func(core.AnswerCall) {})
+		sp.net.Deliver(fakenet.OutsideCaller, node, push, func(core.AnswerCall) {})
 	}
 }
 
@@ -212,7 +212,7 @@
 func (sp *spread) onReadStore(node int, a core.ReadStore) {
 	sp.reads++
 	down := sp.down
-	sp.clock.After(2*sameRegion, func() {
+	sp.clock.AfterFunc(2*sameRegion, func() {
 		switch {
 		case down:
 			sp.net.Step(node, core.StoreReadCompleted{Failed: true})
@@ -227,6 +227,6 @@
 // Print writes one result line.
 func (r SpreadResult) Print(w io.Writer) {
 	fmt.Fprintf(w, "spread routers=%d store_down=%t loss=%.2f pushed_to=%d changes=%d in_force_p50_ms=%d p99_ms=%d max_ms=%d unfinished=%d reverts=%d gossip_bytes_per_router_s=%.0f push_bytes=%.0f pull_bytes=%.0f messages_per_router_s=%.2f store_reads_s=%.1f\n",
-		r.Routers, r.StoreDown, r.Loss, r.PushTo, r.Changes, r.P50.Milliseconds(), r.P99.Milliseconds(), r.Max.Milliseconds(),
-		r.Unfinished, r.Reverts, r.Gossip, r.Push, r.Pull, r.Messages, r.StoreReads)
+		r.Routers, r.HasStoreOutage, r.LossRate, r.PushedRouters, r.Changes, r.P50.Milliseconds(), r.P99.Milliseconds(), r.Max.Milliseconds(),
+		r.Unfinished, r.Reverts, r.GossipBytes, r.PushBytes, r.PullBytes, r.Messages, r.StoreReads)
 }
--- a/internal/fakenet/clock.go
+++ b/internal/fakenet/clock.go
@@ -53,14 +53,14 @@
 // Elapsed returns the simulated time since the epoch.
 func (c *Clock) Elapsed() time.Duration { return c.now.Sub(epoch) }
 
-// After schedules do after d.
-func (c *Clock) After(d time.Duration, do func()) {
+// AfterFunc schedules do after d.
+func (c *Clock) AfterFunc(d time.Duration, do func()) {
 	c.sequence++
 	heap.Push(&c.queue, event{at: c.now.Add(d), sequence: c.sequence, do: do})
 }
 
-// Run runs the events up to an elapsed time and then stands at that time.
-func (c *Clock) Run(end time.Duration) {
+// RunUntil runs the events up to an elapsed time and then stands at that time.
+func (c *Clock) RunUntil(end time.Duration) {
 	until := epoch.Add(end)
 	for len(c.queue) > 0 && !c.queue[0].at.After(until) {
 		e := heap.Pop(&c.queue).(event)
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -13,20 +13,20 @@
 
 // Hooks are called for the actions that leave the control plane. Nil ones are skipped.
 type Hooks struct {
-	Grant     func(node int, a core.GrantTarget)
-	Refuse    func(node int, a core.RefuseRequest)
-	Probe     func(node int, a core.ProbeTarget)
-	ReadStore func(node int, a core.ReadStore)
-	Publish   func(node int, a core.PublishTable)
-	Ready     func(node int, a core.Readiness)
-	// Respond sees each reply as it leaves a node, with the node that called.
-	Respond func(node, caller int, a core.AnswerCall)
-	// Send sees each call as it leaves a node.
-	Send func(node int, a core.CallPeer)
+	GrantTarget   func(node int, a core.GrantTarget)
+	RefuseRequest func(node int, a core.RefuseRequest)
+	ProbeTarget   func(node int, a core.ProbeTarget)
+	ReadStore     func(node int, a core.ReadStore)
+	PublishTable  func(node int, a core.PublishTable)
+	Readiness     func(node int, a core.Readiness)
+	// AnswerCall sees each reply as it leaves a node, with the node that called.
+	AnswerCall func(node, caller int, a core.AnswerCall)
+	// CallPeer sees each call as it leaves a node.
+	CallPeer func(node int, a core.CallPeer)
 }
 
-// Outside is the number of a caller that is not a router.
-const Outside = -1
+// OutsideCaller is the number of a caller that is not a router.
+const OutsideCaller = -1
 
 // Node is one router.
 type Node struct {
@@ -50,36 +50,36 @@
 	Hooks Hooks
 	// Delay returns the one-way delay between two nodes.
 	Delay func(a, b int) time.Duration
-	// Lost decides whether a message from a to b is lost on its way.
-	Lost  func(a, b int) bool
-	nodes []*Node
-	calls core.CallID
+	// IsLost decides whether a message from a to b is lost on its way.
+	IsLost func(a, b int) bool
+	nodes  []*Node
+	calls  core.CallID
 }
 
 // New returns a network without nodes, in which nothing is lost.
 func New(clock *Clock, delay func(a, b int) time.Duration) *Net {
-	return &Net{Clock: clock, Delay: delay, Lost: func(int, int) bool { return false }}
+	return &Net{Clock: clock, Delay: delay, IsLost: func(int, int) bool { return false }}
 }
 
-// Add adds a node and starts its ticks. The phase spreads the ticks of nodes.
-func (n *Net) Add(c *core.Core, phase time.Duration) int {
+// AddNode adds a node and starts its ticks. The phase spreads the ticks of nodes.
+func (n *Net) AddNode(c *core.Core, phase time.Duration) int {
 	n.nodes = append(n.nodes, &Node{Core: c, calls: make(map[core.CallID]call)})
 	i := len(n.nodes) - 1
-	n.Clock.After(phase, func() { n.tick(i, n.nodes[i].epoch) })
+	n.Clock.AfterFunc(phase, func() { n.tick(i, n.nodes[i].epoch) })
 	return i
 }
 
-// Nodes returns the number of nodes.
-func (n *Net) Nodes() int { return len(n.nodes) }
+// NodeCount returns the number of nodes.
+func (n *Net) NodeCount() int { return len(n.nodes) }
 
 // Core returns a node's core.
 func (n *Net) Core(node int) *core.Core { return n.nodes[node].Core }
 
-// Up reports whether a node's process runs; a paused one does.
-func (n *Net) Up(node int) bool { return !n.nodes[node].down }
+// IsUp reports whether a node's process runs; a paused one does.
+func (n *Net) IsUp(node int) bool { return !n.nodes[node].down }
 
-// Paused reports whether a node is paused.
-func (n *Net) Paused(node int) bool { return n.nodes[node].paused }
+// IsStalled reports whether a node is paused.
+func (n *Net) IsStalled(node int) bool { return n.nodes[node].paused }
 
 func (n *Net) tick(node, epoch int) {
 	if n.nodes[node].epoch != epoch || n.nodes[node].down {
@@ -88,7 +88,7 @@
 	if !n.nodes[node].paused {
 		n.Step(node, core.Tick{})
 	}
-	n.Clock.After(core.TickInterval, func() { n.tick(node, epoch) })
+	n.Clock.AfterFunc(core.TickInterval, func() { n.tick(node, epoch) })
 }
 
 // Kill ends a node's process. Its calls and replies are lost.
@@ -107,8 +107,8 @@
 	n.tick(node, nd.epoch)
 }
 
-// Pause stops a node without its noticing; events wait for it.
-func (n *Net) Pause(node int) { n.nodes[node].paused = true }
+// Stall stops a node without its noticing; events wait for it.
+func (n *Net) Stall(node int) { n.nodes[node].paused = true }
 
 // Resume lets a paused node go on with what waited for it.
 func (n *Net) Resume(node int) {
@@ -141,21 +141,21 @@
 	h := n.Hooks
 	switch a := a.(type) {
 	case core.GrantTarget:
-		run(h.Grant, node, a)
+		run(h.GrantTarget, node, a)
 	case core.RefuseRequest:
-		run(h.Refuse, node, a)
+		run(h.RefuseRequest, node, a)
 	case core.ProbeTarget:
-		run(h.Probe, node, a)
+		run(h.ProbeTarget, node, a)
 	case core.ReadStore:
 		run(h.ReadStore, node, a)
 	case core.PublishTable:
-		run(h.Publish, node, a)
+		run(h.PublishTable, node, a)
 	case core.Readiness:
-		run(h.Ready, node, a)
+		run(h.Readiness, node, a)
 	case core.AnswerCall:
 		n.respond(node, a)
 	case core.CallPeer:
-		run(h.Send, node, a)
+		run(h.CallPeer, node, a)
 		n.send(node, a)
 	}
 }
@@ -172,8 +172,8 @@
 		return
 	}
 	delete(n.nodes[node].calls, a.Call)
-	if n.Hooks.Respond != nil {
-		n.Hooks.Respond(node, c.from, a)
+	if n.Hooks.AnswerCall != nil {
+		n.Hooks.AnswerCall(node, c.from, a)
 	}
 	c.respond(a)
 }
@@ -192,10 +192,10 @@
 	}
 	to := int(a.To) - 1
 	if n.nodes[to].down {
-		n.Clock.After(2*n.Delay(from, to), func() { done(nil) })
+		n.Clock.AfterFunc(2*n.Delay(from, to), func() { done(nil) })
 		return
 	}
-	n.Clock.After(callTimeout, func() { done(nil) })
+	n.Clock.AfterFunc(callTimeout, func() { done(nil) })
 	n.Deliver(from, to, a.Message, func(r core.AnswerCall) {
 		if r.Err != nil {
 			done(nil)
@@ -208,10 +208,10 @@
 // Deliver carries one message to a node and its reply to respond, with the
 // network's delays and losses. from may be Outside.
 func (n *Net) Deliver(from, to int, m proto.Message, respond func(core.AnswerCall)) {
-	if n.Lost(from, to) {
+	if n.IsLost(from, to) {
 		return
 	}
-	n.Clock.After(n.Delay(from, to), func() {
+	n.Clock.AfterFunc(n.Delay(from, to), func() {
 		nd := n.nodes[to]
 		if nd.down {
 			return
@@ -220,10 +220,10 @@
 		id := n.calls
 		epoch := nd.epoch
 		nd.calls[id] = call{from: from, epoch: epoch, respond: func(r core.AnswerCall) {
-			if nd.epoch != epoch || n.Lost(to, from) {
+			if nd.epoch != epoch || n.IsLost(to, from) {
 				return
 			}
-			n.Clock.After(n.Delay(to, from), func() { respond(r) })
+			n.Clock.AfterFunc(n.Delay(to, from), func() { respond(r) })
 		}}
 		// The message is copied, as the wire would: the sender may change its own.
 		n.Step(to, core.CallReceived{Call: id, Message: proto.Clone(m)})
--- a/internal/faketable/faketable.go
+++ b/internal/faketable/faketable.go
@@ -16,16 +16,16 @@
 
 // The faults.
 const (
-	// None: the call works.
-	None Fault = iota
+	// NoFault: the call works.
+	NoFault Fault = iota
 	// Refused: the service is down; nothing is written.
 	Refused
 	// ReplyLost: the write takes effect, its reply is lost.
 	ReplyLost
 	// WriteLost: neither does the write take effect nor a reply arrive.
 	WriteLost
-	// WriteLate: the write takes effect at the next call, its reply is lost.
-	WriteLate
+	// WriteDelayed: the write takes effect at the next call, its reply is lost.
+	WriteDelayed
 )
 
 // Table implements port.Table. It is safe for concurrent use.
@@ -34,11 +34,11 @@
 	rows    map[string]port.Row
 	version uint64
 	late    []port.Txn
-	// Next chooses the fault of each call; nil means none.
-	Next func(write bool) Fault
-	// Between runs before each commit, outside the lock: a rival's chance.
-	Between func()
-	Commits int
+	// ChooseFault chooses the fault of each call; nil means none.
+	ChooseFault func(write bool) Fault
+	// BeforeCommit runs before each commit, outside the lock: a rival's chance.
+	BeforeCommit func()
+	Commits      int
 }
 
 var _ port.Table = (*Table)(nil)
@@ -47,10 +47,10 @@
 func New() *Table { return &Table{rows: make(map[string]port.Row)} }
 
 func (t *Table) fault(write bool) Fault {
-	if t.Next == nil {
-		return None
+	if t.ChooseFault == nil {
+		return NoFault
 	}
-	return t.Next(write)
+	return t.ChooseFault(write)
 }
 
 func (t *Table) arrive() {
@@ -66,7 +66,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.arrive()
-	if t.fault(false) != None {
+	if t.fault(false) != NoFault {
 		return port.Row{}, port.ErrUnavailable
 	}
 	row, ok := t.rows[key]
@@ -81,7 +81,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.arrive()
-	if t.fault(false) != None {
+	if t.fault(false) != NoFault {
 		return nil, port.ErrUnavailable
 	}
 	var rows []port.Row
@@ -96,8 +96,8 @@
 
 // Commit applies txn under the fault chosen for it.
 func (t *Table) Commit(_ context.Context, txn port.Txn) error {
-	if t.Between != nil {
-		t.Between()
+	if t.BeforeCommit != nil {
+		t.BeforeCommit()
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +110,7 @@
 		return port.ErrOutcomeUnknown
 	case WriteLost:
 		return port.ErrOutcomeUnknown
-	case WriteLate:
+	case WriteDelayed:
 		t.late = append(t.late, txn)
 		return port.ErrOutcomeUnknown
 	}
--- a/internal/load/get.go
+++ b/internal/load/get.go
@@ -11,8 +11,8 @@
 // getEvery is the pause between two tries of Get.
 const getEvery = 50 * time.Millisecond
 
-// Get writes what a URL answers, once it answers 200.
-func Get(w io.Writer, url string, wait time.Duration) error {
+// FetchWhenOK writes what a URL answers, once it answers 200.
+func FetchWhenOK(w io.Writer, url string, wait time.Duration) error {
 	client := &http.Client{Timeout: wait}
 	until := time.Now().Add(wait)
 	for {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -25,45 +25,45 @@
 
 // Settings describe a load.
 type Settings struct {
-	Routers  []string // base URLs
-	Engines  []string // base URLs of the stand-in engines
-	Service  string   // base URL of one instance of the stand-in service
-	Model    string
-	Pool     string // service pool
-	Teams    []string
-	Chats    int
-	Turns    int
-	Parallel int
-	Seed     uint64
-	// Pause is the mean pause between two turns of a chat.
-	Pause time.Duration
+	RouterURLs      []string // base URLs
+	EngineURLs      []string // base URLs of the stand-in engines
+	ServiceURL      string   // base URL of one instance of the stand-in service
+	Model           string
+	ServicePool     string // service pool
+	Teams           []string
+	Chats           int
+	TurnsPerChat    int
+	ConcurrentChats int
+	Seed            uint64
+	// MeanPause is the mean pause between two turns of a chat.
+	MeanPause time.Duration
 }
 
 // Report is the outcome of a load.
 type Report struct {
-	Whole    int `json:"whole"`    // answers that were complete and the caller's own
-	Cut      int `json:"cut"`      // shown as whole but not complete
-	Crossed  int `json:"crossed"`  // another request's answer
-	Lost     int `json:"lost"`     // no answer after all tries
-	Doubled  int `json:"doubled"`  // service calls that ran more than once
-	Unknown  int `json:"unknown"`  // service calls answered as outcome unknown
-	Services int `json:"services"` // service calls answered
-	Repeated int `json:"repeated"` // tries beyond the first, by the caller
-	Broken   int `json:"broken"`   // of these, after a connection broke under a request
-	// BrokenBy holds the first errors of broken connections.
-	BrokenBy  []string `json:"brokenBy,omitempty"`
-	Reusable  int      `json:"reusable"`  // prompt tokens that chats had built before
-	Cached    int      `json:"cached"`    // of these, served from cache
-	OverBound int      `json:"overBound"` // samples in which an engine was above the bound
-	Samples   int      `json:"samples"`
+	Complete          int `json:"whole"`    // answers that were complete and the caller's own
+	Truncated         int `json:"cut"`      // shown as whole but not complete
+	Mismatched        int `json:"crossed"`  // another request's answer
+	Unanswered        int `json:"lost"`     // no answer after all tries
+	Duplicated        int `json:"doubled"`  // service calls that ran more than once
+	OutcomeUnknown    int `json:"unknown"`  // service calls answered as outcome unknown
+	ServiceAnswers    int `json:"services"` // service calls answered
+	Retries           int `json:"repeated"` // tries beyond the first, by the caller
+	BrokenConnections int `json:"broken"`   // of these, after a connection broke under a request
+	// ConnectionErrors holds the first errors of broken connections.
+	ConnectionErrors []string `json:"brokenBy,omitempty"`
+	ReusableTokens   int      `json:"reusable"`  // prompt tokens that chats had built before
+	CachedTokens     int      `json:"cached"`    // of these, served from cache
+	SamplesOverBound int      `json:"overBound"` // samples in which an engine was above the bound
+	Samples          int      `json:"samples"`
 	// SkewMax is the largest sampled ratio of an engine's open requests to the mean.
 	SkewMax float64 `json:"skewMax"`
 	// FirstTokenP95 is the 95th percentile in milliseconds.
 	FirstTokenP95 float64 `json:"firstTokenP95Ms"`
 }
 
-// Failed reports whether an answer was cut, crossed, lost or doubled.
-func (r Report) Failed() bool { return r.Cut+r.Crossed+r.Lost+r.Doubled > 0 }
+// HasFailures reports whether an answer was cut, crossed, lost or doubled.
+func (r Report) HasFailures() bool { return r.Truncated+r.Mismatched+r.Unanswered+r.Duplicated > 0 }
 
 type driver struct {
 	settings Settings
@@ -76,7 +76,7 @@
 
 // Run drives the load to its end, through routers that are ready.
 func Run(ctx context.Context, s Settings) (Report, error) {
-	d := &driver{settings: s, balancer: newBalancer(s.Routers), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: s.Parallel}}}
+	d := &driver{settings: s, balancer: newBalancer(s.RouterURLs), client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: s.ConcurrentChats}}}
 	before, err := d.cached(ctx)
 	if err != nil {
 		return d.report, err
@@ -92,7 +92,7 @@
 	if err != nil {
 		return d.report, err
 	}
-	d.report.Cached = after - before
+	d.report.CachedTokens = after - before
 	d.report.FirstTokenP95 = stats.Quantile(d.first, 0.95)
 	return d.report, d.countDoubled(ctx)
 }
@@ -100,7 +100,7 @@
 func (d *driver) chats(ctx context.Context) {
 	work := make(chan int)
 	var workers sync.WaitGroup
-	for range d.settings.Parallel {
+	for range d.settings.ConcurrentChats {
 		workers.Go(func() {
 			for chat := range work {
 				d.chat(ctx, chat)
@@ -121,16 +121,16 @@
 	team := d.settings.Teams[chat%len(d.settings.Teams)]
 	var history strings.Builder
 	built := 0
-	for turn := range d.settings.Turns {
+	for turn := range d.settings.TurnsPerChat {
 		fmt.Fprintf(&history, "chat %d turn %d: %s. ", chat, turn, strings.Repeat("bulletin ", 20+rnd.IntN(60)))
 		tokens := 10 + rnd.IntN(30)
 		d.turn(ctx, rnd, team, fmt.Sprintf("chat-%d", chat), history.String(), tokens)
-		d.count(func(r *Report) { r.Reusable += built })
+		d.count(func(r *Report) { r.ReusableTokens += built })
 		built = history.Len()/4 + 1
 		if turn%3 == 0 {
 			d.serviceCall(ctx, rnd, team, fmt.Sprintf("notice-%d-%d", chat, turn))
 		}
-		pause(ctx, time.Duration(rnd.Float64()*2*float64(d.settings.Pause)))
+		pause(ctx, time.Duration(rnd.Float64()*2*float64(d.settings.MeanPause)))
 	}
 }
 
@@ -171,12 +171,12 @@
 	}
 	d.try(ctx, rnd, func(router string) error {
 		return d.complete(ctx, router, team, chat, prompt, tokens, body)
-	}, func(r *Report) { r.Whole++ })
+	}, func(r *Report) { r.Complete++ })
 }
 
 // try repeats a call through other routers until it is answered.
 func (d *driver) try(ctx context.Context, rnd *rand.Rand, call func(router string) error, done func(*Report)) {
-	first := rnd.IntN(len(d.settings.Routers))
+	first := rnd.IntN(len(d.settings.RouterURLs))
 	for n := range maxTries {
 		err := call(d.balancer.pick(first + n))
 		switch {
@@ -184,27 +184,27 @@
 			d.count(done)
 			return
 		case errors.Is(err, errCut):
-			d.count(func(r *Report) { r.Cut++ })
+			d.count(func(r *Report) { r.Truncated++ })
 			return
 		case errors.Is(err, errCrossed):
-			d.count(func(r *Report) { r.Crossed++ })
+			d.count(func(r *Report) { r.Mismatched++ })
 			return
 		case errors.Is(err, errUnknown):
-			d.count(func(r *Report) { r.Unknown++ })
+			d.count(func(r *Report) { r.OutcomeUnknown++ })
 			return
 		}
 		d.count(func(r *Report) {
-			r.Repeated++
+			r.Retries++
 			if broke(err) {
-				r.Broken++
-				if len(r.BrokenBy) < maxErrors {
-					r.BrokenBy = append(r.BrokenBy, err.Error())
+				r.BrokenConnections++
+				if len(r.ConnectionErrors) < maxErrors {
+					r.ConnectionErrors = append(r.ConnectionErrors, err.Error())
 				}
 			}
 		})
 		pause(ctx, time.Duration(n+1)*100*time.Millisecond)
 	}
-	d.count(func(r *Report) { r.Lost++ })
+	d.count(func(r *Report) { r.Unanswered++ })
 }
 
 // broke reports whether a request was cut off: its connection broke or its stream
@@ -246,7 +246,7 @@
 		case chunk.Last():
 			last = chunk.Offset
 			return nil
-		case chunk.Content() != engine.Word(prompt, got):
+		case chunk.Content() != engine.AnswerToken(prompt, got):
 			return errCrossed
 		}
 		if got == 0 {
@@ -274,7 +274,7 @@
 func (d *driver) serviceCall(ctx context.Context, rnd *rand.Rand, team, key string) {
 	d.try(ctx, rnd, func(router string) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost,
-			router+"/services/"+d.settings.Pool+"/notices", strings.NewReader(key))
+			router+"/services/"+d.settings.ServicePool+"/notices", strings.NewReader(key))
 		if err != nil {
 			return err
 		}
@@ -291,7 +291,7 @@
 			return err
 		}
 		return serviceOutcome(resp.StatusCode, data)
-	}, func(r *Report) { r.Services++ })
+	}, func(r *Report) { r.ServiceAnswers++ })
 }
 
 func serviceOutcome(status int, data []byte) error {
@@ -307,12 +307,12 @@
 
 func (d *driver) countDoubled(ctx context.Context) error {
 	runs := make(map[string]int)
-	if err := d.getJSON(ctx, d.settings.Service+"/runs", &runs); err != nil {
+	if err := d.getJSON(ctx, d.settings.ServiceURL+"/runs", &runs); err != nil {
 		return err
 	}
 	for _, n := range runs {
 		if n > 1 {
-			d.report.Doubled++
+			d.report.Duplicated++
 		}
 	}
 	return nil
--- a/internal/load/sample.go
+++ b/internal/load/sample.go
@@ -32,13 +32,13 @@
 // open returns the open requests of the engines that have not been drained.
 func (d *driver) open(ctx context.Context) ([]int, error) {
 	var out []int
-	for _, url := range d.settings.Engines {
+	for _, url := range d.settings.EngineURLs {
 		var status engine.Status
 		if err := d.getJSON(ctx, url+"/status", &status); err != nil {
 			return nil, err
 		}
 		if _, drained := status.State["drain"]; !drained {
-			out = append(out, status.Open)
+			out = append(out, status.OpenRequests)
 		}
 	}
 	return out, nil
@@ -59,19 +59,19 @@
 	r.Samples++
 	r.SkewMax = max(r.SkewMax, float64(highest)/mean)
 	if float64(highest) > math.Ceil(resource.DefaultBoundMultiple*mean) {
-		r.OverBound++
+		r.SamplesOverBound++
 	}
 }
 
 // cached returns the prompt tokens that the engines have served from cache.
 func (d *driver) cached(ctx context.Context) (int, error) {
 	total := 0
-	for _, url := range d.settings.Engines {
+	for _, url := range d.settings.EngineURLs {
 		var status engine.Status
 		if err := d.getJSON(ctx, url+"/status", &status); err != nil {
 			return 0, err
 		}
-		total += status.Cached
+		total += status.CachedTokens
 	}
 	return total, nil
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -22,46 +22,46 @@
 // Settings describe one engine.
 type Settings struct {
 	Name string
-	// Step is the time between tokens.
-	Step time.Duration
+	// TimePerToken is the time between tokens.
+	TimePerToken time.Duration
 	// CacheTokens is how many prompt tokens the prefix cache holds.
 	CacheTokens int
-	// PrefillPerSecond is how many uncached prompt tokens are processed a second.
-	PrefillPerSecond int
+	// PrefillTokensPerSecond is how many uncached prompt tokens are processed a second.
+	PrefillTokensPerSecond int
 	// ChecksFencing refuses orders whose fencing number is older than the last.
 	ChecksFencing bool
 }
 
 // Faults are the faults in force.
 type Faults struct {
-	Refuse      bool `json:"refuse"`      // turn requests away, promising that they did not run
-	Silent      bool `json:"silent"`      // read requests and never answer
-	CutAfter    int  `json:"cutAfter"`    // close the connection after this many tokens, once
-	CrossOnce   bool `json:"crossOnce"`   // answer one request with another attempt's id
-	StallMillis int  `json:"stallMillis"` // pause before the first token
+	Refuse         bool `json:"refuse"`      // turn requests away, promising that they did not run
+	Silent         bool `json:"silent"`      // read requests and never answer
+	CutAfterTokens int  `json:"cutAfter"`    // close the connection after this many tokens, once
+	MismatchOnce   bool `json:"crossOnce"`   // answer one request with another attempt's id
+	StallMillis    int  `json:"stallMillis"` // pause before the first token
 }
 
 // Order tells an engine to change.
 type Order struct {
-	Fencing  uint64    `json:"fencing"`
-	Action   string    `json:"action"`
-	Argument string    `json:"argument"`
-	Expires  time.Time `json:"expires"`
+	FencingToken uint64    `json:"fencing"`
+	Action       string    `json:"action"`
+	Argument     string    `json:"argument"`
+	ExpiresAt    time.Time `json:"expires"`
 }
 
 // Status is what an engine reports of itself.
 type Status struct {
-	Name        string            `json:"name"`
-	Open        int               `json:"open"`
-	MaxOpen     int               `json:"maxOpen"`
-	Served      int               `json:"served"`
-	Prompt      int               `json:"promptTokens"`
-	Reusable    int               `json:"reusableTokens"`
-	Cached      int               `json:"cachedTokens"`
-	State       map[string]string `json:"state"`
-	Fencing     uint64            `json:"fencing"`
-	OrdersDone  int               `json:"ordersDone"`
-	OrdersStale int               `json:"ordersStale"`
+	Name            string            `json:"name"`
+	OpenRequests    int               `json:"open"`
+	MaxOpenRequests int               `json:"maxOpen"`
+	ServedRequests  int               `json:"served"`
+	PromptTokens    int               `json:"promptTokens"`
+	ReusableTokens  int               `json:"reusableTokens"`
+	CachedTokens    int               `json:"cachedTokens"`
+	State           map[string]string `json:"state"`
+	FencingToken    uint64            `json:"fencing"`
+	OrdersExecuted  int               `json:"ordersDone"`
+	OrdersRejected  int               `json:"ordersStale"`
 }
 
 // Server is one engine. It is safe for concurrent use.
@@ -94,8 +94,8 @@
 	return r
 }
 
-// Word returns token i of the answer to a prompt.
-func Word(prompt string, i int) string {
+// AnswerToken returns token i of the answer to a prompt.
+func AnswerToken(prompt string, i int) string {
 	return fmt.Sprintf("%06x ", rendezvous.Mix(rendezvous.Hash(prompt), uint64(i))&0xffffff)
 }
 
@@ -129,24 +129,24 @@
 // takeFaults returns the faults for one request; a fault that strikes once is
 // switched off by it.
 func (s *Server) takeFaults() Faults {
-	return s.faults.Take(func(f *Faults) {
-		f.CutAfter = 0
-		f.CrossOnce = false
+	return s.faults.GetAndUpdate(func(f *Faults) {
+		f.CutAfterTokens = 0
+		f.MismatchOnce = false
 	})
 }
 
 func (s *Server) enter() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status.Open++
-	s.status.MaxOpen = max(s.status.MaxOpen, s.status.Open)
+	s.status.OpenRequests++
+	s.status.MaxOpenRequests = max(s.status.MaxOpenRequests, s.status.OpenRequests)
 }
 
 func (s *Server) leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status.Open--
-	s.status.Served++
+	s.status.OpenRequests--
+	s.status.ServedRequests++
 }
 
 // prefill looks the chat up in the prefix cache and returns the time that the
@@ -155,33 +155,33 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cached := min(s.cache.use(chat, tokens), tokens)
-	s.status.Prompt += tokens
-	s.status.Cached += cached
-	s.status.Reusable += min(s.built[chat], tokens)
+	s.status.PromptTokens += tokens
+	s.status.CachedTokens += cached
+	s.status.ReusableTokens += min(s.built[chat], tokens)
 	s.built[chat] = max(s.built[chat], tokens)
-	if s.settings.PrefillPerSecond == 0 {
+	if s.settings.PrefillTokensPerSecond == 0 {
 		return 0
 	}
-	return time.Duration(float64(tokens-cached) / float64(s.settings.PrefillPerSecond) * float64(time.Second))
+	return time.Duration(float64(tokens-cached) / float64(s.settings.PrefillTokensPerSecond) * float64(time.Second))
 }
 
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, req wire.ChatRequest, prompt string, faults Faults) {
 	from, _ := strconv.Atoi(r.Header.Get(wire.HeaderResumeFrom))
 	echo := r.Header.Get(wire.HeaderAttempt)
-	if faults.CrossOnce {
+	if faults.MismatchOnce {
 		echo = "crossed-" + echo
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
 	for i := from; i < req.Tokens(); i++ {
-		if !sleep(r, s.settings.Step) {
+		if !sleep(r, s.settings.TimePerToken) {
 			return
 		}
-		if faults.CutAfter > 0 && i-from >= faults.CutAfter {
+		if faults.CutAfterTokens > 0 && i-from >= faults.CutAfterTokens {
 			panic(http.ErrAbortHandler)
 		}
-		chunk := wire.NewChunk(echo, req.Model, Word(prompt, i), i)
+		chunk := wire.NewChunk(echo, req.Model, AnswerToken(prompt, i), i)
 		if err := wire.WriteEvent(w, chunk); err != nil {
 			return
 		}
@@ -219,14 +219,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stale := s.settings.ChecksFencing && o.Fencing < s.status.Fencing
-	if stale || time.Now().After(o.Expires) {
-		s.status.OrdersStale++
+	stale := s.settings.ChecksFencing && o.FencingToken < s.status.FencingToken
+	if stale || time.Now().After(o.ExpiresAt) {
+		s.status.OrdersRejected++
 		http.Error(w, "old fencing number or expired order", http.StatusConflict)
 		return
 	}
-	s.status.Fencing = max(s.status.Fencing, o.Fencing)
-	s.status.OrdersDone++
+	s.status.FencingToken = max(s.status.FencingToken, o.FencingToken)
+	s.status.OrdersExecuted++
 	s.status.State[o.Action] = o.Argument
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -14,16 +14,16 @@
 	value T
 }
 
-// Get returns the faults in force.
-func (s *Switch[T]) Get() T {
+// Current returns the faults in force.
+func (s *Switch[T]) Current() T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.value
 }
 
-// Take returns the faults in force and changes them in the same instant, for
+// GetAndUpdate returns the faults in force and changes them in the same instant, for
 // faults that strike once.
-func (s *Switch[T]) Take(change func(*T)) T {
+func (s *Switch[T]) GetAndUpdate(change func(*T)) T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.value
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return
 	}
-	f := s.faults.Get()
+	f := s.faults.Current()
 	if f.Refuse {
 		w.Header().Set(wire.HeaderNotRun, "true")
 		http.Error(w, "not run", http.StatusServiceUnavailable)
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -54,8 +54,8 @@
 	return &Server{rows: make(map[string]port.Row), objects: make(map[string][]byte)}
 }
 
-// Register adds the stand-in's paths to r.
-func (s *Server) Register(r *mux.Router) {
+// RegisterRoutes adds the stand-in's paths to r.
+func (s *Server) RegisterRoutes(r *mux.Router) {
 	r.HandleFunc("/table/get", s.get).Methods(http.MethodGet)
 	r.HandleFunc("/table/scan", s.scan).Methods(http.MethodGet)
 	r.HandleFunc("/table/commit", s.commit).Methods(http.MethodPost)
@@ -89,7 +89,7 @@
 
 // admit applies the faults common to all calls and reports whether to go on.
 func (s *Server) admit(w http.ResponseWriter, write bool) (Faults, bool) {
-	f := s.faults.Get()
+	f := s.faults.Current()
 	s.mu.Lock()
 	refused := f.Down || (write && s.overLimit(f))
 	switch {
@@ -208,7 +208,7 @@
 	if _, ok := s.admit(w, false); !ok {
 		return
 	}
-	writeJSON(w, s.vms.Get())
+	writeJSON(w, s.vms.Current())
 }
 
 func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) {
