--- a/internal/fakenet/clock.go
+++ b/internal/fakenet/clock.go
@@ -1,6 +1,5 @@
-// Package fakenet runs many router cores in one process, on a simulated clock and a
-// small fake of the network that delays, loses and cuts, and can kill, pause and
-// restart routers. Tests and experiments share it.
+// Package fakenet runs many router cores in one process on a simulated clock. Its network delays
+// and drops messages, and it can kill, stall and restart routers. Tests and experiments use it.
 package fakenet
 
 import (
@@ -8,14 +7,15 @@
 	"time"
 )
 
-// event is something that happens at a time. The sequence number keeps events of
-// the same time in the order in which they were scheduled.
+// event is a scheduled callback. Events of the same time run in the order of their sequence
+// numbers, which is the order in which they were scheduled.
 type event struct {
 	at       time.Time
 	sequence int
-	do       func()
+	callback func()
 }
 
+// eventQueue is a heap (container/heap) whose first element is the next event to run.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -34,38 +34,38 @@
 	return last
 }
 
-// Clock runs events in the order of simulated time.
+// Clock is a simulated clock with an event queue. Its time only advances in RunUntil.
 type Clock struct {
 	now      time.Time
 	sequence int
 	queue    eventQueue
 }
 
-// epoch is an arbitrary start of simulated time.
-var epoch = time.Unix(1_000_000_000, 0)
+// startTime is the time at which every Clock starts. Its value is arbitrary.
+var startTime = time.Unix(1_000_000_000, 0)
 
-// NewClock returns a Clock at the epoch.
-func NewClock() *Clock { return &Clock{now: epoch} }
+// NewClock returns a Clock at startTime.
+func NewClock() *Clock { return &Clock{now: startTime} }
 
 // Now returns the simulated time.
 func (c *Clock) Now() time.Time { return c.now }
 
-// Elapsed returns the simulated time since the epoch.
-func (c *Clock) Elapsed() time.Duration { return c.now.Sub(epoch) }
+// Elapsed returns the simulated time since startTime.
+func (c *Clock) Elapsed() time.Duration { return c.now.Sub(startTime) }
 
-// AfterFunc schedules do after d.
-func (c *Clock) AfterFunc(d time.Duration, do func()) {
+// AfterFunc schedules callback to run after d of simulated time.
+func (c *Clock) AfterFunc(d time.Duration, callback func()) {
 	c.sequence++
-	heap.Push(&c.queue, event{at: c.now.Add(d), sequence: c.sequence, do: do})
+	heap.Push(&c.queue, event{at: c.now.Add(d), sequence: c.sequence, callback: callback})
 }
 
-// RunUntil runs the events up to an elapsed time and then stands at that time.
+// RunUntil runs all events up to and including the elapsed time end, then sets the clock to end.
 func (c *Clock) RunUntil(end time.Duration) {
-	until := epoch.Add(end)
+	until := startTime.Add(end)
 	for len(c.queue) > 0 && !c.queue[0].at.After(until) {
 		e := heap.Pop(&c.queue).(event)
 		c.now = e.at
-		e.do()
+		e.callback()
 	}
 	c.now = until
 }
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -8,10 +8,12 @@
 	core "github.com/hemlockdyke/hemlockdyke/internal/core/router"
 )
 
-// callTimeout is when a call whose request or reply was lost counts as failed.
+// callTimeout is the time after which a caller treats a call without a reply as failed.
 const callTimeout = time.Second
 
-// Hooks are called for the actions that leave the control plane. Nil ones are skipped.
+// Hooks are callbacks for the actions of a core, one for each type of action; node is the node
+// whose core returned the action. A nil hook is skipped. The network itself carries out only
+// AnswerCall and CallPeer; the effects of all other actions are left to the hooks.
 type Hooks struct {
 	GrantTarget   func(node int, a core.GrantTarget)
 	RefuseRequest func(node int, a core.RefuseRequest)
@@ -19,154 +21,161 @@
 	ReadStore     func(node int, a core.ReadStore)
 	PublishTable  func(node int, a core.PublishTable)
 	Readiness     func(node int, a core.Readiness)
-	// AnswerCall sees each reply as it leaves a node, with the node that called.
+	// AnswerCall runs before a reply leaves node; caller is the node that receives the reply.
 	AnswerCall func(node, caller int, a core.AnswerCall)
-	// CallPeer sees each call as it leaves a node.
+	// CallPeer runs before a call leaves node.
 	CallPeer func(node int, a core.CallPeer)
 }
 
-// OutsideCaller is the number of a caller that is not a router.
+// OutsideCaller is the node index of a caller that is not a router, such as a controller.
 const OutsideCaller = -1
 
-// Node is one router.
+// Node is one simulated router process.
 type Node struct {
-	Core   *core.Core
-	down   bool
-	paused bool
-	held   []core.Event // events that wait for a paused node
-	epoch  int          // counts restarts; replies to an earlier process are lost
-	calls  map[core.CallID]call
+	Core          *core.Core
+	isDown        bool
+	stalled       bool
+	pendingEvents []core.Event         // events that a stalled node receives after it resumes
+	incarnation   int                  // counts kills and restarts
+	calls         map[core.CallID]call // received calls that are not answered yet
 }
 
+// call is a call that a node has received and not answered yet.
 type call struct {
-	from    int
-	epoch   int // of the caller
-	respond func(core.AnswerCall)
+	from        int
+	incarnation int // of the called node
+	respond     func(core.AnswerCall)
 }
 
-// Net is a network of routers. Router numbers are the node's index plus one.
+// Net is a network of routers. The ID of a router is the index of its node plus one.
 type Net struct {
 	Clock *Clock
 	Hooks Hooks
 	// Delay returns the one-way delay between two nodes.
 	Delay func(a, b int) time.Duration
-	// IsLost decides whether a message from a to b is lost on its way.
-	IsLost func(a, b int) bool
-	nodes  []*Node
-	calls  core.CallID
+	// IsLost decides whether a message from a to b is dropped.
+	IsLost     func(a, b int) bool
+	nodes      []*Node
+	lastCallID core.CallID
 }
 
-// New returns a network without nodes, in which nothing is lost.
+// New returns a network without nodes that drops no messages.
 func New(clock *Clock, delay func(a, b int) time.Duration) *Net {
 	return &Net{Clock: clock, Delay: delay, IsLost: func(int, int) bool { return false }}
 }
 
-// AddNode adds a node and starts its ticks. The phase spreads the ticks of nodes.
+// AddNode adds a node, starts its ticks after phase and returns the index of the node. Different
+// phases keep the nodes from ticking at the same time.
 func (n *Net) AddNode(c *core.Core, phase time.Duration) int {
 	n.nodes = append(n.nodes, &Node{Core: c, calls: make(map[core.CallID]call)})
 	i := len(n.nodes) - 1
-	n.Clock.AfterFunc(phase, func() { n.tick(i, n.nodes[i].epoch) })
+	n.Clock.AfterFunc(phase, func() { n.tick(i, n.nodes[i].incarnation) })
 	return i
 }
 
 // NodeCount returns the number of nodes.
 func (n *Net) NodeCount() int { return len(n.nodes) }
 
-// Core returns a node's core.
+// Core returns the core of a node.
 func (n *Net) Core(node int) *core.Core { return n.nodes[node].Core }
 
-// IsUp reports whether a node's process runs; a paused one does.
-func (n *Net) IsUp(node int) bool { return !n.nodes[node].down }
+// IsUp reports whether the process of a node runs. It is true for a stalled node.
+func (n *Net) IsUp(node int) bool { return !n.nodes[node].isDown }
 
-// IsStalled reports whether a node is paused.
-func (n *Net) IsStalled(node int) bool { return n.nodes[node].paused }
+// IsStalled reports whether a node is stalled.
+func (n *Net) IsStalled(node int) bool { return n.nodes[node].stalled }
 
-func (n *Net) tick(node, epoch int) {
-	if n.nodes[node].epoch != epoch || n.nodes[node].down {
+// tick sends a node a Tick and schedules the next one, until the process of that incarnation ends.
+func (n *Net) tick(node, incarnation int) {
+	if n.nodes[node].incarnation != incarnation || n.nodes[node].isDown {
 		return
 	}
-	if !n.nodes[node].paused {
+	if !n.nodes[node].stalled {
 		n.Step(node, core.Tick{})
 	}
-	n.Clock.AfterFunc(core.TickInterval, func() { n.tick(node, epoch) })
+	n.Clock.AfterFunc(core.TickInterval, func() { n.tick(node, incarnation) })
 }
 
-// Kill ends a node's process. Its calls and replies are lost.
+// Kill ends the process of a node. Its pending calls and replies are dropped.
 func (n *Net) Kill(node int) {
-	n.nodes[node].down = true
-	n.nodes[node].paused = false
-	n.nodes[node].held = nil
-	n.nodes[node].epoch++
+	n.nodes[node].isDown = true
+	n.nodes[node].stalled = false
+	n.nodes[node].pendingEvents = nil
+	n.nodes[node].incarnation++
 }
 
-// Restart starts a node's next process.
+// Restart starts a new process of a killed node, which runs the core c.
 func (n *Net) Restart(node int, c *core.Core) {
 	nd := n.nodes[node]
-	nd.Core, nd.down, nd.calls = c, false, make(map[core.CallID]call)
-	nd.epoch++
-	n.tick(node, nd.epoch)
+	nd.Core, nd.isDown, nd.calls = c, false, make(map[core.CallID]call)
+	nd.incarnation++
+	n.tick(node, nd.incarnation)
 }
 
-// Stall stops a node without its noticing; events wait for it.
-func (n *Net) Stall(node int) { n.nodes[node].paused = true }
+// Stall stops a node, as SIGSTOP does. Events for the node wait until Resume.
+func (n *Net) Stall(node int) { n.nodes[node].stalled = true }
 
-// Resume lets a paused node go on with what waited for it.
+// Resume ends a stall and delivers the events that arrived during it.
 func (n *Net) Resume(node int) {
 	nd := n.nodes[node]
-	nd.paused = false
-	held := nd.held
-	nd.held = nil
-	for _, ev := range held {
+	nd.stalled = false
+	pendingEvents := nd.pendingEvents
+	nd.pendingEvents = nil
+	for _, ev := range pendingEvents {
 		n.Step(node, ev)
 	}
 }
 
-// Step hands an event to a node and carries out the actions that follow.
+// Step delivers an event to the core of a node and executes the resulting actions. It does nothing
+// if the process does not run, and queues the event if the node is stalled.
 func (n *Net) Step(node int, ev core.Event) {
 	nd := n.nodes[node]
-	if nd.down {
+	if nd.isDown {
 		return
 	}
-	if nd.paused {
-		nd.held = append(nd.held, ev)
+	if nd.stalled {
+		nd.pendingEvents = append(nd.pendingEvents, ev)
 		return
 	}
-	// The core reuses its slice of actions, and an action may lead to a step.
+	// The slice is copied because the core reuses it, and an action may call Step again.
 	for _, a := range append([]core.Action(nil), nd.Core.Step(n.Clock.Now(), ev)...) {
-		n.act(node, a)
+		n.execute(node, a)
 	}
 }
 
-func (n *Net) act(node int, a core.Action) {
+// execute runs the hook of an action and carries out peer calls and their answers.
+func (n *Net) execute(node int, a core.Action) {
 	h := n.Hooks
 	switch a := a.(type) {
 	case core.GrantTarget:
-		run(h.GrantTarget, node, a)
+		runHook(h.GrantTarget, node, a)
 	case core.RefuseRequest:
-		run(h.RefuseRequest, node, a)
+		runHook(h.RefuseRequest, node, a)
 	case core.ProbeTarget:
-		run(h.ProbeTarget, node, a)
+		runHook(h.ProbeTarget, node, a)
 	case core.ReadStore:
-		run(h.ReadStore, node, a)
+		runHook(h.ReadStore, node, a)
 	case core.PublishTable:
-		run(h.PublishTable, node, a)
+		runHook(h.PublishTable, node, a)
 	case core.Readiness:
-		run(h.Readiness, node, a)
+		runHook(h.Readiness, node, a)
 	case core.AnswerCall:
-		n.respond(node, a)
+		n.answerCall(node, a)
 	case core.CallPeer:
-		run(h.CallPeer, node, a)
-		n.send(node, a)
+		runHook(h.CallPeer, node, a)
+		n.callPeer(node, a)
 	}
 }
 
-func run[A any](hook func(int, A), node int, a A) {
+// runHook calls a hook unless it is nil.
+func runHook[A any](hook func(int, A), node int, a A) {
 	if hook != nil {
 		hook(node, a)
 	}
 }
 
-func (n *Net) respond(node int, a core.AnswerCall) {
+// answerCall sends a reply to the caller of a.Call. A call from before a restart has no entry.
+func (n *Net) answerCall(node int, a core.AnswerCall) {
 	c, ok := n.nodes[node].calls[a.Call]
 	if !ok {
 		return
@@ -178,54 +187,55 @@
 	c.respond(a)
 }
 
-// send carries a call to its node and the reply back. A call that gets no reply
-// fails after the timeout; one to a dead process fails at once.
-func (n *Net) send(from int, a core.CallPeer) {
-	epoch := n.nodes[from].epoch
+// callPeer delivers a call and returns the reply to the caller as CallCompleted. A call without a
+// reply fails after callTimeout; a call to a process that does not run fails after one round trip.
+func (n *Net) callPeer(from int, a core.CallPeer) {
+	incarnation := n.nodes[from].incarnation
 	answered := false
-	done := func(reply proto.Message) {
-		if answered || n.nodes[from].epoch != epoch {
+	complete := func(reply proto.Message) {
+		if answered || n.nodes[from].incarnation != incarnation {
 			return
 		}
 		answered = true
 		n.Step(from, core.CallCompleted{To: a.To, Request: a.Message, Reply: reply})
 	}
 	to := int(a.To) - 1
-	if n.nodes[to].down {
-		n.Clock.AfterFunc(2*n.Delay(from, to), func() { done(nil) })
+	if n.nodes[to].isDown {
+		n.Clock.AfterFunc(2*n.Delay(from, to), func() { complete(nil) })
 		return
 	}
-	n.Clock.AfterFunc(callTimeout, func() { done(nil) })
+	n.Clock.AfterFunc(callTimeout, func() { complete(nil) })
 	n.Deliver(from, to, a.Message, func(r core.AnswerCall) {
 		if r.Err != nil {
-			done(nil)
+			complete(nil)
 			return
 		}
-		done(r.Message)
+		complete(r.Message)
 	})
 }
 
-// Deliver carries one message to a node and its reply to respond, with the
-// network's delays and losses. from may be Outside.
+// Deliver carries a message from one node to another and the reply back to respond. Both may be
+// delayed or dropped; a message to a process that does not run is dropped. from may be
+// OutsideCaller.
 func (n *Net) Deliver(from, to int, m proto.Message, respond func(core.AnswerCall)) {
 	if n.IsLost(from, to) {
 		return
 	}
 	n.Clock.AfterFunc(n.Delay(from, to), func() {
 		nd := n.nodes[to]
-		if nd.down {
+		if nd.isDown {
 			return
 		}
-		n.calls++
-		id := n.calls
-		epoch := nd.epoch
-		nd.calls[id] = call{from: from, epoch: epoch, respond: func(r core.AnswerCall) {
-			if nd.epoch != epoch || n.IsLost(to, from) {
+		n.lastCallID++
+		id := n.lastCallID
+		incarnation := nd.incarnation
+		nd.calls[id] = call{from: from, incarnation: incarnation, respond: func(r core.AnswerCall) {
+			if nd.incarnation != incarnation || n.IsLost(to, from) {
 				return
 			}
 			n.Clock.AfterFunc(n.Delay(to, from), func() { respond(r) })
 		}}
-		// The message is copied, as the wire would: the sender may change its own.
+		// The message is copied because the sender may modify its own afterwards.
 		n.Step(to, core.CallReceived{Call: id, Message: proto.Clone(m)})
 	})
 }
