--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,9 +1,9 @@
-// Package stats summarises samples.
+// Package stats computes statistics of samples.
 package stats
 
 import "slices"
 
-// Quantile returns the value below which the share q of values lies, 0 for none.
+// Quantile returns the q-quantile of values (q between 0 and 1), or 0 if there are none.
 func Quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
