--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,4 @@
-// Package testkit runs test suites with fixed seeds, so that every run gives the
-// same verdict.
+// Package testkit runs test suites with fixed seeds, so that every run has the same result.
 package testkit
 
 import (
@@ -14,30 +13,32 @@
 	"pgregory.net/rapid"
 )
 
-// seed is the seed of property tests. rapid prints it with a failure.
-const seed = "20261202"
+// rapidSeed is the seed of all property tests. rapid prints the seed when a test fails.
+const rapidSeed = "20261202"
 
-// Run runs the suite of a package.
+// Run runs the Ginkgo specs of a package as a suite with the given name. Flags of rapid on the
+// command line take precedence over the defaults that are set here.
 func Run(t *testing.T, name string) {
 	t.Helper()
 	gomega.RegisterFailHandler(ginkgo.Fail)
-	set := func(flagName, value string) {
+	setDefault := func(flagName, value string) {
 		if f := flag.Lookup(flagName); f != nil && f.Value.String() == f.DefValue {
 			_ = f.Value.Set(value)
 		}
 	}
-	set("rapid.seed", seed)
-	set("rapid.nofailfile", "true")
-	set("rapid.shrinktime", "3s")
+	setDefault("rapid.seed", rapidSeed)
+	setDefault("rapid.nofailfile", "true")
+	setDefault("rapid.shrinktime", "3s")
 	suite, reporter := ginkgo.GinkgoConfiguration()
 	suite.RandomSeed = 1
-	suite.SkipStrings = append(suite.SkipStrings, knownRed()...)
+	suite.SkipStrings = append(suite.SkipStrings, knownFailures()...)
 	ginkgo.RunSpecs(t, name, suite, reporter)
 }
 
-// knownRed returns the tests that CI passes over: those of KNOWN-RED.txt, which
-// .ci/run hands on and prints. Elsewhere none is passed over.
-func knownRed() []string {
+// knownFailures returns patterns for the tests that CI skips because they are known to fail:
+// .ci/run passes the entries of KNOWN-RED.txt in the environment variable KNOWN_RED and prints
+// them. Without this variable no test is skipped.
+func knownFailures() []string {
 	var out []string
 	for _, line := range strings.Split(os.Getenv("KNOWN_RED"), "\n") {
 		if line != "" {
@@ -47,7 +48,7 @@
 	return out
 }
 
-// Check runs a property with a number of cases.
+// Check runs a property test with the given number of cases.
 func Check(cases string, property func(*rapid.T)) {
 	if f := flag.Lookup("rapid.checks"); f != nil {
 		_ = f.Value.Set(cases)
