--- a/internal/imports_test.go
+++ b/internal/imports_test.go
@@ -1,4 +1,4 @@
-// Package internal_test checks the line between the product and the platform.
+// Package internal_test checks that only the folder platform/ depends on the platform.
 package internal_test
 
 import (
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-// platformNames are names of the platform's wire and store. They stand in platform/
-// only, so that another platform needs another folder and nothing else.
+// platformNames matches names of the platform's wire protocol and store. Only platform/ may use
+// them: support for another platform is then one new folder and no other change.
 var platformNames = regexp.MustCompile(`Hemlockdyke-[A-Z]|rows-(tx|get|feed|parts)|hemlockdyke/platform"`)
 
-// exempt is the binary that joins product and platform.
-const exempt = "hemlockdyke-router/main.go"
+// exemptFile is the main function that connects the product and the platform.
+const exemptFile = "hemlockdyke-router/main.go"
 
-func TestProductKnowsNoPlatform(t *testing.T) {
+func TestProductDoesNotNamePlatform(t *testing.T) {
 	for _, root := range []string{".", "../cmd"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "imports_test.go") {
@@ -29,8 +29,8 @@
 				return err
 			}
 			for n, line := range bytes.Split(source, []byte("\n")) {
-				if platformNames.Match(line) && !strings.HasSuffix(path, exempt) {
-					t.Errorf("%s:%d names the platform: %s", path, n+1, line)
+				if platformNames.Match(line) && !strings.HasSuffix(path, exemptFile) {
+					t.Errorf("%s:%d uses a name of the platform: %s", path, n+1, line)
 				}
 			}
 			return nil
@@ -41,7 +41,7 @@
 	}
 }
 
-// maxPlatformLines keeps the folder a translation: what decides belongs in the product.
+// maxPlatformLines limits platform/ to a translation layer. Decisions belong in the product.
 const maxPlatformLines = 1500
 
 func TestPlatformStaysSmall(t *testing.T) {
@@ -61,6 +61,6 @@
 		lines += bytes.Count(source, []byte("\n"))
 	}
 	if lines > maxPlatformLines {
-		t.Errorf("platform/ has %d lines, at most %d are meant", lines, maxPlatformLines)
+		t.Errorf("platform/ has %d lines, want at most %d", lines, maxPlatformLines)
 	}
 }
