--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -2,7 +2,8 @@
 
 import "container/list"
 
-// prefixCache holds the prompt prefixes of chats, least recently used out first.
+// prefixCache holds the number of cached prompt tokens of each chat and evicts the least recently
+// used chat first.
 type prefixCache struct {
 	capacity int
 	used     int
@@ -10,7 +11,8 @@
 	entries  map[string]*list.Element
 }
 
-type cached struct {
+// cacheEntry is the cached prompt of one chat.
+type cacheEntry struct {
 	chat   string
 	tokens int
 }
@@ -19,18 +21,18 @@
 	return prefixCache{capacity: capacity, order: list.New(), entries: make(map[string]*list.Element)}
 }
 
-// use returns how many tokens of the chat were cached and then holds the given number.
-func (c *prefixCache) use(chat string, tokens int) int {
+// getAndPut returns how many tokens of the chat were cached and then caches the given number.
+func (c *prefixCache) getAndPut(chat string, tokens int) int {
 	if chat == "" {
 		return 0
 	}
 	before := 0
 	if e, ok := c.entries[chat]; ok {
-		before = e.Value.(*cached).tokens
+		before = e.Value.(*cacheEntry).tokens
 		c.used -= before
 		c.order.Remove(e)
 	}
-	c.entries[chat] = c.order.PushFront(&cached{chat: chat, tokens: tokens})
+	c.entries[chat] = c.order.PushFront(&cacheEntry{chat: chat, tokens: tokens})
 	c.used += tokens
 	for c.used > c.capacity && c.order.Len() > 1 {
 		c.evict()
@@ -38,9 +40,10 @@
 	return before
 }
 
+// evict removes the least recently used chat.
 func (c *prefixCache) evict() {
 	e := c.order.Back()
-	old := e.Value.(*cached)
+	old := e.Value.(*cacheEntry)
 	c.order.Remove(e)
 	delete(c.entries, old.chat)
 	c.used -= old.tokens
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a small stand-in for a model engine: continuous batching, a
-// prefix cache in limited memory, streams that resume at an offset, and faults
-// that are switched on over HTTP. Its answer is a function of the prompt, so
-// that a caller can check that it got its own answer whole.
+// Package engine is a small stand-in for a model engine. It simulates prompt and token times and a
+// prefix cache of limited size, resumes streams at an offset, and has faults that are set over
+// HTTP. Its answer is a function of the prompt, so that a caller can check that an answer is
+// complete and belongs to its own request.
 package engine
 
 import (
@@ -19,29 +19,32 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// Settings describe one engine.
+// Settings are the settings of one engine.
 type Settings struct {
 	Name string
-	// TimePerToken is the time between tokens.
+	// TimePerToken is the time between two tokens of an answer.
 	TimePerToken time.Duration
-	// CacheTokens is how many prompt tokens the prefix cache holds.
+	// CacheTokens is the capacity of the prefix cache in prompt tokens.
 	CacheTokens int
-	// PrefillTokensPerSecond is how many uncached prompt tokens are processed a second.
+	// PrefillTokensPerSecond is the rate at which uncached prompt tokens are processed; 0 means at
+	// once.
 	PrefillTokensPerSecond int
-	// ChecksFencing refuses orders whose fencing number is older than the last.
+	// ChecksFencing makes the engine refuse orders whose fencing token is lower than the highest
+	// one that it has accepted.
 	ChecksFencing bool
 }
 
-// Faults are the faults in force.
+// Faults are the injected faults of an engine.
 type Faults struct {
-	Refuse         bool `json:"refuse"`      // turn requests away, promising that they did not run
-	Silent         bool `json:"silent"`      // read requests and never answer
-	CutAfterTokens int  `json:"cutAfter"`    // close the connection after this many tokens, once
-	MismatchOnce   bool `json:"crossOnce"`   // answer one request with another attempt's id
-	StallMillis    int  `json:"stallMillis"` // pause before the first token
+	Refuse         bool `json:"refuse"`      // refuse requests and mark them as not executed
+	Silent         bool `json:"silent"`      // read requests but never answer
+	CutAfterTokens int  `json:"cutAfter"`    // close the connection after this many tokens, for one request
+	MismatchOnce   bool `json:"crossOnce"`   // answer one request with the ID of another attempt
+	StallMillis    int  `json:"stallMillis"` // additional delay before the first token
 }
 
-// Order tells an engine to change.
+// Order is an instruction to an engine, such as to load a model version or to drain. An engine
+// refuses an order after ExpiresAt.
 type Order struct {
 	FencingToken uint64    `json:"fencing"`
 	Action       string    `json:"action"`
@@ -49,7 +52,8 @@
 	ExpiresAt    time.Time `json:"expires"`
 }
 
-// Status is what an engine reports of itself.
+// Status is the state and the counters that an engine reports. State holds the argument of the
+// last order of each action.
 type Status struct {
 	Name            string            `json:"name"`
 	OpenRequests    int               `json:"open"`
@@ -66,30 +70,30 @@
 
 // Server is one engine. It is safe for concurrent use.
 type Server struct {
-	settings Settings
-	faults   fault.Switch[Faults]
-	mu       sync.Mutex
-	status   Status
-	cache    prefixCache
-	built    map[string]int // prompt tokens ever built for a chat, anywhere here
+	settings    Settings
+	faults      fault.Switch[Faults]
+	mu          sync.Mutex
+	status      Status
+	cache       prefixCache
+	builtTokens map[string]int // longest prompt of each chat so far, in tokens
 }
 
-// New returns an idle engine.
+// New returns an engine without requests.
 func New(s Settings) *Server {
 	return &Server{
-		settings: s,
-		status:   Status{Name: s.Name, State: map[string]string{}},
-		cache:    newPrefixCache(s.CacheTokens),
-		built:    make(map[string]int),
+		settings:    s,
+		status:      Status{Name: s.Name, State: map[string]string{}},
+		cache:       newPrefixCache(s.CacheTokens),
+		builtTokens: make(map[string]int),
 	}
 }
 
-// Handler returns the engine's HTTP interface.
+// Handler returns the HTTP handler of the engine.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/chat/completions", s.complete).Methods(http.MethodPost)
-	r.HandleFunc("/status", s.getStatus).Methods(http.MethodGet)
-	r.HandleFunc("/orders", s.order).Methods(http.MethodPost)
+	r.HandleFunc("/v1/chat/completions", s.handleCompletion).Methods(http.MethodPost)
+	r.HandleFunc("/status", s.handleStatus).Methods(http.MethodGet)
+	r.HandleFunc("/orders", s.handleOrder).Methods(http.MethodPost)
 	r.Handle("/faults", &s.faults).Methods(http.MethodPut)
 	return r
 }
@@ -99,24 +103,24 @@
 	return fmt.Sprintf("%06x ", rendezvous.Mix(rendezvous.Hash(prompt), uint64(i))&0xffffff)
 }
 
-func (s *Server) complete(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var req wire.ChatRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	faults := s.takeFaults()
+	faults := s.nextFaults()
 	if faults.Refuse {
 		w.Header().Set(wire.HeaderNotRun, "true")
-		http.Error(w, "not run", http.StatusServiceUnavailable)
+		http.Error(w, "request not executed", http.StatusServiceUnavailable)
 		return
 	}
 	if faults.Silent {
 		<-r.Context().Done()
 		return
 	}
-	s.enter()
-	defer s.leave()
+	s.beginRequest()
+	defer s.endRequest()
 	prompt := req.Prompt()
 	wait := s.prefill(r.Header.Get(wire.HeaderChat), len(prompt)/4+1)
 	wait += time.Duration(faults.StallMillis) * time.Millisecond
@@ -126,50 +130,52 @@
 	s.stream(w, r, req, prompt, faults)
 }
 
-// takeFaults returns the faults for one request; a fault that strikes once is
-// switched off by it.
-func (s *Server) takeFaults() Faults {
+// nextFaults returns the faults that apply to the next request and clears those that affect a
+// single request.
+func (s *Server) nextFaults() Faults {
 	return s.faults.GetAndUpdate(func(f *Faults) {
 		f.CutAfterTokens = 0
 		f.MismatchOnce = false
 	})
 }
 
-func (s *Server) enter() {
+// beginRequest counts a request as open.
+func (s *Server) beginRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status.OpenRequests++
 	s.status.MaxOpenRequests = max(s.status.MaxOpenRequests, s.status.OpenRequests)
 }
 
-func (s *Server) leave() {
+// endRequest counts an open request as served.
+func (s *Server) endRequest() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status.OpenRequests--
 	s.status.ServedRequests++
 }
 
-// prefill looks the chat up in the prefix cache and returns the time that the
-// missing tokens take.
+// prefill stores the prompt in the prefix cache and returns the time that its uncached tokens take.
 func (s *Server) prefill(chat string, tokens int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cached := min(s.cache.use(chat, tokens), tokens)
+	cached := min(s.cache.getAndPut(chat, tokens), tokens)
 	s.status.PromptTokens += tokens
 	s.status.CachedTokens += cached
-	s.status.ReusableTokens += min(s.built[chat], tokens)
-	s.built[chat] = max(s.built[chat], tokens)
+	s.status.ReusableTokens += min(s.builtTokens[chat], tokens)
+	s.builtTokens[chat] = max(s.builtTokens[chat], tokens)
 	if s.settings.PrefillTokensPerSecond == 0 {
 		return 0
 	}
 	return time.Duration(float64(tokens-cached) / float64(s.settings.PrefillTokensPerSecond) * float64(time.Second))
 }
 
+// stream writes the answer from the offset that the request asks for.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, req wire.ChatRequest, prompt string, faults Faults) {
 	from, _ := strconv.Atoi(r.Header.Get(wire.HeaderResumeFrom))
-	echo := r.Header.Get(wire.HeaderAttempt)
+	attemptID := r.Header.Get(wire.HeaderAttempt)
 	if faults.MismatchOnce {
-		echo = "crossed-" + echo
+		attemptID = "crossed-" + attemptID
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -181,16 +187,17 @@
 		if faults.CutAfterTokens > 0 && i-from >= faults.CutAfterTokens {
 			panic(http.ErrAbortHandler)
 		}
-		chunk := wire.NewChunk(echo, req.Model, AnswerToken(prompt, i), i)
+		chunk := wire.NewChunk(attemptID, req.Model, AnswerToken(prompt, i), i)
 		if err := wire.WriteEvent(w, chunk); err != nil {
 			return
 		}
 		_ = flusher.Flush()
 	}
-	_ = wire.WriteEvent(w, wire.NewLastChunk(echo, req.Model, req.Tokens()))
+	_ = wire.WriteEvent(w, wire.NewLastChunk(attemptID, req.Model, req.Tokens()))
 	_ = wire.WriteDone(w)
 }
 
+// sleep waits for d and reports whether the request is still open.
 func sleep(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
@@ -205,13 +212,14 @@
 	}
 }
 
-func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(s.status)
 }
 
-func (s *Server) order(w http.ResponseWriter, r *http.Request) {
+// handleOrder executes an order, unless it has expired or its fencing token is out of date.
+func (s *Server) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -222,7 +230,7 @@
 	stale := s.settings.ChecksFencing && o.FencingToken < s.status.FencingToken
 	if stale || time.Now().After(o.ExpiresAt) {
 		s.status.OrdersRejected++
-		http.Error(w, "old fencing number or expired order", http.StatusConflict)
+		http.Error(w, "order expired or its fencing token is out of date", http.StatusConflict)
 		return
 	}
 	s.status.FencingToken = max(s.status.FencingToken, o.FencingToken)
--- a/internal/standin/fault/fault.go
+++ b/internal/standin/fault/fault.go
@@ -1,4 +1,4 @@
-// Package fault holds the faults of a stand-in, which are switched on over HTTP.
+// Package fault holds the injected faults of a stand-in. Tests set them over HTTP.
 package fault
 
 import (
@@ -7,31 +7,31 @@
 	"sync"
 )
 
-// Switch holds the faults in force. PUT replaces them by its JSON body. It is
-// safe for concurrent use.
+// Switch holds the injected faults of one stand-in as a value of type T. It is an http.Handler
+// that replaces the value by the JSON body of a request. It is safe for concurrent use.
 type Switch[T any] struct {
 	mu    sync.Mutex
 	value T
 }
 
-// Current returns the faults in force.
+// Current returns the current faults.
 func (s *Switch[T]) Current() T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.value
 }
 
-// GetAndUpdate returns the faults in force and changes them in the same instant, for
-// faults that strike once.
-func (s *Switch[T]) GetAndUpdate(change func(*T)) T {
+// GetAndUpdate atomically returns the current faults and applies update to them. It serves faults
+// that affect a single request.
+func (s *Switch[T]) GetAndUpdate(update func(*T)) T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.value
-	change(&s.value)
+	update(&s.value)
 	return before
 }
 
-// ServeHTTP replaces the faults.
+// ServeHTTP replaces the faults by the JSON body of the request.
 func (s *Switch[T]) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var v T
 	if err := json.NewDecoder(r.Body).Decode(&v); err != nil {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a small stand-in for a plain application service. It counts
-// how often each request ran, so that a test can see one that ran twice.
+// Package service is a small stand-in for a plain application service. It counts how often each
+// request was executed, so that tests can detect a request that was executed twice.
 package service
 
 import (
@@ -16,34 +16,35 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// Faults are the faults in force.
+// Faults are the injected faults of the service.
 type Faults struct {
-	Refuse        bool `json:"refuse"`        // turn requests away, promising that they did not run
-	DropAfterRead bool `json:"dropAfterRead"` // run the request, then close without an answer
-	Silent        bool `json:"silent"`        // run the request, then never answer
-	DelayMillis   int  `json:"delayMillis"`   // answer late
+	Refuse        bool `json:"refuse"`        // refuse requests and mark them as not executed
+	DropAfterRead bool `json:"dropAfterRead"` // execute the request, then close the connection without an answer
+	Silent        bool `json:"silent"`        // execute the request but never answer
+	DelayMillis   int  `json:"delayMillis"`   // delay before the answer
 }
 
-// Server is the service; all its instances share the counts. It is safe for concurrent use.
+// Server is the service. All instances share its counts. It is safe for concurrent use.
 type Server struct {
-	faults fault.Switch[Faults]
-	mu     sync.Mutex
-	runs   map[string]int
+	faults     fault.Switch[Faults]
+	mu         sync.Mutex
+	executions map[string]int // executions by request key
 }
 
-// New returns a service that has run nothing.
-func New() *Server { return &Server{runs: make(map[string]int)} }
+// New returns a service that has executed no request.
+func New() *Server { return &Server{executions: make(map[string]int)} }
 
-// Handler returns the service's HTTP interface.
+// Handler returns the HTTP handler of the service.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.Handle("/faults", &s.faults).Methods(http.MethodPut)
-	r.HandleFunc("/runs", s.getRuns).Methods(http.MethodGet)
-	r.PathPrefix("/").HandlerFunc(s.run)
+	r.HandleFunc("/runs", s.handleRuns).Methods(http.MethodGet)
+	r.PathPrefix("/").HandlerFunc(s.handleRequest)
 	return r
 }
 
-func (s *Server) run(w http.ResponseWriter, r *http.Request) {
+// handleRequest counts and answers a request of any path.
+func (s *Server) handleRequest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -51,10 +52,10 @@
 	f := s.faults.Current()
 	if f.Refuse {
 		w.Header().Set(wire.HeaderNotRun, "true")
-		http.Error(w, "not run", http.StatusServiceUnavailable)
+		http.Error(w, "request not executed", http.StatusServiceUnavailable)
 		return
 	}
-	n := s.count(runKey(r))
+	n := s.countExecution(requestKey(r))
 	if f.Silent {
 		<-r.Context().Done()
 		return
@@ -68,23 +69,25 @@
 	fmt.Fprintf(w, `{"path":%q,"bytes":%d,"run":%d}`, r.URL.Path, len(body), n)
 }
 
-// runKey is what makes two requests the same: the caller's key if there is one.
-func runKey(r *http.Request) string {
+// requestKey identifies a request: by the idempotency key of the caller if there is one, otherwise
+// by the request ID, which all attempts of a request share.
+func requestKey(r *http.Request) string {
 	if key := r.Header.Get(wire.HeaderIdempotencyKey); key != "" {
 		return "key/" + key
 	}
 	return "request/" + r.Header.Get(wire.HeaderRequest)
 }
 
-func (s *Server) count(key string) int {
+// countExecution counts an execution of a request and returns the new count.
+func (s *Server) countExecution(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runs[key]++
-	return s.runs[key]
+	s.executions[key]++
+	return s.executions[key]
 }
 
-func (s *Server) getRuns(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleRuns(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(s.runs)
+	_ = json.NewEncoder(w).Encode(s.executions)
 }
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -1,5 +1,5 @@
-// Package table is a small stand-in for the platform's transactional table
-// service, object store and VM list. Its faults are switched on over HTTP.
+// Package table is a small stand-in for the platform's transactional table service, object store
+// and VM list. Tests set its faults over HTTP.
 package table
 
 import (
@@ -17,57 +17,57 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/standin/fault"
 )
 
-// Faults are the faults in force.
+// Faults are the injected faults of all three services.
 type Faults struct {
 	// Down refuses every call.
 	Down bool `json:"down"`
-	// DropReplies applies writes but closes the connection instead of replying.
+	// DropReplies applies commits but closes the connection instead of replying.
 	DropReplies bool `json:"dropReplies"`
-	// DelayMillis is added before every call.
+	// DelayMillis is a delay that is added to every call.
 	DelayMillis int `json:"delayMillis"`
-	// WritesPerSecond limits commits; 0 means no limit.
+	// WritesPerSecond limits the writes of each second; further ones are refused. 0 means no limit.
 	WritesPerSecond int `json:"writesPerSecond"`
 }
 
-// Counts are the calls served so far.
+// Counts are the numbers of calls served and refused so far.
 type Counts struct {
 	Reads   int `json:"reads"`
 	Writes  int `json:"writes"`
 	Refused int `json:"refused"`
 }
 
-// Server is the stand-in. It is safe for concurrent use.
+// Server is the stand-in of the three services. It is safe for concurrent use.
 type Server struct {
-	mu      sync.Mutex
-	rows    map[string]port.Row
-	objects map[string][]byte
-	vms     fault.Switch[[]port.VM]
-	version uint64
-	faults  fault.Switch[Faults]
-	counts  Counts
-	second  time.Time
-	inSec   int
-}
-
-// New returns an empty Server.
+	mu             sync.Mutex
+	rows           map[string]port.Row
+	objects        map[string][]byte
+	vms            fault.Switch[[]port.VM]
+	version        uint64
+	faults         fault.Switch[Faults]
+	counts         Counts
+	currentSecond  time.Time // the second that writesInSecond counts
+	writesInSecond int       // writes of this second, while there is a limit
+}
+
+// New returns a server without rows, objects and VMs.
 func New() *Server {
 	return &Server{rows: make(map[string]port.Row), objects: make(map[string][]byte)}
 }
 
-// RegisterRoutes adds the stand-in's paths to r.
+// RegisterRoutes adds the HTTP routes of the stand-in to r.
 func (s *Server) RegisterRoutes(r *mux.Router) {
-	r.HandleFunc("/table/get", s.get).Methods(http.MethodGet)
-	r.HandleFunc("/table/scan", s.scan).Methods(http.MethodGet)
-	r.HandleFunc("/table/commit", s.commit).Methods(http.MethodPost)
-	r.HandleFunc("/objects/{name:.+}", s.getObject).Methods(http.MethodGet)
-	r.HandleFunc("/objects/{name:.+}", s.putObject).Methods(http.MethodPut)
-	r.HandleFunc("/vms", s.getVMs).Methods(http.MethodGet)
+	r.HandleFunc("/table/get", s.handleGet).Methods(http.MethodGet)
+	r.HandleFunc("/table/scan", s.handleScan).Methods(http.MethodGet)
+	r.HandleFunc("/table/commit", s.handleCommit).Methods(http.MethodPost)
+	r.HandleFunc("/objects/{name:.+}", s.handleGetObject).Methods(http.MethodGet)
+	r.HandleFunc("/objects/{name:.+}", s.handlePutObject).Methods(http.MethodPut)
+	r.HandleFunc("/vms", s.handleListVMs).Methods(http.MethodGet)
 	r.Handle("/vms", &s.vms).Methods(http.MethodPut)
 	r.Handle("/faults/platform", &s.faults).Methods(http.MethodPut)
-	r.HandleFunc("/counts/platform", s.getCounts).Methods(http.MethodGet)
+	r.HandleFunc("/counts/platform", s.handleCounts).Methods(http.MethodGet)
 }
 
-// Commit applies txn under the service's rules and returns ErrConflict if a condition fails.
+// Commit applies txn, or returns port.ErrConflict and writes nothing if a condition fails.
 func (s *Server) Commit(txn port.Txn) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,11 +87,12 @@
 	return nil
 }
 
-// admit applies the faults common to all calls and reports whether to go on.
-func (s *Server) admit(w http.ResponseWriter, write bool) (Faults, bool) {
+// applyFaults applies the faults that are common to all calls and counts the call. It returns the
+// faults and false if it has refused the call.
+func (s *Server) applyFaults(w http.ResponseWriter, write bool) (Faults, bool) {
 	f := s.faults.Current()
 	s.mu.Lock()
-	refused := f.Down || (write && s.overLimit(f))
+	refused := f.Down || (write && s.countWrite(f))
 	switch {
 	case refused:
 		s.counts.Refused++
@@ -111,20 +112,21 @@
 	return f, true
 }
 
-func (s *Server) overLimit(f Faults) bool {
+// countWrite counts a write and reports whether it exceeds the limit of the current second.
+func (s *Server) countWrite(f Faults) bool {
 	if f.WritesPerSecond == 0 {
 		return false
 	}
 	now := time.Now().Truncate(time.Second)
-	if !now.Equal(s.second) {
-		s.second, s.inSec = now, 0
+	if !now.Equal(s.currentSecond) {
+		s.currentSecond, s.writesInSecond = now, 0
 	}
-	s.inSec++
-	return s.inSec > f.WritesPerSecond
+	s.writesInSecond++
+	return s.writesInSecond > f.WritesPerSecond
 }
 
-func (s *Server) get(w http.ResponseWriter, r *http.Request) {
-	if _, ok := s.admit(w, false); !ok {
+func (s *Server) handleGet(w http.ResponseWriter, r *http.Request) {
+	if _, ok := s.applyFaults(w, false); !ok {
 		return
 	}
 	s.mu.Lock()
@@ -137,8 +139,8 @@
 	writeJSON(w, row)
 }
 
-func (s *Server) scan(w http.ResponseWriter, r *http.Request) {
-	if _, ok := s.admit(w, false); !ok {
+func (s *Server) handleScan(w http.ResponseWriter, r *http.Request) {
+	if _, ok := s.applyFaults(w, false); !ok {
 		return
 	}
 	prefix := r.URL.Query().Get("prefix")
@@ -154,13 +156,13 @@
 	writeJSON(w, rows)
 }
 
-func (s *Server) commit(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleCommit(w http.ResponseWriter, r *http.Request) {
 	var txn port.Txn
 	if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	f, ok := s.admit(w, true)
+	f, ok := s.applyFaults(w, true)
 	if !ok {
 		return
 	}
@@ -175,8 +177,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) getObject(w http.ResponseWriter, r *http.Request) {
-	if _, ok := s.admit(w, false); !ok {
+func (s *Server) handleGetObject(w http.ResponseWriter, r *http.Request) {
+	if _, ok := s.applyFaults(w, false); !ok {
 		return
 	}
 	s.mu.Lock()
@@ -189,13 +191,13 @@
 	_, _ = w.Write(data)
 }
 
-func (s *Server) putObject(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handlePutObject(w http.ResponseWriter, r *http.Request) {
 	data, err := io.ReadAll(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if _, ok := s.admit(w, true); !ok {
+	if _, ok := s.applyFaults(w, true); !ok {
 		return
 	}
 	s.mu.Lock()
@@ -204,14 +206,14 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Server) getVMs(w http.ResponseWriter, _ *http.Request) {
-	if _, ok := s.admit(w, false); !ok {
+func (s *Server) handleListVMs(w http.ResponseWriter, _ *http.Request) {
+	if _, ok := s.applyFaults(w, false); !ok {
 		return
 	}
 	writeJSON(w, s.vms.Current())
 }
 
-func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleCounts(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	writeJSON(w, s.counts)
