--- a/internal/load/balancer.go
+++ b/internal/load/balancer.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// checkEvery and checkTimeout pace the health checks.
-	checkEvery   = 50 * time.Millisecond
-	checkTimeout = 500 * time.Millisecond
+	// checkInterval is the time between two rounds of health checks; checkTimeout limits each
+	// check.
+	checkInterval = 50 * time.Millisecond
+	checkTimeout  = 500 * time.Millisecond
 )
 
-// balancer plays the platform's balancer: it checks each router's /readyz and
-// sends new requests to ready ones only. Like the real one it learns of a change
-// late, up to a check's interval.
+// balancer simulates the platform's load balancer: it polls /readyz of each router and sends new
+// requests to ready routers only. Like the real one it sees a change late, by up to one
+// checkInterval plus the time that the checks take.
 type balancer struct {
 	routers []string
 	ready   []atomic.Bool
 	client  *http.Client
 }
 
+// newBalancer returns a balancer that takes every router for ready until its first check.
 func newBalancer(routers []string) *balancer {
 	b := &balancer{routers: routers, ready: make([]atomic.Bool, len(routers)), client: &http.Client{Timeout: checkTimeout}}
 	for i := range b.ready {
@@ -30,8 +32,8 @@
 	return b
 }
 
-// watch checks the routers until ctx ends.
-func (b *balancer) watch(ctx context.Context) {
+// runHealthChecks checks the routers until ctx ends.
+func (b *balancer) runHealthChecks(ctx context.Context) {
 	for ctx.Err() == nil {
 		for i, url := range b.routers {
 			resp, err := b.client.Get(url + "/readyz")
@@ -40,13 +42,13 @@
 			}
 			b.ready[i].Store(err == nil && resp.StatusCode == http.StatusOK)
 		}
-		pause(ctx, checkEvery)
+		sleep(ctx, checkInterval)
 	}
 }
 
-// pick returns the first ready router from a position on, or the one at the
-// position if none is.
-func (b *balancer) pick(position int) string {
+// pickRouter returns the first ready router at or after a position. If no router is ready, it
+// returns the router at the position.
+func (b *balancer) pickRouter(position int) string {
 	for n := range b.routers {
 		if i := (position + n) % len(b.routers); b.ready[i].Load() {
 			return b.routers[i]
--- a/internal/load/get.go
+++ b/internal/load/get.go
@@ -8,13 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// getEvery is the pause between two tries of Get.
-const getEvery = 50 * time.Millisecond
+// retryInterval is the time between two requests of FetchWhenOK.
+const retryInterval = 50 * time.Millisecond
 
-// FetchWhenOK writes what a URL answers, once it answers 200.
+// FetchWhenOK requests a URL until it answers with status 200, then writes the body to w. It
+// returns the last error if that takes longer than wait.
 func FetchWhenOK(w io.Writer, url string, wait time.Duration) error {
 	client := &http.Client{Timeout: wait}
-	until := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
 		resp, err := client.Get(url)
 		if err == nil && resp.StatusCode == http.StatusOK {
@@ -26,9 +27,9 @@
 			resp.Body.Close()
 			err = errors.Newf("status %d", resp.StatusCode)
 		}
-		if time.Now().After(until) {
-			return errors.Wrapf(err, "gave up on %s", url)
+		if time.Now().After(deadline) {
+			return errors.Wrapf(err, "no answer with status 200 from %s in time", url)
 		}
-		time.Sleep(getEvery)
+		time.Sleep(retryInterval)
 	}
 }
--- a/internal/load/sample.go
+++ b/internal/load/sample.go
@@ -9,12 +9,12 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/standin/engine"
 )
 
-// sampleEvery is the time between two looks at the engines.
-const sampleEvery = 50 * time.Millisecond
+// sampleInterval is the time between two samples of the open requests of the engines.
+const sampleInterval = 50 * time.Millisecond
 
-// sample looks at the engines' open requests until ctx ends.
-func (d *driver) sample(ctx context.Context) {
-	ticker := time.NewTicker(sampleEvery)
+// sampleEngines samples the open requests of the engines until ctx ends.
+func (d *driver) sampleEngines(ctx context.Context) {
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -22,15 +22,15 @@
 			return
 		case <-ticker.C:
 		}
-		open, err := d.open(ctx)
+		openRequests, err := d.openRequests(ctx)
 		if err == nil {
-			d.count(func(r *Report) { r.addSample(open) })
+			d.updateReport(func(r *Report) { r.addSample(openRequests) })
 		}
 	}
 }
 
-// open returns the open requests of the engines that have not been drained.
-func (d *driver) open(ctx context.Context) ([]int, error) {
+// openRequests returns the number of open requests of each engine that is not drained.
+func (d *driver) openRequests(ctx context.Context) ([]int, error) {
 	var out []int
 	for _, url := range d.settings.EngineURLs {
 		var status engine.Status
@@ -44,18 +44,19 @@
 	return out, nil
 }
 
-// addSample compares a sample with the default bound. Samples see the mean after
-// it has fallen, so some lie above the bound although no grant did.
-func (r *Report) addSample(open []int) {
+// addSample compares the open requests of the engines with the default load bound. A grant is
+// checked against the mean at the time of the grant, and the mean can fall afterwards. So some
+// samples exceed the bound although no grant did.
+func (r *Report) addSample(openRequests []int) {
 	total, highest := 0, 0
-	for _, n := range open {
+	for _, n := range openRequests {
 		total += n
 		highest = max(highest, n)
 	}
-	if total < 2*len(open) {
-		return // with fewer requests the ratio says nothing
+	if total < 2*len(openRequests) {
+		return // below a mean of 2 the ratio is dominated by rounding
 	}
-	mean := float64(total) / float64(len(open))
+	mean := float64(total) / float64(len(openRequests))
 	r.Samples++
 	r.SkewMax = max(r.SkewMax, float64(highest)/mean)
 	if float64(highest) > math.Ceil(resource.DefaultBoundMultiple*mean) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// cached returns the prompt tokens that the engines have served from cache.
-func (d *driver) cached(ctx context.Context) (int, error) {
+// cachedTokens returns the total number of prompt tokens that the engines served from cache.
+func (d *driver) cachedTokens(ctx context.Context) (int, error) {
 	total := 0
 	for _, url := range d.settings.EngineURLs {
 		var status engine.Status
