--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -8,74 +8,76 @@
 
 // request is one simulated request.
 type request struct {
-	id       uint64
-	router   int
-	team     string
-	chat     *chat
-	priority fairqueue.Priority
-	deadline time.Time
-	arrived  time.Time
-	prompt   int // tokens
-	answer   int // tokens
-	counted  bool
-	started  bool
-	done     func(ok bool)
+	id            uint64
+	router        int
+	team          string
+	chat          *chat
+	priority      fairqueue.Priority
+	deadline      time.Time
+	arrivedAt     time.Time
+	prompt        int           // size in tokens
+	answer        int           // size in tokens
+	reuseRecorded bool          // set by the first attempt, so that retries are not counted again
+	hasFirstToken bool          // set by the first attempt that sends a token
+	done          func(ok bool) // runs when the current attempt ends
 }
 
-// engine is a simulated model engine: slots that batch, a queue by priority, an
-// LRU prefix cache, and time per uncached prompt token and per answer token.
+// engine is a simulated model engine. It processes a limited number of requests at a time and
+// queues the others by priority. A request takes time for each uncached prompt token and each
+// answer token.
 type engine struct {
-	sim   *simulation
-	uid   uint64
-	name  string
-	up    bool
-	open  map[*request]bool // running or waiting at the engine
-	run   int
-	queue []*request
-	cache *lru
+	sim     *simulation
+	uid     uint64
+	name    string
+	isUp    bool
+	open    map[*request]bool // requests in process and in the queue
+	running int
+	queue   []*request
+	cache   *lru
 }
 
 func newEngine(s *simulation, name string, uid uint64) *engine {
-	return &engine{sim: s, uid: uid, name: name, up: true, open: make(map[*request]bool), cache: newLRU(s.scenario.CacheTokensPerEngine)}
+	return &engine{sim: s, uid: uid, name: name, isUp: true, open: make(map[*request]bool), cache: newLRU(s.scenario.CacheTokensPerEngine)}
 }
 
-// submit takes a request; done is called when it ends.
+// submit accepts a request and calls done when the request ends.
 func (e *engine) submit(r *request, done func(ok bool)) {
-	if !e.up {
-		e.sim.clock.AfterFunc(refusedAfter, func() { done(false) })
+	if !e.isUp {
+		e.sim.clock.AfterFunc(connectionRefusedDelay, func() { done(false) })
 		return
 	}
 	r.done = done
 	e.open[r] = true
-	if e.run < e.sim.scenario.Slots {
+	if e.running < e.sim.scenario.Slots {
 		e.start(r)
 		return
 	}
-	at := len(e.queue)
-	for at > 0 && e.queue[at-1].priority < r.priority {
-		at--
+	position := len(e.queue)
+	for position > 0 && e.queue[position-1].priority < r.priority {
+		position--
 	}
 	e.queue = append(e.queue, nil)
-	copy(e.queue[at+1:], e.queue[at:])
-	e.queue[at] = r
+	copy(e.queue[position+1:], e.queue[position:])
+	e.queue[position] = r
 }
 
-// refusedAfter is how long a connection to a dead engine takes to fail.
-const refusedAfter = time.Millisecond
+// connectionRefusedDelay is the time after which a connection to a crashed engine fails.
+const connectionRefusedDelay = time.Millisecond
 
+// start processes a request: the prompt first, then the answer.
 func (e *engine) start(r *request) {
-	e.run++
-	cached := min(e.cache.use(r.chat.id, r.prompt), r.prompt)
-	if !r.counted {
-		r.counted = true
-		e.sim.measure.prompt(r, min(cached, r.chat.built))
+	e.running++
+	cached := min(e.cache.getAndPut(r.chat.id, r.prompt), r.prompt)
+	if !r.reuseRecorded {
+		r.reuseRecorded = true
+		e.sim.recorder.recordPrompt(r, min(cached, r.chat.builtTokens))
 	}
 	prefill := time.Duration(float64(r.prompt-cached) / e.sim.scenario.PrefillTokensPerSecond * float64(time.Second))
 	first := prefill + e.sim.scenario.TimePerToken
 	e.sim.clock.AfterFunc(first, func() {
-		if e.open[r] && !r.started {
-			r.started = true
-			e.sim.measure.firstToken(r)
+		if e.open[r] && !r.hasFirstToken {
+			r.hasFirstToken = true
+			e.sim.recorder.recordFirstToken(r)
 		}
 	})
 	e.sim.clock.AfterFunc(prefill+time.Duration(r.answer)*e.sim.scenario.TimePerToken, func() { e.finish(r) })
@@ -83,10 +85,10 @@
 
 func (e *engine) finish(r *request) {
 	if !e.open[r] {
-		return // the engine crashed meanwhile
+		return // the engine crashed or the request was cancelled
 	}
 	delete(e.open, r)
-	e.run--
+	e.running--
 	if len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
@@ -95,19 +97,19 @@
 	r.done(true)
 }
 
-// cancel drops a request whose connection has closed.
+// cancel removes a request whose router was killed and frees its slot.
 func (e *engine) cancel(r *request) {
 	if !e.open[r] {
 		return
 	}
 	delete(e.open, r)
-	for i, waiting := range e.queue {
-		if waiting == r {
+	for i, queued := range e.queue {
+		if queued == r {
 			e.queue = append(e.queue[:i], e.queue[i+1:]...)
 			return
 		}
 	}
-	e.run--
+	e.running--
 	if len(e.queue) > 0 {
 		next := e.queue[0]
 		e.queue = e.queue[1:]
@@ -115,10 +117,10 @@
 	}
 }
 
-// crash fails every open request and forgets the cache.
+// crash fails all open requests and clears the prefix cache.
 func (e *engine) crash() {
-	open := e.sim.inOrder(e.open)
-	e.up, e.run, e.queue = false, 0, nil
+	open := e.sim.sortedByID(e.open)
+	e.isUp, e.running, e.queue = false, 0, nil
 	e.open = make(map[*request]bool)
 	e.cache = newLRU(e.sim.scenario.CacheTokensPerEngine)
 	for _, r := range open {
@@ -126,38 +128,39 @@
 	}
 }
 
-// lru is a prefix cache over chats.
+// lru is a prefix cache that evicts the least recently used chat.
 type lru struct {
 	capacity, used int
 	tokens         map[int]int
-	stamp          map[int]int
-	tick           int
+	lastUse        map[int]int
+	useCount       int
 }
 
 func newLRU(capacity int) *lru {
-	return &lru{capacity: capacity, tokens: make(map[int]int), stamp: make(map[int]int)}
+	return &lru{capacity: capacity, tokens: make(map[int]int), lastUse: make(map[int]int)}
 }
 
-// use returns how many tokens of the chat were held and then holds n.
-func (c *lru) use(chat, n int) int {
+// getAndPut returns how many tokens of the chat were cached and then caches n tokens.
+func (c *lru) getAndPut(chat, n int) int {
 	before := c.tokens[chat]
-	c.tick++
+	c.useCount++
 	c.used += n - before
-	c.tokens[chat], c.stamp[chat] = n, c.tick
+	c.tokens[chat], c.lastUse[chat] = n, c.useCount
 	for c.used > c.capacity && len(c.tokens) > 1 {
 		c.evict()
 	}
 	return before
 }
 
+// evict removes the least recently used chat.
 func (c *lru) evict() {
-	oldest, at := 0, c.tick+1
-	for chat, stamp := range c.stamp {
-		if stamp < at {
-			oldest, at = chat, stamp
+	oldest, oldestUse := 0, c.useCount+1
+	for chat, lastUse := range c.lastUse {
+		if lastUse < oldestUse {
+			oldest, oldestUse = chat, lastUse
 		}
 	}
 	c.used -= c.tokens[oldest]
 	delete(c.tokens, oldest)
-	delete(c.stamp, oldest)
+	delete(c.lastUse, oldest)
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -17,55 +17,57 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/fakenet"
 )
 
-// callBytes is what one peer call costs on the wire beyond its two messages:
-// frames, compressed headers, packet headers and an acknowledgement. `make
-// capacity` measures it on loopback.
+// callBytes is the size of a peer call on the wire without its two messages: frames, compressed
+// headers, packet headers and an acknowledgement. `make capacity` measures it on loopback.
 const callBytes = 260
 
 const poolName = "drafting"
 
-// firstTargetUID keeps target UIDs apart from those of teams.
+// firstTargetUID is added to the number of an engine to get the UID of its target, so that UIDs of
+// targets and teams differ.
 const firstTargetUID = 1000
 
-// fleet runs one router core per simulated router.
+// fleet is the policy of this project: it runs one router core per simulated router.
 type fleet struct {
-	sim      *simulation
-	net      *fakenet.Net
-	requests map[askKey]*request
-	granted  map[askKey]uint64 // engine of each grant seen at its owner; 0 after a refusal
-	nextID   uint64
-	revision uint64
-	specs    map[string]string // last spec of each resource, by name
-	placed   map[askKey]uint64 // engine of each request that runs
-	changes  []resource.Change
-	newCore  func(i int) *core.Core
+	sim            *simulation
+	net            *fakenet.Net
+	requests       map[attemptKey]*request // open requests
+	grantedTargets map[attemptKey]uint64   // target UID of each grant sent; 0 after a refusal
+	lastAttemptID  uint64
+	revision       uint64
+	lastSpecs      map[string]string     // last spec of each resource, by name
+	runningEngines map[attemptKey]uint64 // engine that runs each request
+	changes        []resource.Change
+	newCore        func(i int) *core.Core
 }
 
-type askKey struct {
+// attemptKey identifies an attempt of a request: the router and the ID that it was given there.
+type attemptKey struct {
 	router int
 	id     uint64
 }
 
-func newFleet(s *simulation, seed uint64, tweak func(*core.Settings)) *fleet {
+// newFleet starts all router cores with settings that configureCore has changed.
+func newFleet(s *simulation, seed uint64, configureCore func(*core.Settings)) *fleet {
 	f := &fleet{
-		sim: s, net: fakenet.New(s.clock, s.delay), requests: make(map[askKey]*request),
-		granted: make(map[askKey]uint64), specs: make(map[string]string),
-		placed: make(map[askKey]uint64),
+		sim: s, net: fakenet.New(s.clock, s.delay), requests: make(map[attemptKey]*request),
+		grantedTargets: make(map[attemptKey]uint64), lastSpecs: make(map[string]string),
+		runningEngines: make(map[attemptKey]uint64),
 	}
 	f.net.Hooks = fakenet.Hooks{
-		GrantTarget: f.onGrant, RefuseRequest: f.onRefuse, CallPeer: f.onSend, AnswerCall: f.onRespond,
-		ProbeTarget: f.onProbe, ReadStore: f.onReadStore,
+		GrantTarget: f.onGrantTarget, RefuseRequest: f.onRefuseRequest, CallPeer: f.onCallPeer, AnswerCall: f.onAnswerCall,
+		ProbeTarget: f.onProbeTarget, ReadStore: f.onReadStore,
 	}
 	ids := make([]uint32, s.scenario.Routers)
 	for i := range ids {
 		ids[i] = uint32(i + 1)
 	}
-	starts := uint64(0)
+	startCount := uint64(0)
 	f.newCore = func(i int) *core.Core {
-		starts++
+		startCount++
 		settings := core.DefaultSettings(ids[i], ids)
-		settings.Seed, settings.Incarnation = seed, starts
-		tweak(&settings)
+		settings.Seed, settings.Incarnation = seed, startCount
+		configureCore(&settings)
 		return core.New(s.clock.Now(), settings)
 	}
 	for i := range ids {
@@ -73,32 +75,33 @@
 		f.net.Step(i, core.StoreReadCompleted{})
 	}
 	if s.scenario.OwnerKillInterval > 0 {
-		f.killOwners()
+		f.scheduleOwnerKills()
 	}
 	return f
 }
 
-// restartAfter is how long a killed router stays away.
-const restartAfter = 8 * time.Second
+// restartDelay is the time from the kill of a router to its restart.
+const restartDelay = 8 * time.Second
 
-// killOwners kills the pool's owner again and again and restarts it.
-func (f *fleet) killOwners() {
+// scheduleOwnerKills kills the router that owns the pool at OwnerKillInterval and restarts it.
+func (f *fleet) scheduleOwnerKills() {
 	f.sim.clock.AfterFunc(f.sim.scenario.OwnerKillInterval, func() {
 		ids := make([]uint32, f.net.NodeCount())
 		for i := range ids {
 			ids[i] = uint32(i + 1)
 		}
 		owner, _ := rendezvous.Highest(rendezvous.Hash(poolName), ids)
-		f.kill(int(owner) - 1)
-		f.sim.clock.AfterFunc(restartAfter, func() { f.net.Restart(int(owner)-1, f.newCore(int(owner)-1)) })
-		f.killOwners()
+		f.killRouter(int(owner) - 1)
+		f.sim.clock.AfterFunc(restartDelay, func() { f.net.Restart(int(owner)-1, f.newCore(int(owner)-1)) })
+		f.scheduleOwnerKills()
 	})
 }
 
-// kill ends a router; the callers of its requests ask again through others.
-func (f *fleet) kill(router int) {
+// killRouter kills a router. Its open requests are sent again through other routers, as their
+// callers would do.
+func (f *fleet) killRouter(router int) {
 	f.net.Kill(router)
-	var keys []askKey
+	var keys []attemptKey
 	for key := range f.requests {
 		if key.router == router {
 			keys = append(keys, key)
@@ -107,20 +110,21 @@
 	sort.Slice(keys, func(i, j int) bool { return keys[i].id < keys[j].id })
 	for _, key := range keys {
 		r := f.requests[key]
-		if uid := f.granted[key]; uid != 0 {
-			f.sim.measure.ended(uid - firstTargetUID)
+		if uid := f.grantedTargets[key]; uid != 0 {
+			f.sim.recorder.recordEnd(uid - firstTargetUID)
 		}
-		if uid, ok := f.placed[key]; ok {
+		if uid, ok := f.runningEngines[key]; ok {
 			f.sim.engines[uid].cancel(r)
 		}
-		f.granted[key] = 0
+		f.grantedTargets[key] = 0
 		delete(f.requests, key)
-		delete(f.placed, key)
-		f.arrive(r)
+		delete(f.runningEngines, key)
+		f.route(r)
 	}
 }
 
-// delay is the one-way delay between two places.
+// delay returns the one-way delay between two routers. Routers are spread over the data centres in
+// turn.
 func (s *simulation) delay(a, b int) time.Duration {
 	if a%s.scenario.DataCentres == b%s.scenario.DataCentres {
 		return s.scenario.LocalDelay
@@ -128,18 +132,18 @@
 	return s.scenario.RemoteDelay
 }
 
-// configure accepts the engines as a new revision and pushes it to every router.
-func (f *fleet) configure(engines []engineState) {
+// configure accepts the engines as a new configuration revision and pushes it to every router.
+func (f *fleet) configure(engines []engineEntry) {
 	f.revision++
 	change := resource.Change{Revision: f.revision}
-	f.add(&change, resource.KindPool, poolName, 1, resource.PoolSpec{
+	f.addResource(&change, resource.KindPool, poolName, 1, resource.PoolSpec{
 		Protocol: resource.ProtocolModel, MaxPerTarget: f.sim.scenario.Slots,
 	})
 	for i := range f.sim.scenario.Teams {
-		f.add(&change, resource.KindTeam, fmt.Sprintf("team-%d", i), uint64(10+i), resource.TeamSpec{Weight: 1})
+		f.addResource(&change, resource.KindTeam, fmt.Sprintf("team-%d", i), uint64(10+i), resource.TeamSpec{Weight: 1})
 	}
 	for _, e := range engines {
-		f.add(&change, resource.KindTarget, e.name, firstTargetUID+e.uid, resource.TargetSpec{
+		f.addResource(&change, resource.KindTarget, e.name, firstTargetUID+e.uid, resource.TargetSpec{
 			Pool: poolName, Address: "127.0.0.1:1", Leaving: e.leaving,
 		})
 	}
@@ -150,37 +154,37 @@
 	}
 }
 
-// add puts a resource into a change if its spec is new.
-func (f *fleet) add(change *resource.Change, kind resource.Kind, name string, uid uint64, spec any) {
+// addResource adds a resource to a change unless its spec is the same as before.
+func (f *fleet) addResource(change *resource.Change, kind resource.Kind, name string, uid uint64, spec any) {
 	encoded, err := json.Marshal(spec)
-	if err != nil || f.specs[name] == string(encoded) {
+	if err != nil || f.lastSpecs[name] == string(encoded) {
 		return
 	}
-	f.specs[name] = string(encoded)
+	f.lastSpecs[name] = string(encoded)
 	change.Resources = append(change.Resources, resource.Resource{
 		Kind: kind, Spec: encoded, Metadata: resource.Metadata{Name: name, UID: uid, ResourceVersion: change.Revision},
 	})
 }
 
-// arrive hands a request to its router, or to the next one that is up, as the
-// balancer would.
-func (f *fleet) arrive(r *request) {
+// route sends a request to its router, or to the next router that is up, as a load balancer would.
+func (f *fleet) route(r *request) {
 	for !f.net.IsUp(r.router) {
 		r.router = (r.router + 1) % f.net.NodeCount()
 	}
-	f.ask(r, nil, false)
+	f.startAttempt(r, nil, false)
 }
 
-func (f *fleet) ask(r *request, excluded []uint64, retry bool) {
-	f.nextID++
-	f.requests[askKey{r.router, f.nextID}] = r
+// startAttempt starts an attempt of a request. excluded holds the targets on which it has failed.
+func (f *fleet) startAttempt(r *request, excluded []uint64, retry bool) {
+	f.lastAttemptID++
+	f.requests[attemptKey{r.router, f.lastAttemptID}] = r
 	f.net.Step(r.router, core.RequestArrived{
-		ID: f.nextID, Pool: poolName, Team: r.team, Chat: rendezvous.Mix(uint64(r.chat.id), 1),
+		ID: f.lastAttemptID, Pool: poolName, Team: r.team, Chat: rendezvous.Mix(uint64(r.chat.id), 1),
 		Priority: r.priority, Deadline: r.deadline, Excluded: excluded, Retry: retry,
 	})
 }
 
-// onReadStore answers from the accepted changes.
+// onReadStore answers a store read with the changes accepted after the requested revision.
 func (f *fleet) onReadStore(router int, a core.ReadStore) {
 	read := core.StoreReadCompleted{}
 	if a.AfterRevision < uint64(len(f.changes)) {
@@ -189,74 +193,81 @@
 	f.sim.clock.AfterFunc(f.sim.scenario.RemoteDelay, func() { f.net.Step(router, read) })
 }
 
-func (f *fleet) onProbe(router int, a core.ProbeTarget) {
+// onProbeTarget reports the open requests of an engine to a router.
+func (f *fleet) onProbeTarget(router int, a core.ProbeTarget) {
 	open := len(f.sim.engines[a.Target.UID-firstTargetUID].open)
-	f.sim.measure.control += reportBytes
+	f.sim.recorder.controlBytes += loadReportBytes
 	f.sim.clock.AfterFunc(f.sim.scenario.RemoteDelay, func() {
 		f.net.Step(router, core.LoadReported{Pool: poolName, Target: a.Target.UID, OpenRequests: open})
 	})
 }
 
-func (f *fleet) onSend(_ int, a core.CallPeer) {
+// onCallPeer counts the bytes of a call and the grants in it.
+func (f *fleet) onCallPeer(_ int, a core.CallPeer) {
 	if m, ok := a.Message.(*peerv1.DeliverRequest); ok {
 		f.countGrants(int(a.To)-1, m.GetGrants())
 	}
-	f.sim.measure.control += callBytes + float64(proto.Size(a.Message))
+	f.sim.recorder.controlBytes += callBytes + float64(proto.Size(a.Message))
 }
 
-func (f *fleet) onRespond(_, caller int, a core.AnswerCall) {
+// onAnswerCall counts the bytes of a reply and the grants in it.
+func (f *fleet) onAnswerCall(_, caller int, a core.AnswerCall) {
 	if a.Err != nil {
 		return
 	}
 	if resp, ok := a.Message.(*peerv1.ExchangeResponse); ok {
 		f.countGrants(caller, resp.GetGrants())
 	}
-	f.sim.measure.control += float64(proto.Size(a.Message))
+	f.sim.recorder.controlBytes += float64(proto.Size(a.Message))
 }
 
-func (f *fleet) onRefuse(router int, a core.RefuseRequest) {
-	key := askKey{router, a.ID}
+// onRefuseRequest ends a request that was refused, either as failed or as shed.
+func (f *fleet) onRefuseRequest(router int, a core.RefuseRequest) {
+	key := attemptKey{router, a.ID}
 	r := f.requests[key]
 	delete(f.requests, key)
-	if uid := f.granted[key]; uid != 0 {
-		// The grant was on its way when the router gave the request up.
-		f.sim.measure.ended(uid - firstTargetUID)
+	if uid := f.grantedTargets[key]; uid != 0 {
+		// The grant had left the owner before the router refused the request.
+		f.sim.recorder.recordEnd(uid - firstTargetUID)
 	}
-	f.granted[key] = 0
+	f.grantedTargets[key] = 0
 	if a.Code == code.RetryBudget || a.Code == code.NoTarget {
-		f.sim.measure.failed++
+		f.sim.recorder.failed++
 	} else {
-		f.sim.measure.shed++
+		f.sim.recorder.shed++
 	}
-	f.sim.finished(r)
+	f.sim.finishRequest(r)
 }
 
-func (f *fleet) onGrant(router int, a core.GrantTarget) {
-	key := askKey{router, a.ID}
+// onGrantTarget sends a request to the engine that was granted.
+func (f *fleet) onGrantTarget(router int, a core.GrantTarget) {
+	key := attemptKey{router, a.ID}
 	f.countGrants(router, []*peerv1.Grant{{Id: a.ID, Target: a.Target.UID}})
 	r := f.requests[key]
-	f.placed[key] = a.Target.UID - firstTargetUID
-	f.sim.engines[a.Target.UID-firstTargetUID].submit(r, func(ok bool) { f.ended(key, r, a.Target.UID, ok) })
+	f.runningEngines[key] = a.Target.UID - firstTargetUID
+	f.sim.engines[a.Target.UID-firstTargetUID].submit(r, func(ok bool) { f.requestEnded(key, r, a.Target.UID, ok) })
 }
 
-// countGrants counts grants once, at the earliest place where they are seen.
+// countGrants counts each grant once, when its message leaves the owner or, for a grant of the
+// router itself, when the request gets it.
 func (f *fleet) countGrants(router int, grants []*peerv1.Grant) {
 	for _, g := range grants {
-		key := askKey{router, g.GetId()}
-		if _, seen := f.granted[key]; seen || g.GetTarget() == 0 {
+		key := attemptKey{router, g.GetId()}
+		if _, seen := f.grantedTargets[key]; seen || g.GetTarget() == 0 {
 			continue
 		}
-		f.granted[key] = g.GetTarget()
-		f.sim.measure.granted(g.GetTarget() - firstTargetUID)
+		f.grantedTargets[key] = g.GetTarget()
+		f.sim.recorder.recordGrant(g.GetTarget() - firstTargetUID)
 	}
 }
 
-func (f *fleet) ended(key askKey, r *request, uid uint64, ok bool) {
+// requestEnded reports the end of an attempt to its router, which retries a failed request.
+func (f *fleet) requestEnded(key attemptKey, r *request, uid uint64, ok bool) {
 	if f.requests[key] != r {
-		return // its router was killed
+		return // the router was killed
 	}
-	delete(f.placed, key)
-	f.sim.measure.ended(uid - firstTargetUID)
+	delete(f.runningEngines, key)
+	f.sim.recorder.recordEnd(uid - firstTargetUID)
 	delete(f.requests, key)
 	outcome := peerv1.Outcome_OUTCOME_DONE
 	if !ok {
@@ -264,15 +275,15 @@
 	}
 	f.net.Step(key.router, core.RequestEnded{ID: key.id, Outcome: outcome})
 	if ok {
-		f.sim.finished(r)
+		f.sim.finishRequest(r)
 		return
 	}
-	f.ask(r, []uint64{uid}, true)
+	f.startAttempt(r, []uint64{uid}, true)
 }
 
-// newPartition returns a fleet in which every router owns its own part of each
-// pool, as when no router reaches another: the fallback without an owner.
-func newPartition(s *simulation, seed uint64) *fleet {
+// newPartitionedFleet returns a fleet in which no router reaches another. Every router then owns a
+// part of each pool by itself, which is the fallback without a reachable owner.
+func newPartitionedFleet(s *simulation, seed uint64) *fleet {
 	return newFleet(s, seed, func(c *core.Settings) {
 		c.Routers = []uint32{c.Self}
 	})
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -7,104 +7,109 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/stats"
 )
 
-// measure sees the whole fleet, which no router does.
-type measure struct {
-	sim        *simulation
-	open       map[uint64]int // granted and not ended, by engine
-	grants     int
-	violations int
-	overshoot  int // the most by which a grant exceeded the bound
-	offered    int
-	shed       int
-	failed     int
-	reusable   int
-	reused     int
-	skews      []float64
-	urgent     []float64 // first token, ms
-	calm       []float64 // the same outside the surge
-	normal     []float64 // first token of normal requests, ms
-	control    float64   // bytes on the wire
+// recorder collects the figures of a run. It knows the state of the whole fleet at every instant,
+// which no router does.
+type recorder struct {
+	sim                *simulation
+	openRequests       map[uint64]int // granted requests that have not ended, by engine
+	grants             int
+	boundViolations    int
+	maxOvershoot       int // largest excess of a grant over the load bound
+	offered            int
+	shed               int
+	failed             int
+	reusableTokens     int       // prompt tokens that earlier turns of the same chat had sent
+	reusedTokens       int       // of these, tokens served from cache
+	skews              []float64 // ratios of the highest to the mean number of open requests
+	urgentInSurge      []float64 // first token during a surge, ms
+	urgentOutsideSurge []float64 // first token outside a surge, ms
+	normalFirstTokens  []float64 // first token of normal requests, ms
+	controlBytes       float64   // bytes of control traffic on the wire
 }
 
-func newMeasure(s *simulation) *measure {
-	return &measure{sim: s, open: make(map[uint64]int)}
+func newRecorder(s *simulation) *recorder {
+	return &recorder{sim: s, openRequests: make(map[uint64]int)}
 }
 
-// granted counts a grant and compares it with the bound at this instant. The
-// mean is over the engines that take new work.
-func (m *measure) granted(uid uint64) {
+// recordGrant counts a grant and compares it with the load bound at this instant. The mean covers
+// the eligible engines.
+func (m *recorder) recordGrant(uid uint64) {
 	m.grants++
-	m.open[uid]++
-	active, open := 0, 0
-	for _, e := range m.sim.listed {
-		if m.takesWork(e) {
-			active++
-			open += m.open[e.uid]
+	m.openRequests[uid]++
+	eligibleCount, openRequests := 0, 0
+	for _, e := range m.sim.configuredEngines {
+		if m.isEligible(e) {
+			eligibleCount++
+			openRequests += m.openRequests[e.uid]
 		}
 	}
-	if over := m.open[uid] - bound(open, active); over > 0 && m.sim.engines[uid].up {
-		m.violations++
-		m.overshoot = max(m.overshoot, over)
+	if excess := m.openRequests[uid] - loadBound(openRequests, eligibleCount); excess > 0 && m.sim.engines[uid].isUp {
+		m.boundViolations++
+		m.maxOvershoot = max(m.maxOvershoot, excess)
 	}
 }
 
-// takesWork reports whether an engine counts for the mean: it is up, not leaving,
-// and the configuration that adds it has had the time to reach a router. Until
-// then no policy could send it anything.
-func (m *measure) takesWork(e engineState) bool {
-	known := m.sim.clock.Now().Sub(e.added) > m.sim.scenario.RemoteDelay || e.added.IsZero()
-	return known && !e.leaving && m.sim.engines[e.uid].up
+// isEligible reports whether an engine counts for the mean: it is up, not leaving, and its addition
+// to the configuration has had time to reach a router. Before that no policy can use the engine.
+func (m *recorder) isEligible(e engineEntry) bool {
+	isKnown := m.sim.clock.Now().Sub(e.addedAt) > m.sim.scenario.RemoteDelay || e.addedAt.IsZero()
+	return isKnown && !e.leaving && m.sim.engines[e.uid].isUp
 }
 
-func (m *measure) ended(uid uint64) { m.open[uid]-- }
+// recordEnd counts the end of a granted request.
+func (m *recorder) recordEnd(uid uint64) { m.openRequests[uid]-- }
 
-func (m *measure) prompt(r *request, reused int) {
-	m.reusable += r.chat.built
-	m.reused += reused
+// recordPrompt counts the prompt tokens of a request that could be and that were served from cache.
+func (m *recorder) recordPrompt(r *request, reusedTokens int) {
+	m.reusableTokens += r.chat.builtTokens
+	m.reusedTokens += reusedTokens
 }
 
-func (m *measure) firstToken(r *request) {
-	ms := float64(m.sim.clock.Now().Sub(r.arrived).Microseconds()) / 1000
+// recordFirstToken records the time to first token of an urgent or normal request.
+func (m *recorder) recordFirstToken(r *request) {
+	ms := float64(m.sim.clock.Now().Sub(r.arrivedAt).Microseconds()) / 1000
 	switch r.priority {
 	case fairqueue.Normal:
-		m.normal = append(m.normal, ms)
+		m.normalFirstTokens = append(m.normalFirstTokens, ms)
 		return
 	case fairqueue.Bulk:
 		return
 	}
-	inSurge := m.sim.clock.Elapsed() >= m.sim.scenario.SurgeStart && m.sim.clock.Elapsed() <= m.sim.scenario.SurgeEnd+surgeTail
-	if inSurge {
-		m.urgent = append(m.urgent, ms)
+	isInSurge := m.sim.clock.Elapsed() >= m.sim.scenario.SurgeStart && m.sim.clock.Elapsed() <= m.sim.scenario.SurgeEnd+surgeTail
+	if isInSurge {
+		m.urgentInSurge = append(m.urgentInSurge, ms)
 	} else {
-		m.calm = append(m.calm, ms)
+		m.urgentOutsideSurge = append(m.urgentOutsideSurge, ms)
 	}
 }
 
-// surgeTail is how long the backlog of a surge is still counted as surge.
+// surgeTail is the time after a surge during which its backlog still counts as part of it.
 const surgeTail = 10 * time.Second
 
-const sampleEvery = 100 * time.Millisecond
+// sampleInterval is the time between two samples of the skew.
+const sampleInterval = 100 * time.Millisecond
 
-// sample records the skew of the engines that take new work.
-func (m *measure) sample() {
-	m.sim.clock.AfterFunc(sampleEvery, func() {
-		total, highest, active := 0, 0, 0
-		for _, e := range m.sim.listed {
-			if !m.takesWork(e) {
+// sampleSkew records the skew of the eligible engines at sampleInterval. Samples with a mean below
+// 2 are left out, as rounding dominates their ratio.
+func (m *recorder) sampleSkew() {
+	m.sim.clock.AfterFunc(sampleInterval, func() {
+		total, highest, eligibleCount := 0, 0, 0
+		for _, e := range m.sim.configuredEngines {
+			if !m.isEligible(e) {
 				continue
 			}
-			active++
-			total += m.open[e.uid]
-			highest = max(highest, m.open[e.uid])
+			eligibleCount++
+			total += m.openRequests[e.uid]
+			highest = max(highest, m.openRequests[e.uid])
 		}
-		if mean := float64(total) / float64(active); mean >= 2 {
+		if mean := float64(total) / float64(eligibleCount); mean >= 2 {
 			m.skews = append(m.skews, float64(highest)/mean)
 		}
-		m.sample()
+		m.sampleSkew()
 	})
 }
 
-// Result is one line of an experiment.
+// Result holds the figures of one run.
 type Result struct {
 	Scenario, Policy            string
 	Seed                        uint64
@@ -113,24 +118,24 @@
 	BoundViolations             int
 	MaxOvershoot                int
 	Grants                      int
-	ControlBytesPerRouterSecond float64 // per router and second
-	UrgentInSurgeP99            float64 // ms, during the surge
-	UrgentOutsideSurgeP99       float64 // ms, outside it
-	NormalFirstTokenP95         float64 // ms, normal requests
+	ControlBytesPerRouterSecond float64 // bytes on the wire
+	UrgentInSurgeP99            float64 // first token during a surge, ms
+	UrgentOutsideSurgeP99       float64 // first token outside a surge, ms
+	NormalFirstTokenP95         float64 // first token of normal requests, ms
 	Shed                        int
 	Failed                      int
 	Offered                     int
 }
 
-func (m *measure) result(policyName string, seed uint64) Result {
+func (m *recorder) result(policyName string, seed uint64) Result {
 	seconds := m.sim.scenario.Duration.Seconds()
 	return Result{
 		Scenario: m.sim.scenario.Name, Policy: policyName, Seed: seed,
-		CacheReuse: float64(m.reused) / float64(max(m.reusable, 1)),
+		CacheReuse: float64(m.reusedTokens) / float64(max(m.reusableTokens, 1)),
 		SkewP99:    stats.Quantile(m.skews, 0.99), SkewMax: stats.Quantile(m.skews, 1),
-		BoundViolations: m.violations, MaxOvershoot: m.overshoot, Grants: m.grants,
-		ControlBytesPerRouterSecond: m.control / seconds / float64(m.sim.scenario.Routers),
-		UrgentInSurgeP99:            stats.Quantile(m.urgent, 0.99), UrgentOutsideSurgeP99: stats.Quantile(m.calm, 0.99),
-		NormalFirstTokenP95: stats.Quantile(m.normal, 0.95), Shed: m.shed, Failed: m.failed, Offered: m.offered,
+		BoundViolations: m.boundViolations, MaxOvershoot: m.maxOvershoot, Grants: m.grants,
+		ControlBytesPerRouterSecond: m.controlBytes / seconds / float64(m.sim.scenario.Routers),
+		UrgentInSurgeP99:            stats.Quantile(m.urgentInSurge, 0.99), UrgentOutsideSurgeP99: stats.Quantile(m.urgentOutsideSurge, 0.99),
+		NormalFirstTokenP95: stats.Quantile(m.normalFirstTokens, 0.95), Shed: m.shed, Failed: m.failed, Offered: m.offered,
 	}
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -7,32 +7,34 @@
 	Name        string
 	Routers     int
 	DataCentres int
-	// RemoteDelay is the delay between data centres; LocalDelay is that within one.
+	// RemoteDelay is the one-way delay between data centres, LocalDelay that within a data centre.
 	RemoteDelay, LocalDelay time.Duration
 	Engines                 int
-	// Slots is how many requests an engine works on at a time.
+	// Slots is the number of requests that an engine processes at a time.
 	Slots                  int
-	TimePerToken           time.Duration // per answer token
-	PrefillTokensPerSecond float64       // prompt tokens
-	CacheTokensPerEngine   int           // per engine
+	TimePerToken           time.Duration // time of one answer token
+	PrefillTokensPerSecond float64       // rate of uncached prompt tokens
+	CacheTokensPerEngine   int           // capacity of an engine's prefix cache
 	Teams                  int
 	Chats                  int
-	// FirstPromptTokens and PromptGrowthTokens are the mean prompt tokens of a chat's first turn
-	// and of each further one; TurnsPerChat is its number of turns.
+	// FirstPromptTokens is the mean prompt size of the first turn of a chat, PromptGrowthTokens the
+	// mean growth of the prompt with each further turn. TurnsPerChat is the number of turns.
 	FirstPromptTokens, PromptGrowthTokens, TurnsPerChat int
-	AnswerTokens                                        int // mean answer tokens
-	// RequestRate is the number of requests a second from returning chats.
+	AnswerTokens                                        int // mean size of an answer
+	// RequestRate is the number of requests per second, without those of a surge.
 	RequestRate float64
-	// UrgentShare of the requests are lookups with short prompts and answers.
+	// UrgentShare is the share of requests that are urgent lookups with short prompts and answers.
 	UrgentShare float64
-	// Surge adds SurgeRate bulk requests a second of one team from SurgeFrom to SurgeTo.
+	// SurgeRate is the number of additional bulk requests per second of one team between SurgeStart
+	// and SurgeEnd; 0 means no surge.
 	SurgeRate            float64
 	SurgeStart, SurgeEnd time.Duration
-	// HasChurn lets engines join, leave and flap.
+	// HasChurn makes engines join and leave, and one engine crash repeatedly.
 	HasChurn bool
-	// Outage takes half of the engines away from OutageStart to OutageEnd.
+	// From OutageStart to OutageEnd half of the engines are down. OutageEnd 0 means no outage.
 	OutageStart, OutageEnd time.Duration
-	// OwnerKillInterval kills the router that owns the pool and restarts it later.
+	// OwnerKillInterval is the time between two kills of the router that owns the pool; the router
+	// restarts after a while. 0 means no kills.
 	OwnerKillInterval time.Duration
 	Duration          time.Duration
 }
@@ -57,7 +59,7 @@
 	outage.OutageStart, outage.OutageEnd, outage.Duration = 30*time.Second, 150*time.Second, 200*time.Second
 	takeover := amman
 	takeover.Name, takeover.SurgeRate, takeover.OwnerKillInterval = "takeover", 0, 25*time.Second
-	// One data centre's part of one pool at the size of docs/CAPACITY.md.
+	// The share of one pool in one data centre at the fleet size of docs/CAPACITY.md.
 	cell := Scenario{
 		Name: "cell", Routers: 31, DataCentres: 1, RemoteDelay: time.Millisecond, LocalDelay: 200 * time.Microsecond,
 		Engines: 11, Slots: 200, TimePerToken: 30 * time.Millisecond, PrefillTokensPerSecond: 8000,
@@ -71,9 +73,9 @@
 	return all
 }
 
-// cacheForTwoThirds returns the cache size per engine at which all engines
-// together hold two thirds of the chats at their mean length.
+// cacheForTwoThirds returns the cache size of an engine at which all engines together hold two
+// thirds of the chats at their mean prompt size.
 func (s Scenario) cacheForTwoThirds() int {
-	mean := s.FirstPromptTokens + s.PromptGrowthTokens*(s.TurnsPerChat-1)/2
-	return s.Chats * mean * 2 / 3 / s.Engines
+	meanPromptTokens := s.FirstPromptTokens + s.PromptGrowthTokens*(s.TurnsPerChat-1)/2
+	return s.Chats * meanPromptTokens * 2 / 3 / s.Engines
 }
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -12,43 +12,44 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/fakenet"
 )
 
-// chat is a returning chat.
+// chat is a chat with several turns.
 type chat struct {
-	id    int
-	team  string
-	turn  int
-	size  int // prompt tokens of the next turn without its own growth
-	built int // prompt tokens built so far
-	busy  bool
+	id          int
+	team        string
+	turn        int
+	promptSize  int  // prompt tokens of the last turn; the next turn adds its growth
+	builtTokens int  // largest number of prompt tokens of a finished request
+	busy        bool // whether a request is open
 }
 
-// policy decides where requests go.
+// policy is a routing policy. It reports the end of each request with finishRequest.
 type policy interface {
-	// arrive routes a request that came in at its router.
-	arrive(r *request)
-	// configure tells the policy of the engines that are to be used from now on.
-	configure(engines []engineState)
+	// route sends a request that has arrived at a router to an engine.
+	route(r *request)
+	// configure sets the engines of the configuration, which routers learn with a delay.
+	configure(engines []engineEntry)
 }
 
-// engineState is an engine as the configuration has it.
-type engineState struct {
+// engineEntry is the entry of an engine in the configuration.
+type engineEntry struct {
 	uid     uint64
 	name    string
 	leaving bool
-	added   time.Time // zero for those there from the start
+	addedAt time.Time // zero for engines that exist from the start
 }
 
+// simulation runs one scenario under one policy on a simulated clock.
 type simulation struct {
-	scenario Scenario
-	clock    *fakenet.Clock
-	rand     *rand.Rand
-	engines  map[uint64]*engine
-	listed   []engineState
-	policy   policy
-	measure  *measure
-	chats    []*chat
-	nextChat int
-	nextID   uint64
+	scenario          Scenario
+	clock             *fakenet.Clock
+	rand              *rand.Rand
+	engines           map[uint64]*engine
+	configuredEngines []engineEntry // the configuration
+	policy            policy
+	recorder          *recorder
+	chats             []*chat
+	lastChatID        int
+	lastRequestID     uint64
 }
 
 func newSimulation(s Scenario, seed uint64) *simulation {
@@ -56,7 +57,7 @@
 		scenario: s, clock: fakenet.NewClock(), rand: rand.New(rand.NewPCG(seed, 1)),
 		engines: make(map[uint64]*engine),
 	}
-	sim.measure = newMeasure(sim)
+	sim.recorder = newRecorder(sim)
 	for i := range s.Engines {
 		sim.addEngine(uint64(i+1), time.Time{})
 	}
@@ -66,45 +67,49 @@
 	return sim
 }
 
-func (s *simulation) addEngine(uid uint64, at time.Time) {
+// addEngine starts an engine and adds it to the configuration. addedAt is zero for an engine that
+// exists from the start.
+func (s *simulation) addEngine(uid uint64, addedAt time.Time) {
 	name := fmt.Sprintf("engine-%d", uid)
 	s.engines[uid] = newEngine(s, name, uid)
-	s.listed = append(s.listed, engineState{uid: uid, name: name, added: at})
+	s.configuredEngines = append(s.configuredEngines, engineEntry{uid: uid, name: name, addedAt: addedAt})
 }
 
+// newChat returns a chat of a random team at a random turn.
 func (s *simulation) newChat() *chat {
-	s.nextChat++
+	s.lastChatID++
 	return &chat{
-		id: s.nextChat, team: fmt.Sprintf("team-%d", s.rand.IntN(s.scenario.Teams)),
-		turn: s.rand.IntN(s.scenario.TurnsPerChat), size: s.around(s.scenario.FirstPromptTokens),
+		id: s.lastChatID, team: fmt.Sprintf("team-%d", s.rand.IntN(s.scenario.Teams)),
+		turn: s.rand.IntN(s.scenario.TurnsPerChat), promptSize: s.randomAround(s.scenario.FirstPromptTokens),
 	}
 }
 
-// around returns a value between half and one and a half of the mean.
-func (s *simulation) around(mean int) int {
+// randomAround returns a random value between half and one and a half times the mean.
+func (s *simulation) randomAround(mean int) int {
 	return max(1, int(float64(mean)*(0.5+s.rand.Float64())))
 }
 
-// run drives the scenario under a policy.
+// run runs the scenario under a policy.
 func (s *simulation) run(p policy) {
 	s.policy = p
-	p.configure(s.listed)
-	s.arrivals(s.scenario.RequestRate, 0, s.scenario.Duration, s.nextTurn)
+	p.configure(s.configuredEngines)
+	s.scheduleArrivals(s.scenario.RequestRate, 0, s.scenario.Duration, s.submitNextTurn)
 	if s.scenario.SurgeRate > 0 {
-		s.arrivals(s.scenario.SurgeRate, s.scenario.SurgeStart, s.scenario.SurgeEnd, s.surge)
+		s.scheduleArrivals(s.scenario.SurgeRate, s.scenario.SurgeStart, s.scenario.SurgeEnd, s.submitBulkRequest)
 	}
 	if s.scenario.HasChurn {
-		s.churn()
+		s.scheduleChurn()
 	}
 	if s.scenario.OutageEnd > 0 {
-		s.outage()
+		s.scheduleOutage()
 	}
-	s.measure.sample()
+	s.recorder.sampleSkew()
 	s.clock.RunUntil(s.scenario.Duration)
 }
 
-// arrivals makes requests by a Poisson process between two times.
-func (s *simulation) arrivals(rate float64, from, to time.Duration, make func()) {
+// scheduleArrivals calls make at the times of a Poisson process with the given rate per second
+// between two times.
+func (s *simulation) scheduleArrivals(rate float64, from, to time.Duration, make func()) {
 	var next func()
 	next = func() {
 		if s.clock.Elapsed() > to {
@@ -116,15 +121,16 @@
 	s.clock.AfterFunc(from, next)
 }
 
-// nextTurn lets a random idle chat return.
-func (s *simulation) nextTurn() {
+// submitNextTurn submits the next turn of a random idle chat, or an urgent lookup. A chat that has
+// had its last turn is replaced by a new one.
+func (s *simulation) submitNextTurn() {
 	if s.rand.Float64() < s.scenario.UrgentShare {
-		s.lookup()
+		s.submitLookup()
 		return
 	}
-	i, idle := s.idleChat()
+	i, idle := s.findIdleChat()
 	if !idle {
-		return // every chat waits for an answer
+		return // all chats wait for an answer
 	}
 	c := s.chats[i]
 	if c.turn >= s.scenario.TurnsPerChat {
@@ -134,15 +140,15 @@
 	}
 	c.busy = true
 	c.turn++
-	c.size += s.around(s.scenario.PromptGrowthTokens)
+	c.promptSize += s.randomAround(s.scenario.PromptGrowthTokens)
 	s.submit(&request{
-		team: c.team, chat: c, priority: fairqueue.Normal, prompt: c.size,
-		answer: s.around(s.scenario.AnswerTokens),
+		team: c.team, chat: c, priority: fairqueue.Normal, prompt: c.promptSize,
+		answer: s.randomAround(s.scenario.AnswerTokens),
 	}, time.Minute)
 }
 
-// idleChat returns the first chat without an open request from a random place on.
-func (s *simulation) idleChat() (int, bool) {
+// findIdleChat returns the index of the first idle chat at or after a random index.
+func (s *simulation) findIdleChat() (int, bool) {
 	first := s.rand.IntN(len(s.chats))
 	for n := range s.chats {
 		if i := (first + n) % len(s.chats); !s.chats[i].busy {
@@ -152,83 +158,86 @@
 	return 0, false
 }
 
-// lookup is an urgent request with a short prompt of its own.
-func (s *simulation) lookup() {
-	s.nextChat++
-	c := &chat{id: s.nextChat, team: fmt.Sprintf("team-%d", s.rand.IntN(s.scenario.Teams))}
-	s.submit(&request{team: c.team, chat: c, priority: fairqueue.Urgent, prompt: s.around(100), answer: s.around(20)}, 10*time.Second)
+// submitLookup submits an urgent request with a short prompt that belongs to no other chat.
+func (s *simulation) submitLookup() {
+	s.lastChatID++
+	c := &chat{id: s.lastChatID, team: fmt.Sprintf("team-%d", s.rand.IntN(s.scenario.Teams))}
+	s.submit(&request{team: c.team, chat: c, priority: fairqueue.Urgent, prompt: s.randomAround(100), answer: s.randomAround(20)}, 10*time.Second)
 }
 
-// surge is a bulk request of the hot team.
-func (s *simulation) surge() {
-	s.nextChat++
-	c := &chat{id: s.nextChat, team: "team-0"}
+// submitBulkRequest submits a bulk request of the team that causes the surge.
+func (s *simulation) submitBulkRequest() {
+	s.lastChatID++
+	c := &chat{id: s.lastChatID, team: "team-0"}
 	s.submit(&request{
 		team: c.team, chat: c, priority: fairqueue.Bulk,
-		prompt: s.around(s.scenario.FirstPromptTokens), answer: s.around(s.scenario.AnswerTokens),
+		prompt: s.randomAround(s.scenario.FirstPromptTokens), answer: s.randomAround(s.scenario.AnswerTokens),
 	}, 20*time.Second)
 }
 
-func (s *simulation) submit(r *request, patience time.Duration) {
-	s.nextID++
-	r.id = s.nextID
+// submit sends a request to a random router; its deadline is timeout from now.
+func (s *simulation) submit(r *request, timeout time.Duration) {
+	s.lastRequestID++
+	r.id = s.lastRequestID
 	r.router = s.rand.IntN(s.scenario.Routers)
-	r.arrived = s.clock.Now()
-	r.deadline = r.arrived.Add(patience)
-	s.measure.offered++
-	s.policy.arrive(r)
+	r.arrivedAt = s.clock.Now()
+	r.deadline = r.arrivedAt.Add(timeout)
+	s.recorder.offered++
+	s.policy.route(r)
 }
 
-// finished ends a request for good.
-func (s *simulation) finished(r *request) {
-	r.chat.built = max(r.chat.built, r.prompt)
+// finishRequest marks the end of a request after its last attempt.
+func (s *simulation) finishRequest(r *request) {
+	r.chat.builtTokens = max(r.chat.builtTokens, r.prompt)
 	r.chat.busy = false
 }
 
-// outage takes every second engine away for a while.
-func (s *simulation) outage() {
+// scheduleOutage crashes every second engine at OutageStart and restores them at OutageEnd.
+func (s *simulation) scheduleOutage() {
 	for uid := uint64(1); uid <= uint64(s.scenario.Engines); uid += 2 {
 		e := s.engines[uid]
 		s.clock.AfterFunc(s.scenario.OutageStart, e.crash)
-		s.clock.AfterFunc(s.scenario.OutageEnd, func() { e.up = true })
+		s.clock.AfterFunc(s.scenario.OutageEnd, func() { e.isUp = true })
 	}
 }
 
-// churn changes the engines: two join, two leave, one flaps.
-func (s *simulation) churn() {
-	change := func(at time.Duration, do func()) {
+// scheduleChurn adds two engines, marks two as leaving, and crashes one six times for 2 seconds
+// each.
+func (s *simulation) scheduleChurn() {
+	change := func(at time.Duration, apply func()) {
 		s.clock.AfterFunc(at, func() {
-			do()
-			s.policy.configure(append([]engineState(nil), s.listed...))
+			apply()
+			s.policy.configure(append([]engineEntry(nil), s.configuredEngines...))
 		})
 	}
 	change(20*time.Second, func() { s.addEngine(101, s.clock.Now()) })
-	change(35*time.Second, func() { s.leave(3) })
+	change(35*time.Second, func() { s.markLeaving(3) })
 	change(50*time.Second, func() { s.addEngine(102, s.clock.Now()) })
-	change(100*time.Second, func() { s.leave(7) })
+	change(100*time.Second, func() { s.markLeaving(7) })
 	for i := range 6 {
 		at := 40*time.Second + time.Duration(i)*8*time.Second
 		s.clock.AfterFunc(at, s.engines[5].crash)
-		s.clock.AfterFunc(at+2*time.Second, func() { s.engines[5].up = true })
+		s.clock.AfterFunc(at+2*time.Second, func() { s.engines[5].isUp = true })
 	}
 }
 
-func (s *simulation) leave(uid uint64) {
-	for i := range s.listed {
-		if s.listed[i].uid == uid {
-			s.listed[i].leaving = true
+// markLeaving marks an engine as leaving in the configuration.
+func (s *simulation) markLeaving(uid uint64) {
+	for i := range s.configuredEngines {
+		if s.configuredEngines[i].uid == uid {
+			s.configuredEngines[i].leaving = true
 		}
 	}
 }
 
-// bound is the highest count that a grant may bring an engine to, with open
-// requests in the pool after the grant.
-func bound(open, engines int) int {
+// loadBound returns the highest number of open requests that a grant may bring an engine to, given
+// the open requests of the pool including the granted one.
+func loadBound(open, engines int) int {
 	return int(math.Ceil(resource.DefaultBoundMultiple * float64(open) / float64(engines)))
 }
 
-// inOrder returns requests by id, so that runs are the same for the same seed.
-func (s *simulation) inOrder(set map[*request]bool) []*request {
+// sortedByID returns requests in the order of their IDs, so that runs with the same seed are equal.
+func (s *simulation) sortedByID(set map[*request]bool) []*request {
 	out := make([]*request, 0, len(set))
 	for r := range set {
 		out = append(out, r)
--- a/internal/experiment/spread.go
+++ b/internal/experiment/spread.go
@@ -16,144 +16,154 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/stats"
 )
 
-// SpreadSettings describe an experiment with the spread of configuration.
+// SpreadSettings are the settings of an experiment that measures how fast configuration changes
+// reach all routers.
 type SpreadSettings struct {
 	Routers int
 	Changes int
 	// ChangeInterval is the time between two changes.
 	ChangeInterval time.Duration
-	// PushedRouters is the number of routers that the accepting controller reaches.
+	// PushedRouters is the number of routers that the accepting controller pushes a change to.
 	PushedRouters int
-	// HasStoreOutage takes the store away right after each change is accepted.
+	// HasStoreOutage takes the store down right after each change is accepted.
 	HasStoreOutage bool
 	// LossRate is the share of messages that are lost.
 	LossRate float64
 	Seed     uint64
 }
 
-// SpreadResult is what a spread experiment measured.
+// SpreadResult holds the figures of one experiment.
 type SpreadResult struct {
 	SpreadSettings
-	// P50, P99 and Max are times from acceptance until in force everywhere.
+	// P50, P99 and Max are times from the acceptance of a change until all routers have applied it.
 	P50, P99, Max time.Duration
-	// Unfinished counts changes that were not everywhere before the next one.
+	// Unfinished counts changes that some router had not applied when the next change was due.
 	Unfinished int
-	Reverts    int
-	// Bytes per router and second, by kind of message.
+	// Reverts counts how often a router went back to an earlier revision.
+	Reverts int
+	// GossipBytes, PushBytes and PullBytes are bytes per router and second, by kind of message.
 	GossipBytes, PushBytes, PullBytes float64
-	// Messages per router and second, all kinds.
+	// Messages is the number of calls of all kinds per router and second.
 	Messages float64
-	// StoreReads per second, of the whole fleet.
+	// StoreReads is the number of store reads of the whole fleet per second.
 	StoreReads float64
 }
 
+// The number of regions and data centres of a large fleet, and the one-way delays within a data
+// centre, between data centres of a region and between regions.
 const (
-	fleetRegions     = 4
-	fleetDataCentres = 11
-	sameDataCentre   = 200 * time.Microsecond
-	sameRegion       = 1500 * time.Microsecond
-	otherRegion      = 60 * time.Millisecond
+	regionCount     = 4
+	dataCentreCount = 11
+	dataCentreDelay = 200 * time.Microsecond
+	regionDelay     = 1500 * time.Microsecond
+	remoteDelay     = 60 * time.Millisecond
 )
 
-// place spreads routers over the data centres; small fleets have three in one region.
-func place(node, routers int) (dataCentre, region int) {
+// location returns the data centre and region of a router. A fleet of up to nine routers has three
+// data centres in one region.
+func location(node, routers int) (dataCentre, region int) {
 	if routers <= 9 {
 		return node % 3, 0
 	}
-	dataCentre = node % fleetDataCentres
-	return dataCentre, dataCentre % fleetRegions
+	dataCentre = node % dataCentreCount
+	return dataCentre, dataCentre % regionCount
 }
 
+// fleetDelay returns the function that gives the one-way delay between two nodes of a fleet. A
+// caller that is not a router is in the same region as each router.
 func fleetDelay(routers int) func(a, b int) time.Duration {
 	return func(a, b int) time.Duration {
 		if a < 0 || b < 0 {
-			return sameRegion
+			return regionDelay
 		}
-		dcA, regionA := place(a, routers)
-		dcB, regionB := place(b, routers)
+		dcA, regionA := location(a, routers)
+		dcB, regionB := location(b, routers)
 		switch {
 		case dcA == dcB:
-			return sameDataCentre
+			return dataCentreDelay
 		case regionA == regionB:
-			return sameRegion
+			return regionDelay
 		default:
-			return otherRegion
+			return remoteDelay
 		}
 	}
 }
 
+// spread runs one experiment.
 type spread struct {
-	s        SpreadSettings
-	clock    *fakenet.Clock
-	net      *fakenet.Net
-	rand     *rand.Rand
-	changes  []resource.Change
-	down     bool
-	inForce  []uint64
-	accepted time.Time
-	missing  int // routers without the last change
-	times    []float64
-	result   SpreadResult
-	bytes    map[string]float64
-	messages int
-	reads    int
+	settings         SpreadSettings
+	clock            *fakenet.Clock
+	net              *fakenet.Net
+	rand             *rand.Rand
+	changes          []resource.Change
+	storeDown        bool
+	appliedRevisions []uint64 // revision that each router has applied
+	acceptedAt       time.Time
+	missingRouters   int       // routers that have not applied the last change
+	spreadTimes      []float64 // from acceptance of a change until all routers have applied it, ns
+	result           SpreadResult
+	bytesByKind      map[string]float64
+	messages         int
+	storeReads       int
 }
 
-// RunSpread runs one spread experiment.
-func RunSpread(s SpreadSettings) SpreadResult {
+// RunSpread runs one experiment.
+func RunSpread(settings SpreadSettings) SpreadResult {
 	sp := &spread{
-		s: s, clock: fakenet.NewClock(), rand: rand.New(rand.NewPCG(s.Seed, 7)),
-		inForce: make([]uint64, s.Routers), bytes: make(map[string]float64),
+		settings: settings, clock: fakenet.NewClock(), rand: rand.New(rand.NewPCG(settings.Seed, 7)),
+		appliedRevisions: make([]uint64, settings.Routers), bytesByKind: make(map[string]float64),
 	}
-	sp.net = fakenet.New(sp.clock, fleetDelay(s.Routers))
-	sp.net.IsLost = func(int, int) bool { return s.LossRate > 0 && sp.rand.Float64() < s.LossRate }
-	sp.net.Hooks = fakenet.Hooks{PublishTable: sp.onPublish, CallPeer: sp.onSend, AnswerCall: sp.onRespond, ReadStore: sp.onReadStore}
-	ids := make([]uint32, s.Routers)
+	sp.net = fakenet.New(sp.clock, fleetDelay(settings.Routers))
+	sp.net.IsLost = func(int, int) bool { return settings.LossRate > 0 && sp.rand.Float64() < settings.LossRate }
+	sp.net.Hooks = fakenet.Hooks{PublishTable: sp.onPublishTable, CallPeer: sp.onCallPeer, AnswerCall: sp.onAnswerCall, ReadStore: sp.onReadStore}
+	ids := make([]uint32, settings.Routers)
 	for i := range ids {
 		ids[i] = uint32(i + 1)
 	}
 	for i := range ids {
-		settings := core.DefaultSettings(ids[i], ids)
-		settings.Seed = s.Seed
-		sp.net.AddNode(core.New(sp.clock.Now(), settings), time.Duration(sp.rand.Int64N(int64(core.TickInterval))))
+		coreSettings := core.DefaultSettings(ids[i], ids)
+		coreSettings.Seed = settings.Seed
+		sp.net.AddNode(core.New(sp.clock.Now(), coreSettings), time.Duration(sp.rand.Int64N(int64(core.TickInterval))))
 	}
-	sp.accept()
+	sp.acceptChange()
 	sp.clock.RunUntil(20 * time.Second)
-	sp.measure()
-	return sp.finish()
+	sp.measureChanges()
+	return sp.computeResult()
 }
 
-func (sp *spread) measure() {
-	sp.times, sp.result.Unfinished = nil, 0
-	clear(sp.bytes)
-	sp.messages, sp.reads = 0, 0
-	for range sp.s.Changes {
-		sp.down = false
-		sp.accept()
-		sp.down = sp.s.HasStoreOutage
-		sp.clock.RunUntil(sp.clock.Elapsed() + sp.s.ChangeInterval)
-		if sp.missing > 0 {
+// measureChanges accepts the changes one after another and measures how each one spreads.
+func (sp *spread) measureChanges() {
+	sp.spreadTimes, sp.result.Unfinished = nil, 0
+	clear(sp.bytesByKind)
+	sp.messages, sp.storeReads = 0, 0
+	for range sp.settings.Changes {
+		sp.storeDown = false
+		sp.acceptChange()
+		sp.storeDown = sp.settings.HasStoreOutage
+		sp.clock.RunUntil(sp.clock.Elapsed() + sp.settings.ChangeInterval)
+		if sp.missingRouters > 0 {
 			sp.result.Unfinished++
 		}
 	}
 }
 
-func (sp *spread) finish() SpreadResult {
-	seconds := sp.s.ChangeInterval.Seconds() * float64(sp.s.Changes)
-	per := func(v float64) float64 { return v / seconds / float64(sp.s.Routers) }
+// computeResult returns the figures of the experiment.
+func (sp *spread) computeResult() SpreadResult {
+	seconds := sp.settings.ChangeInterval.Seconds() * float64(sp.settings.Changes)
+	perRouterSecond := func(v float64) float64 { return v / seconds / float64(sp.settings.Routers) }
 	r := sp.result
-	r.SpreadSettings = sp.s
-	r.P50 = time.Duration(stats.Quantile(sp.times, 0.5))
-	r.P99 = time.Duration(stats.Quantile(sp.times, 0.99))
-	r.Max = time.Duration(stats.Quantile(sp.times, 1))
-	r.GossipBytes, r.PushBytes, r.PullBytes = per(sp.bytes["gossip"]), per(sp.bytes["push"]), per(sp.bytes["pull"])
-	r.Messages = per(float64(sp.messages))
-	r.StoreReads = float64(sp.reads) / seconds
+	r.SpreadSettings = sp.settings
+	r.P50 = time.Duration(stats.Quantile(sp.spreadTimes, 0.5))
+	r.P99 = time.Duration(stats.Quantile(sp.spreadTimes, 0.99))
+	r.Max = time.Duration(stats.Quantile(sp.spreadTimes, 1))
+	r.GossipBytes, r.PushBytes, r.PullBytes = perRouterSecond(sp.bytesByKind["gossip"]), perRouterSecond(sp.bytesByKind["push"]), perRouterSecond(sp.bytesByKind["pull"])
+	r.Messages = perRouterSecond(float64(sp.messages))
+	r.StoreReads = float64(sp.storeReads) / seconds
 	return r
 }
 
-// accept stores a change of one team and pushes it to a few routers.
-func (sp *spread) accept() {
+// acceptChange stores a change of one team and pushes it to PushedRouters random routers.
+func (sp *spread) acceptChange() {
 	revision := uint64(len(sp.changes)) + 1
 	change := resource.Change{Revision: revision, Resources: []resource.Resource{{
 		Kind:     resource.KindTeam,
@@ -161,42 +171,46 @@
 		Metadata: resource.Metadata{Name: fmt.Sprintf("team-%d", revision%1000), ResourceVersion: revision, UID: revision},
 	}}}
 	sp.changes = append(sp.changes, change)
-	sp.accepted = sp.clock.Now()
-	sp.missing = sp.s.Routers
+	sp.acceptedAt = sp.clock.Now()
+	sp.missingRouters = sp.settings.Routers
 	push := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
-	for _, node := range sp.rand.Perm(sp.s.Routers)[:min(sp.s.PushedRouters, sp.s.Routers)] {
-		sp.bytes["push"] += callBytes + float64(proto.Size(push))
+	for _, node := range sp.rand.Perm(sp.settings.Routers)[:min(sp.settings.PushedRouters, sp.settings.Routers)] {
+		sp.bytesByKind["push"] += callBytes + float64(proto.Size(push))
 		sp.net.Deliver(fakenet.OutsideCaller, node, push, func(core.AnswerCall) {})
 	}
 }
 
-func (sp *spread) onPublish(node int, a core.PublishTable) {
-	if a.Table.Revision < sp.inForce[node] {
+// onPublishTable records the revision that a router has applied.
+func (sp *spread) onPublishTable(node int, a core.PublishTable) {
+	if a.Table.Revision < sp.appliedRevisions[node] {
 		sp.result.Reverts++
 	}
-	before := sp.inForce[node]
-	sp.inForce[node] = a.Table.Revision
-	head := uint64(len(sp.changes))
-	if before < head && a.Table.Revision == head {
-		sp.missing--
-		if sp.missing == 0 {
-			sp.times = append(sp.times, float64(sp.clock.Now().Sub(sp.accepted)))
+	previousRevision := sp.appliedRevisions[node]
+	sp.appliedRevisions[node] = a.Table.Revision
+	latestRevision := uint64(len(sp.changes))
+	if previousRevision < latestRevision && a.Table.Revision == latestRevision {
+		sp.missingRouters--
+		if sp.missingRouters == 0 {
+			sp.spreadTimes = append(sp.spreadTimes, float64(sp.clock.Now().Sub(sp.acceptedAt)))
 		}
 	}
 }
 
-func (sp *spread) onSend(_ int, a core.CallPeer) {
+// onCallPeer counts a call and its bytes.
+func (sp *spread) onCallPeer(_ int, a core.CallPeer) {
 	sp.messages++
-	sp.bytes[kindOf(a.Message)] += callBytes + float64(proto.Size(a.Message))
+	sp.bytesByKind[messageKind(a.Message)] += callBytes + float64(proto.Size(a.Message))
 }
 
-func (sp *spread) onRespond(_, _ int, a core.AnswerCall) {
+// onAnswerCall counts the bytes of a reply.
+func (sp *spread) onAnswerCall(_, _ int, a core.AnswerCall) {
 	if a.Err == nil {
-		sp.bytes[kindOf(a.Message)] += float64(proto.Size(a.Message))
+		sp.bytesByKind[messageKind(a.Message)] += float64(proto.Size(a.Message))
 	}
 }
 
-func kindOf(m proto.Message) string {
+// messageKind returns the kind of a peer message under which its bytes are counted.
+func messageKind(m proto.Message) string {
 	switch m.(type) {
 	case *peerv1.GossipRequest, *peerv1.GossipResponse:
 		return "gossip"
@@ -209,12 +223,13 @@
 	}
 }
 
+// onReadStore answers a store read, or fails it if the store was down when the read began.
 func (sp *spread) onReadStore(node int, a core.ReadStore) {
-	sp.reads++
-	down := sp.down
-	sp.clock.AfterFunc(2*sameRegion, func() {
+	sp.storeReads++
+	storeDown := sp.storeDown
+	sp.clock.AfterFunc(2*regionDelay, func() {
 		switch {
-		case down:
+		case storeDown:
 			sp.net.Step(node, core.StoreReadCompleted{Failed: true})
 		case a.AfterRevision < uint64(len(sp.changes)):
 			sp.net.Step(node, core.StoreReadCompleted{Changes: sp.changes[a.AfterRevision:]})
@@ -224,7 +239,7 @@
 	})
 }
 
-// Print writes one result line.
+// Print writes the result as one line.
 func (r SpreadResult) Print(w io.Writer) {
 	fmt.Fprintf(w, "spread routers=%d store_down=%t loss=%.2f pushed_to=%d changes=%d in_force_p50_ms=%d p99_ms=%d max_ms=%d unfinished=%d reverts=%d gossip_bytes_per_router_s=%.0f push_bytes=%.0f pull_bytes=%.0f messages_per_router_s=%.2f store_reads_s=%.1f\n",
 		r.Routers, r.HasStoreOutage, r.LossRate, r.PushedRouters, r.Changes, r.P50.Milliseconds(), r.P99.Milliseconds(), r.Max.Milliseconds(),
