--- a/internal/capacity/store.go
+++ b/internal/capacity/store.go
@@ -26,14 +26,15 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/faketable"
 )
 
-// counted is a fake table service that counts its calls.
-type counted struct {
+// countingTable is an in-memory table service that counts its calls.
+type countingTable struct {
 	*faketable.Table
 	reads, writes atomic.Int64
 }
 
-func newCounted() *counted {
-	c := &counted{Table: faketable.New()}
+// newCountingTable returns an empty table.
+func newCountingTable() *countingTable {
+	c := &countingTable{Table: faketable.New()}
 	c.ChooseFault = func(write bool) faketable.Fault {
 		if write {
 			c.writes.Add(1)
@@ -45,34 +46,36 @@
 	return c
 }
 
-type alive struct{}
+// allHoldersAlive reports every holder of a claim as alive.
+type allHoldersAlive struct{}
 
-func (alive) HolderAlive(uint32, uint64) bool { return true }
+func (allHoldersAlive) HolderAlive(uint32, uint64) bool { return true }
 
-// claimSeconds is how long each rate of claims is measured.
+// claimSeconds is the time in seconds for which each rate of claims is measured.
 const claimSeconds = 2
 
-// commitTime is how long a commit takes in the fake table service.
+// commitTime is the simulated duration of a commit.
 const commitTime = 5 * time.Millisecond
 
-// claims measures the calls of the table service for each keyed request of one
-// router, by rate: inserts share transactions, settlements do not yet.
-func claims(w io.Writer) error {
+// measureClaims measures the table service calls per request with an idempotency key on one router,
+// by request rate. Inserted claims share transactions; each settlement has a transaction of its
+// own.
+func measureClaims(w io.Writer) error {
 	var writes []point
 	for _, rate := range []int{10, 100, 1000} {
-		table := newCounted()
+		table := newCountingTable()
 		table.BeforeCommit = func() { time.Sleep(commitTime) }
-		c := router.NewClaims(table, alive{}, 1, 1, eventlog.Nop(), time.Now)
+		c := router.NewClaims(table, allHoldersAlive{}, 1, 1, eventlog.Nop(), time.Now)
 		req := router.Request{Method: http.MethodPost, Team: "t", Pool: &routing.Pool{Name: "p"}}
-		var calls sync.WaitGroup
+		var pending sync.WaitGroup
 		for i := range rate * claimSeconds {
-			calls.Go(func() {
-				held, _ := c.Take(context.Background(), req, fmt.Sprint(i))
-				c.Settle(held, target.Answer{Status: http.StatusOK, Header: http.Header{}}, router.Result{Code: code.OK, MayHaveRun: true})
+			pending.Go(func() {
+				claim, _ := c.Take(context.Background(), req, fmt.Sprint(i))
+				c.Settle(claim, target.Answer{Status: http.StatusOK, Header: http.Header{}}, router.Result{Code: code.OK, MayHaveRun: true})
 			})
 			time.Sleep(time.Second / time.Duration(rate))
 		}
-		calls.Wait()
+		pending.Wait()
 		total := float64(rate * claimSeconds)
 		writes = append(writes, point{float64(rate), float64(table.writes.Load()) / total})
 		fmt.Fprintf(w, "capacity role=claims figure=reads_per_call calls_per_second=%d value=%.2f\n", rate, float64(table.reads.Load())/total)
@@ -83,56 +86,56 @@
 	return nil
 }
 
-// unanswered plays routers and a target that do not answer, which keeps every
-// planned change under way.
-type unanswered struct{}
+// unreachable simulates routers and a target that do not answer, so that no planned change
+// completes.
+type unreachable struct{}
 
-var errUnanswered = errors.New("no answer")
+var errUnreachable = errors.New("no answer")
 
-func (unanswered) Call(context.Context, uint32, proto.Message) (proto.Message, error) {
-	return nil, errUnanswered
+func (unreachable) Call(context.Context, uint32, proto.Message) (proto.Message, error) {
+	return nil, errUnreachable
 }
 
-func (unanswered) Observe(context.Context, string) (int, map[string]string, error) {
-	return 0, nil, errUnanswered
+func (unreachable) Observe(context.Context, string) (int, map[string]string, error) {
+	return 0, nil, errUnreachable
 }
 
-func (unanswered) Order(context.Context, string, uint64, string, string, time.Time) error {
-	return errUnanswered
+func (unreachable) Order(context.Context, string, uint64, string, string, time.Time) error {
+	return errUnreachable
 }
 
-// passes is how many seconds of a controller are measured.
-const passes = 64
+// passCount is the number of passes of each controller that are measured, at one pass per second.
+const passCount = 64
 
-// controllers measures the calls of the table service of all controllers a second,
-// by planned changes under way and by controllers.
-func controllers(w io.Writer) error {
+// measureControllers measures the table service calls of all controllers per second, by the number
+// of planned changes in progress and by the number of controllers.
+func measureControllers(w io.Writer) error {
 	var reads, writes []point
 	for _, n := range []int{1, 10, 100} {
-		r, wr, err := controllersAt(9, n)
+		readRate, writeRate, err := controllerCalls(9, n)
 		if err != nil {
 			return err
 		}
-		reads, writes = append(reads, point{float64(n), r}), append(writes, point{float64(n), wr})
+		reads, writes = append(reads, point{float64(n), readRate}), append(writes, point{float64(n), writeRate})
 	}
-	report(w, "controllers", "table_reads_per_second_at_9", "changes_under_way", reads)
-	report(w, "controllers", "table_writes_per_second_at_9", "changes_under_way", writes)
+	printFigure(w, "controllers", "table_reads_per_second_at_9", "changes_under_way", reads)
+	printFigure(w, "controllers", "table_writes_per_second_at_9", "changes_under_way", writes)
 	var fleet []point
 	for _, n := range fleetSizes {
-		r, _, err := controllersAt(n, 10)
+		readRate, _, err := controllerCalls(n, 10)
 		if err != nil {
 			return err
 		}
-		fleet = append(fleet, point{float64(n), r})
+		fleet = append(fleet, point{float64(n), readRate})
 	}
-	report(w, "controllers", "table_reads_per_second_at_10_changes", "controllers", fleet)
+	printFigure(w, "controllers", "table_reads_per_second_at_10_changes", "controllers", fleet)
 	return nil
 }
 
-// controllersAt returns the reads and writes per second of n controllers with some
-// changes under way.
-func controllersAt(n, changes int) (reads, writes float64, err error) {
-	table := newCounted()
+// controllerCalls returns the table reads and writes per second of n controllers with the given
+// number of planned changes in progress.
+func controllerCalls(n, changes int) (reads, writes float64, err error) {
+	table := newCountingTable()
 	now := time.Unix(0, 0)
 	clock := func() time.Time { return now }
 	store := configstore.New(table, clock)
@@ -153,14 +156,14 @@
 	for i := range ids {
 		ids[i] = uint32(i + 1)
 	}
-	ctl := controller.New(store, unanswered{}, ids, eventlog.Nop())
+	ctl := controller.New(store, unreachable{}, ids, eventlog.Nop())
 	var all []*controller.Reconciler
 	for _, id := range ids {
-		all = append(all, controller.NewReconciler(ctl, table, unanswered{}, id, fmt.Sprint(id), 10*time.Second, eventlog.Nop(), clock))
+		all = append(all, controller.NewReconciler(ctl, table, unreachable{}, id, fmt.Sprint(id), 10*time.Second, eventlog.Nop(), clock))
 	}
 	table.reads.Store(0)
 	table.writes.Store(0)
-	for range passes {
+	for range passCount {
 		now = now.Add(time.Second)
 		for _, r := range all {
 			if err := r.Pass(context.Background()); err != nil {
@@ -168,29 +171,30 @@
 			}
 		}
 	}
-	return float64(table.reads.Load()) / passes, float64(table.writes.Load()) / passes, nil
+	return float64(table.reads.Load()) / passCount, float64(table.writes.Load()) / passCount, nil
 }
 
-// pulls is how often a whole configuration is pulled.
-const pulls = 10
+// pullRepetitions is the number of times that a whole configuration is pulled.
+const pullRepetitions = 10
 
-// herd measures a start from a peer: pulling a whole configuration over loopback.
-func herd(w io.Writer) error {
+// measurePull measures the start of a router from a peer: pulling a whole configuration over
+// loopback.
+func measurePull(w io.Writer) error {
 	var onWire, processor []point
 	for _, n := range teamSizes {
 		resp := &peerv1.PullResponse{IsSnapshot: true, SnapshotRevision: 1}
 		for _, ch := range core.EncodeChanges([]resource.Change{poolChange(4100, n)}) {
 			resp.Snapshot = ch.GetResources()
 		}
-		before := cpu()
-		cost, err := MeasureCall(&peerv1.PullRequest{Protocol: ticket.ProtocolVersion}, resp, pulls)
+		before := processCPUTime()
+		cost, err := MeasureCall(&peerv1.PullRequest{Protocol: ticket.ProtocolVersion}, resp, pullRepetitions)
 		if err != nil {
 			return err
 		}
 		onWire = append(onWire, point{float64(n), cost.TotalBytes()})
-		processor = append(processor, point{float64(n), float64((cpu() - before).Microseconds()) / pulls})
+		processor = append(processor, point{float64(n), float64((processCPUTime() - before).Microseconds()) / pullRepetitions})
 	}
-	report(w, "start", "bytes_of_a_pull", "teams", onWire)
-	report(w, "start", "cpu_us_of_a_pull_both_ends", "teams", processor)
+	printFigure(w, "start", "bytes_of_a_pull", "teams", onWire)
+	printFigure(w, "start", "cpu_us_of_a_pull_both_ends", "teams", processor)
 	return nil
 }
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -1,5 +1,5 @@
-// Package capacity measures what the roles of the fleet cost, as slopes over the
-// sizes that docs/CAPACITY.md works with.
+// Package capacity measures the resource use of the roles of a fleet as a function of its size, and
+// fits a line to each figure. docs/CAPACITY.md extrapolates from these lines.
 package capacity
 
 import (
@@ -15,28 +15,28 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/adapter/peer"
 )
 
-// tcpHeader is the size of an IPv4 header and a TCP header with timestamps.
+// tcpHeader is the size in bytes of an IPv4 header and a TCP header with timestamps.
 const tcpHeader = 52
 
-// WireCost is what one call costs on the wire, headers included.
+// WireCost is the mean cost of one call on the wire, packet headers included.
 type WireCost struct {
-	// BytesOut and BytesIn are bytes from and to the caller.
+	// BytesOut are bytes from the caller, BytesIn are bytes to it.
 	BytesOut, BytesIn float64
-	// Packets is the number of packets both ways.
+	// Packets is the number of packets in both directions.
 	Packets float64
 }
 
-// TotalBytes returns the bytes both ways.
+// TotalBytes returns the bytes in both directions.
 func (w WireCost) TotalBytes() float64 { return w.BytesOut + w.BytesIn }
 
-type echo struct{ reply proto.Message }
+// stub is a peer handler that answers every call with the same reply.
+type stub struct{ reply proto.Message }
 
-func (e echo) Handle(context.Context, proto.Message) (proto.Message, error) { return e.reply, nil }
+func (e stub) Handle(context.Context, proto.Message) (proto.Message, error) { return e.reply, nil }
 
-// MeasureCall sends a request n times over a real loopback connection and
-// returns the mean cost of one call. Every write is counted as one packet with
-// its headers, and one bare acknowledgement for the reply; the request's
-// acknowledgement rides on the reply.
+// MeasureCall sends a request n times over a loopback connection and returns the mean cost of one
+// call. Every write counts as one packet with headers, and each reply is followed by one packet for
+// its acknowledgement. The acknowledgement of a request is part of the reply's packet.
 func MeasureCall(request, reply proto.Message, n int) (WireCost, error) {
 	var server, client metrics.Traffic
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,30 +44,31 @@
 		return WireCost{}, errors.Wrap(err, "listen")
 	}
 	mux := http.NewServeMux()
-	mux.Handle(peer.NewHandler(echo{reply}))
+	mux.Handle(peer.NewHandler(stub{reply}))
 	s := &http.Server{Handler: mux, Protocols: peer.Protocols()}
 	go func() { _ = s.Serve(peer.Listen(server.Listen(l))) }()
 	defer s.Close()
 	caller := peer.NewCaller(map[uint32]string{1: l.Addr().String()}, time.Second, client.Wrap)
-	if err := call(caller, request, 3); err != nil {
+	if err := repeatCall(caller, request, 3); err != nil {
 		return WireCost{}, err
 	}
-	before, beforeServer := client.Snapshot(), server.Snapshot()
-	if err := call(caller, request, n); err != nil {
+	clientBefore, serverBefore := client.Snapshot(), server.Snapshot()
+	if err := repeatCall(caller, request, n); err != nil {
 		return WireCost{}, err
 	}
-	after, afterServer := client.Snapshot(), server.Snapshot()
-	per := func(v int64) float64 { return float64(v) / float64(n) }
-	outPackets := per(after.Writes-before.Writes) + 1 // the acknowledgement of the reply
-	inPackets := per(afterServer.Writes - beforeServer.Writes)
+	clientAfter, serverAfter := client.Snapshot(), server.Snapshot()
+	perCall := func(v int64) float64 { return float64(v) / float64(n) }
+	outPackets := perCall(clientAfter.Writes-clientBefore.Writes) + 1 // reply acknowledgement
+	inPackets := perCall(serverAfter.Writes - serverBefore.Writes)
 	return WireCost{
-		BytesOut: per(after.Out-before.Out) + tcpHeader*outPackets,
-		BytesIn:  per(after.In-before.In) + tcpHeader*inPackets,
+		BytesOut: perCall(clientAfter.Out-clientBefore.Out) + tcpHeader*outPackets,
+		BytesIn:  perCall(clientAfter.In-clientBefore.In) + tcpHeader*inPackets,
 		Packets:  outPackets + inPackets,
 	}, nil
 }
 
-func call(c *peer.Caller, request proto.Message, n int) error {
+// repeatCall makes a call n times.
+func repeatCall(c *peer.Caller, request proto.Message, n int) error {
 	for range n {
 		if _, err := c.Call(context.Background(), 1, request); err != nil {
 			return err
