--- a/cmd/hemlockdyke-bench/main.go
+++ b/cmd/hemlockdyke-bench/main.go
@@ -1,5 +1,5 @@
-// Command hemlockdyke-bench measures: load against a running fleet, experiments
-// with routing policies, and the slopes behind docs/CAPACITY.md.
+// Command hemlockdyke-bench drives load against a running fleet, compares routing policies in a
+// simulation, and measures the resource use that docs/CAPACITY.md extrapolates from.
 package main
 
 import (
@@ -20,55 +20,55 @@
 
 func main() {
 	app := kingpin.New("hemlockdyke-bench", "Measures a hemlockdyke fleet.")
-	cmd := app.Command("load", "Drive a running fleet and check every answer.")
+	loadCmd := app.Command("load", "Send load to a running fleet and check every answer.")
 	s := load.Settings{}
-	cmd.Flag("router", "Base URL of a router.").Required().StringsVar(&s.RouterURLs)
-	cmd.Flag("engine", "Base URL of a stand-in engine.").Required().StringsVar(&s.EngineURLs)
-	cmd.Flag("service", "Base URL of the stand-in service.").Required().StringVar(&s.ServiceURL)
-	cmd.Flag("team", "Team.").Required().StringsVar(&s.Teams)
-	cmd.Flag("model", "Model.").Required().StringVar(&s.Model)
-	cmd.Flag("pool", "Service pool.").Required().StringVar(&s.ServicePool)
-	cmd.Flag("chats", "Number of chats.").Default("60").IntVar(&s.Chats)
-	cmd.Flag("turns", "Turns of each chat.").Default("6").IntVar(&s.TurnsPerChat)
-	cmd.Flag("parallel", "Chats at a time.").Default("24").IntVar(&s.ConcurrentChats)
-	cmd.Flag("pause", "Mean pause between turns.").Default("100ms").DurationVar(&s.MeanPause)
-	cmd.Flag("seed", "Seed.").Default("1").Uint64Var(&s.Seed)
-	limit := cmd.Flag("limit", "Longest run.").Default("50s").Duration()
+	loadCmd.Flag("router", "Base URL of a router; may be repeated.").Required().StringsVar(&s.RouterURLs)
+	loadCmd.Flag("engine", "Base URL of a stand-in engine; may be repeated.").Required().StringsVar(&s.EngineURLs)
+	loadCmd.Flag("service", "Base URL of the stand-in service.").Required().StringVar(&s.ServiceURL)
+	loadCmd.Flag("team", "Team that requests are sent for; may be repeated.").Required().StringsVar(&s.Teams)
+	loadCmd.Flag("model", "Model that chats ask for.").Required().StringVar(&s.Model)
+	loadCmd.Flag("pool", "Pool of the stand-in service.").Required().StringVar(&s.ServicePool)
+	loadCmd.Flag("chats", "Number of chats.").Default("60").IntVar(&s.Chats)
+	loadCmd.Flag("turns", "Number of turns of each chat.").Default("6").IntVar(&s.TurnsPerChat)
+	loadCmd.Flag("parallel", "Number of concurrent chats.").Default("24").IntVar(&s.ConcurrentChats)
+	loadCmd.Flag("pause", "Mean time between two turns of a chat.").Default("100ms").DurationVar(&s.MeanPause)
+	loadCmd.Flag("seed", "Seed of the random numbers.").Default("1").Uint64Var(&s.Seed)
+	limit := loadCmd.Flag("limit", "Time limit of the run.").Default("50s").Duration()
 
-	exp := app.Command("experiment", "Compare routing policies on the same simulated traffic.")
-	only := exp.Flag("scenario", "Run only this scenario.").String()
-	onlyPolicy := exp.Flag("policy", "Run only policies whose names start with this.").String()
-	seeds := exp.Flag("seeds", "Number of seeds.").Default("5").Uint64()
+	experimentCmd := app.Command("experiment", "Compare routing policies on the same simulated traffic.")
+	onlyScenario := experimentCmd.Flag("scenario", "Run only this scenario.").String()
+	onlyPolicy := experimentCmd.Flag("policy", "Run only policies whose names start with this prefix.").String()
+	seeds := experimentCmd.Flag("seeds", "Number of seeds.").Default("5").Uint64()
 
-	spread := app.Command("spread", "Measure how fast a change is in force everywhere, and at what cost.")
-	spreadSeeds := spread.Flag("seeds", "Number of seeds.").Default("3").Uint64()
-	spreadRouters := spread.Flag("routers", "Fleet size; may be repeated.").Default("9", "40", "120", "340").Ints()
+	spreadCmd := app.Command("spread", "Measure how long a configuration change takes until all routers have applied it, and the messages this needs.")
+	spreadSeeds := spreadCmd.Flag("seeds", "Number of seeds.").Default("3").Uint64()
+	spreadRouters := spreadCmd.Flag("routers", "Fleet size; may be repeated.").Default("9", "40", "120", "340").Ints()
 
-	get := app.Command("get", "Print what a URL answers, waiting until it answers 200.")
-	getURL := get.Arg("url", "URL.").Required().String()
-	getWait := get.Flag("wait", "How long to wait.").Default("10s").Duration()
+	getCmd := app.Command("get", "Request a URL until it answers with status 200, then print the body.")
+	getURL := getCmd.Arg("url", "URL.").Required().String()
+	getWait := getCmd.Flag("wait", "Time limit.").Default("10s").Duration()
 
-	slopes := app.Command("capacity", "Measure the slopes behind docs/CAPACITY.md.")
+	capacityCmd := app.Command("capacity", "Measure the resource use that docs/CAPACITY.md extrapolates from.")
 
 	switch kingpin.MustParse(app.Parse(os.Args[1:])) {
-	case cmd.FullCommand():
+	case loadCmd.FullCommand():
 		app.FatalIfError(runLoad(s, *limit), "load")
-	case exp.FullCommand():
-		runExperiment(*only, *onlyPolicy, *seeds)
-	case get.FullCommand():
+	case experimentCmd.FullCommand():
+		runExperiment(*onlyScenario, *onlyPolicy, *seeds)
+	case getCmd.FullCommand():
 		app.FatalIfError(load.FetchWhenOK(os.Stdout, *getURL, *getWait), "get")
-	case slopes.FullCommand():
+	case capacityCmd.FullCommand():
 		app.FatalIfError(capacity.Run(os.Stdout), "capacity")
-	case spread.FullCommand():
+	case spreadCmd.FullCommand():
 		runSpread(*spreadRouters, *spreadSeeds)
 	}
 }
 
-// runExperiment prints a line per run and a summary per policy. Each run is
-// independent of the others and the same for the same seed.
-func runExperiment(only, onlyPolicy string, seeds uint64) {
+// runExperiment prints one line per run and a summary per policy. Runs are independent of each
+// other, and a run gives the same result for the same seed.
+func runExperiment(onlyScenario, onlyPolicy string, seeds uint64) {
 	for _, s := range experiment.Scenarios() {
-		if only != "" && s.Name != only {
+		if onlyScenario != "" && s.Name != onlyScenario {
 			continue
 		}
 		for _, p := range experiment.Policies() {
@@ -89,6 +89,8 @@
 	}
 }
 
+// runLoad prints the report of a load. It ends the process with status 1 if the report has
+// failures.
 func runLoad(s load.Settings, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -107,15 +109,15 @@
 	return nil
 }
 
-// runSpread prints a line per fleet size, state of the store and seed.
+// runSpread prints one line for each combination of fleet size, store outage, loss rate and seed.
 func runSpread(sizes []int, seeds uint64) {
 	for _, routers := range sizes {
-		for _, down := range []bool{false, true} {
-			for _, loss := range []float64{0, 0.05} {
+		for _, storeOutage := range []bool{false, true} {
+			for _, lossRate := range []float64{0, 0.05} {
 				for seed := range seeds {
 					experiment.RunSpread(experiment.SpreadSettings{
 						Routers: routers, Changes: 40, ChangeInterval: 8 * time.Second, PushedRouters: controller.PushTo,
-						HasStoreOutage: down, LossRate: loss, Seed: seed + 1,
+						HasStoreOutage: storeOutage, LossRate: lossRate, Seed: seed + 1,
 					}).Print(os.Stdout)
 				}
 			}
