--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -1,6 +1,6 @@
 // Package experiment compares routing policies on the same simulated traffic, and measures how fast
-// configuration changes spread in a simulated fleet. The policies of this project run
-// router cores on the simulated clock and network of package fakenet.
+// configuration changes spread in a simulated fleet. The policies of this project run router cores
+// on the simulated clock and network of package fakenet.
 package experiment
 
 import (
