--- a/internal/app/controller/matrix_test.go
+++ b/internal/app/controller/matrix_test.go
@@ -221,13 +221,13 @@
 // the fault is Refused, else the writes.
 func (f *fakeFleet) applyTableFault(passes int, fault faketable.Fault) {
 	f.applyFor(passes, func() {
-		f.table.Next = func(write bool) faketable.Fault {
+		f.table.ChooseFault = func(write bool) faketable.Fault {
 			if write || fault == faketable.Refused {
 				return fault
 			}
-			return faketable.None
+			return faketable.NoFault
 		}
-	}, func() { f.table.Next = nil })
+	}, func() { f.table.ChooseFault = nil })
 }
 
 // faults are the faults that are injected.
@@ -251,20 +251,20 @@
 	{"table service down", func(f *fakeFleet) { f.applyTableFault(6, faketable.Refused) }},
 	{"replies to writes lost", func(f *fakeFleet) { f.applyTableFault(4, faketable.ReplyLost) }},
 	{"writes lost", func(f *fakeFleet) { f.applyTableFault(4, faketable.WriteLost) }},
-	{"writes delayed", func(f *fakeFleet) { f.applyTableFault(4, faketable.WriteLate) }},
+	{"writes delayed", func(f *fakeFleet) { f.applyTableFault(4, faketable.WriteDelayed) }},
 	{"every second write refused, as at the write limit", func(f *fakeFleet) {
 		n := 0
 		f.applyFor(8, func() {
-			f.table.Next = func(write bool) faketable.Fault {
+			f.table.ChooseFault = func(write bool) faketable.Fault {
 				if write {
 					n++
 				}
 				if write && n%2 == 0 {
 					return faketable.Refused
 				}
-				return faketable.None
+				return faketable.NoFault
 			}
-		}, func() { f.table.Next = nil })
+		}, func() { f.table.ChooseFault = nil })
 	}},
 	{"another operator changes the target", func(f *fakeFleet) {
 		target, err := f.store.Get(context.Background(), resource.Key{Kind: resource.KindTarget, Name: "t"})
--- a/internal/app/router/claims_test.go
+++ b/internal/app/router/claims_test.go
@@ -42,7 +42,7 @@
 		table := faketable.New()
 		firstCommitStarted, allowFirstCommit := make(chan struct{}), make(chan struct{})
 		var once sync.Once
-		table.Between = func() { once.Do(func() { close(firstCommitStarted); <-allowFirstCommit }) }
+		table.BeforeCommit = func() { once.Do(func() { close(firstCommitStarted); <-allowFirstCommit }) }
 		claims := newClaims(table, 1)
 		kinds := make(chan claim.ActionKind, 10)
 		var requests sync.WaitGroup
@@ -68,7 +68,7 @@
 
 	It("insert the rows of concurrent requests in shared transactions", func() {
 		table := faketable.New()
-		table.Between = func() { time.Sleep(time.Millisecond) }
+		table.BeforeCommit = func() { time.Sleep(time.Millisecond) }
 		claims := newClaims(table, 1)
 		var requests sync.WaitGroup
 		for i := range 100 {
@@ -87,9 +87,9 @@
 	It("leave no row behind if they are refused", func() {
 		table := faketable.New()
 		writes := 0
-		table.Next = func(write bool) faketable.Fault {
+		table.ChooseFault = func(write bool) faketable.Fault {
 			if !write {
-				return faketable.None
+				return faketable.NoFault
 			}
 			writes++
 			switch writes {
@@ -98,7 +98,7 @@
 			case 2:
 				return faketable.Refused
 			}
-			return faketable.None
+			return faketable.NoFault
 		}
 		claims := newClaims(table, 1)
 		_, action := claims.Acquire(ctx, request("x"), "k")
