--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -1,5 +1,5 @@
-// Package callerhttp serves callers: chat completions for model pools, plain
-// HTTP for service pools, and the health checks of the platform's balancer.
+// Package callerhttp is the router's HTTP interface for callers. It serves chat completions of model
+// pools, requests to service pools, and the health checks of the platform's balancer.
 package callerhttp
 
 import (
@@ -26,13 +26,13 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// Settings bound what callers may send.
+// Settings limits requests of callers.
 type Settings struct {
 	MaxBodyBytes    int64
-	DefaultDeadline time.Duration
+	DefaultDeadline time.Duration // for requests without a deadline of their own
 }
 
-// Observer is told how each request ended.
+// Observer records the result of each request.
 type Observer interface {
 	Observe(req router.Request, result router.Result)
 }
@@ -53,7 +53,7 @@
 	return &Server{settings: s, control: control, traffic: traffic, claims: claims, observer: observer, log: log, now: now}
 }
 
-// Handler returns the callers' HTTP interface.
+// Handler returns the HTTP handler for callers and the balancer.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/livez", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
@@ -63,14 +63,13 @@
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.fail(w, requestID(r), code.New(code.NotFound, "no such path"), 0)
 	})
-	return s.endConnections(r)
+	return s.closeWhenStopping(r)
 }
 
-// endConnections lets callers' connections end one by one, each with its next
-// answer, while the router is stopping. The server could close the idle ones at
-// once, but then some are closed while a request is on its way to them, and the
-// caller can't know whether that request ran.
-func (s *Server) endConnections(next http.Handler) http.Handler {
+// closeWhenStopping closes each connection with its next answer while the router is shutting down. If
+// the server closed all idle connections at once, some would be closed while a request is on its way,
+// and the caller couldn't know whether that request was executed.
+func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.control.Ready().Reason == code.ShuttingDown {
 			w.Header().Set("Connection", "close")
@@ -88,22 +87,24 @@
 	_, _ = io.WriteString(w, "ok\n")
 }
 
-// maxID bounds the length of ids that callers choose.
-const maxID = 128
+// maxIDBytes bounds the request ids and idempotency keys that callers choose.
+const maxIDBytes = 128
 
+// requestID returns the id that the caller chose, or a new one.
 func requestID(r *http.Request) string {
-	id := r.Header.Get(wire.HeaderRequest)
+	id := r.Header.Get(wire.HeaderRequestID)
 	if id == "" {
 		return uuid.NewString()
 	}
 	return id
 }
 
-// parse reads what both kinds of request have in common.
-func (s *Server) parse(r *http.Request) (router.Request, error) {
+// parseRequest reads the headers and the body that chat and service requests have in common. On an
+// error the returned request still has its ID.
+func (s *Server) parseRequest(r *http.Request) (router.Request, error) {
 	req := router.Request{ID: requestID(r), Team: r.Header.Get(wire.HeaderTeam), Method: r.Method}
-	if len(req.ID) > maxID {
-		return req, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderRequest, maxID)
+	if len(req.ID) > maxIDBytes {
+		return req, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderRequestID, maxIDBytes)
 	}
 	if _, ok := s.control.Table().Team(req.Team); !ok {
 		return req, code.New(code.UnknownTeam, "no team %q", req.Team)
@@ -118,12 +119,12 @@
 		return req, err
 	}
 	req.Deadline = s.now().Add(deadline)
-	if chat := r.Header.Get(wire.HeaderChat); chat != "" {
+	if chat := r.Header.Get(wire.HeaderChatID); chat != "" {
 		req.Chat = rendezvous.Hash(req.Team + "/" + chat)
 	} else {
 		req.Chat = rendezvous.Hash(req.ID)
 	}
-	req.Body, err = s.body(r)
+	req.Body, err = s.readBody(r)
 	return req, err
 }
 
@@ -139,7 +140,7 @@
 	return 0, code.New(code.BadHeader, "%s is not urgent, normal or bulk", wire.HeaderPriority)
 }
 
-// maxDeadline is the longest deadline a caller may ask for.
+// maxDeadline is the longest deadline that a caller may set.
 const maxDeadline = time.Hour
 
 func (s *Server) parseDeadline(v string) (time.Duration, error) {
@@ -153,10 +154,10 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-func (s *Server) body(r *http.Request) ([]byte, error) {
+func (s *Server) readBody(r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, s.settings.MaxBodyBytes+1))
 	if err != nil {
-		return nil, code.New(code.BadBody, "body not readable: %s", err)
+		return nil, code.New(code.BadBody, "can't read body: %s", err)
 	}
 	if int64(len(body)) > s.settings.MaxBodyBytes {
 		return nil, code.New(code.BodyTooLarge, "body is larger than %d bytes", s.settings.MaxBodyBytes)
@@ -165,7 +166,7 @@
 }
 
 func (s *Server) chat(w http.ResponseWriter, r *http.Request) {
-	req, err := s.parse(r)
+	req, err := s.parseRequest(r)
 	if err != nil {
 		s.fail(w, req.ID, err, 0)
 		return
@@ -182,14 +183,15 @@
 	}
 	req.Pool, req.Idempotent, req.Stream = pool, true, true
 	req.Path = "/v1/chat/completions"
-	req.Header = forwardHeader(r, wire.HeaderChat, wire.HeaderPriority, "Content-Type")
+	req.Header = forwardHeader(r, wire.HeaderChatID, wire.HeaderPriority, "Content-Type")
 	if body.Stream {
 		s.streamChat(w, r, req, body.Model)
 	} else {
-		s.wholeChat(w, r, req, body.Model)
+		s.unstreamedChat(w, r, req, body.Model)
 	}
 }
 
+// forwardHeader returns the named headers of a request, to be sent to a target.
 func forwardHeader(r *http.Request, names ...string) http.Header {
 	h := make(http.Header)
 	for _, name := range names {
@@ -200,61 +202,60 @@
 	return h
 }
 
-// callerStall is how long a caller may take no bytes. One whose connection has
-// been forgotten by something in between would hold its place at a target for
-// ever: its writes neither fail nor end.
-const callerStall = 30 * time.Second
+// callerWriteTimeout bounds each write to a caller. If a middlebox has dropped the connection, writes
+// neither fail nor complete, and the request would occupy its place at a target forever.
+const callerWriteTimeout = 30 * time.Second
 
 func (s *Server) streamChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
-	flusher := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	parts := 0
 	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
 		if parts == 0 {
 			w.Header().Set("Content-Type", "text/event-stream")
-			w.Header().Set(wire.HeaderRequest, req.ID)
+			w.Header().Set(wire.HeaderRequestID, req.ID)
 			w.WriteHeader(http.StatusOK)
 		}
-		_ = flusher.SetWriteDeadline(s.now().Add(callerStall))
+		_ = controller.SetWriteDeadline(s.now().Add(callerWriteTimeout))
 		if err := wire.WriteEvent(w, wire.NewChunk(req.ID, model, a.Text, parts)); err != nil {
 			return err
 		}
 		parts++
-		return flusher.Flush()
+		return controller.Flush()
 	})
-	// The connection may carry further requests.
-	_ = flusher.SetWriteDeadline(time.Time{})
-	s.done(req, result)
+	// Later requests on this connection must not inherit the write deadline.
+	_ = controller.SetWriteDeadline(time.Time{})
+	s.recordResult(req, result)
 	switch {
 	case result.Code == code.OK:
 		_ = wire.WriteEvent(w, wire.NewLastChunk(req.ID, model, parts))
-		_ = wire.WriteDone(w)
+		_ = wire.WriteEndMarker(w)
 	case parts == 0:
-		s.fail(w, req.ID, code.New(result.Code, "request %s", req.ID), result.RetryAfter)
+		s.fail(w, req.ID, code.New(result.Code, "request %s failed", req.ID), result.RetryAfter)
 	default:
-		// The status is out already. An error event without the end marker keeps
-		// the caller from taking the part for the whole.
-		_ = wire.WriteEvent(w, wire.NewErrorBody(code.New(result.Code, "request %s", req.ID)))
+		// The status has been sent. An error event instead of the end marker tells the caller that the
+		// answer is incomplete.
+		_ = wire.WriteEvent(w, wire.NewErrorBody(code.New(result.Code, "request %s failed", req.ID)))
 	}
 }
 
-func (s *Server) wholeChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
+func (s *Server) unstreamedChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	var text strings.Builder
 	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
 		text.WriteString(a.Text)
 		return nil
 	})
-	s.done(req, result)
+	s.recordResult(req, result)
 	if result.Code != code.OK {
-		s.fail(w, req.ID, code.New(result.Code, "request %s", req.ID), result.RetryAfter)
+		s.fail(w, req.ID, code.New(result.Code, "request %s failed", req.ID), result.RetryAfter)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(wire.HeaderRequest, req.ID)
+	w.Header().Set(wire.HeaderRequestID, req.ID)
 	_ = json.NewEncoder(w).Encode(wire.NewCompletion(req.ID, model, text.String()))
 }
 
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
-	req, err := s.parse(r)
+	req, err := s.parseRequest(r)
 	if err != nil {
 		s.fail(w, req.ID, err, 0)
 		return
@@ -266,7 +267,7 @@
 		return
 	}
 	req.Pool = pool
-	req.Idempotent = idempotent(r.Method, pool)
+	req.Idempotent = isIdempotent(r.Method, pool)
 	req.Path = "/" + mux.Vars(r)["path"]
 	if r.URL.RawQuery != "" {
 		req.Path += "?" + r.URL.RawQuery
@@ -275,13 +276,14 @@
 	key := r.Header.Get(wire.HeaderIdempotencyKey)
 	if key == "" || req.Idempotent {
 		answer, result := s.runService(r, req)
-		s.respond(w, req, answer, result)
+		s.writeResult(w, req, answer, result)
 		return
 	}
-	s.claimed(w, r, req, key)
+	s.serveKeyed(w, r, req, key)
 }
 
-func idempotent(method string, pool *routing.Pool) bool {
+// isIdempotent reports whether a request may be executed more than once.
+func isIdempotent(method string, pool *routing.Pool) bool {
 	return method == http.MethodGet || method == http.MethodHead || pool.Spec.IdempotentWrites
 }
 
@@ -291,13 +293,13 @@
 		answer = a
 		return nil
 	})
-	s.done(req, result)
+	s.recordResult(req, result)
 	return answer, result
 }
 
-func (s *Server) respond(w http.ResponseWriter, req router.Request, answer target.Answer, result router.Result) {
+func (s *Server) writeResult(w http.ResponseWriter, req router.Request, answer target.Answer, result router.Result) {
 	if result.Code != code.OK {
-		s.fail(w, req.ID, code.New(result.Code, "request %s", req.ID), result.RetryAfter)
+		s.fail(w, req.ID, code.New(result.Code, "request %s failed", req.ID), result.RetryAfter)
 		return
 	}
 	writeAnswer(w, req.ID, answer.Status, answer.Header.Get("Content-Type"), answer.Body)
@@ -307,12 +309,12 @@
 	if contentType != "" {
 		w.Header().Set("Content-Type", contentType)
 	}
-	w.Header().Set(wire.HeaderRequest, id)
+	w.Header().Set(wire.HeaderRequestID, id)
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-func (s *Server) done(req router.Request, result router.Result) {
+func (s *Server) recordResult(req router.Request, result router.Result) {
 	s.observer.Observe(req, result)
 	kind, info := eventlog.Finished, result.Code.Lookup()
 	if result.Code != code.OK {
@@ -324,17 +326,18 @@
 		Dur("budget", req.Deadline.Sub(s.now().Add(-result.Total))).Msg("")
 }
 
-// defaultRetryAfter is told to callers when nothing better is known.
+// defaultRetryAfter is sent with status 503 if the failure has no delay of its own.
 const defaultRetryAfter = time.Second
 
-// fail answers with a numbered code, at once.
+// fail answers with the result code of err and, unless retryAfter is 0, with a Retry-After header. An
+// error without a code is answered as code.OutcomeUnknown.
 func (s *Server) fail(w http.ResponseWriter, id string, err error, retryAfter time.Duration) {
 	var coded *code.Error
 	if !errors.As(err, &coded) {
 		coded = code.New(code.OutcomeUnknown, "%s", err)
 	}
 	if id != "" {
-		w.Header().Set(wire.HeaderRequest, id)
+		w.Header().Set(wire.HeaderRequestID, id)
 	}
 	status := coded.Code.Lookup().Status
 	if retryAfter == 0 && status == http.StatusServiceUnavailable {
--- a/internal/adapter/callerhttp/claimed.go
+++ b/internal/adapter/callerhttp/keyed.go
@@ -10,13 +10,15 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// claimed runs a request that is not idempotent under its Idempotency-Key.
-func (s *Server) claimed(w http.ResponseWriter, r *http.Request, req router.Request, key string) {
-	if len(key) > maxID {
-		s.fail(w, req.ID, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderIdempotencyKey, maxID), 0)
+// serveKeyed serves a request that is not idempotent and has an Idempotency-Key. The claim on the key
+// makes sure that the request is executed at most once. A request with a recorded answer gets that
+// answer again.
+func (s *Server) serveKeyed(w http.ResponseWriter, r *http.Request, req router.Request, key string) {
+	if len(key) > maxIDBytes {
+		s.fail(w, req.ID, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderIdempotencyKey, maxIDBytes), 0)
 		return
 	}
-	held, decision := s.claims.Take(r.Context(), req, key)
+	taken, decision := s.claims.Take(r.Context(), req, key)
 	switch decision.Kind {
 	case claim.Replay:
 		writeAnswer(w, req.ID, decision.Record.Status, decision.Record.ContentType, decision.Record.Body)
@@ -25,10 +27,10 @@
 		s.fail(w, req.ID, code.New(decision.Code, "%s %q", wire.HeaderIdempotencyKey, key), router.ClaimRetryAfter)
 		return
 	}
-	// The target's work goes on if the caller leaves: the answer is recorded for
-	// the caller's next try.
+	// The request goes on if the caller disconnects, so that the answer is recorded for the caller's
+	// retry.
 	r = r.WithContext(context.WithoutCancel(r.Context()))
 	answer, result := s.runService(r, req)
-	s.claims.Settle(held, answer, result)
-	s.respond(w, req, answer, result)
+	s.claims.Settle(taken, answer, result)
+	s.writeResult(w, req, answer, result)
 }
--- a/internal/adapter/gatewayhttp/connections.go
+++ b/internal/adapter/gatewayhttp/connections.go
@@ -11,22 +11,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Connections are the open connections of a server's callers. The server's own graceful shutdown takes a connection for
+// ConnTracker are the open connections of a server's callers. The server's own graceful shutdown takes a connection for
 // idle until it has read the whole header of a request, and closes it: on a VM that is short of processor time
 // a caller's request is read and its connection closed without an answer, and the caller can't know
 // whether it ran. It is safe for concurrent use.
-type Connections struct {
+type ConnTracker struct {
 	mu   sync.Mutex
 	open map[*connection]struct{}
 }
 
-// NewConnections returns an empty Connections.
-func NewConnections() *Connections { return &Connections{open: make(map[*connection]struct{})} }
+// NewConnTracker returns an empty Connections.
+func NewConnTracker() *ConnTracker { return &ConnTracker{open: make(map[*connection]struct{})} }
 
 // connection is one of them.
 type connection struct {
 	net.Conn
-	all *Connections
+	all *ConnTracker
 
 	mu      sync.Mutex
 	idle    bool      // its last answer has ended, and nothing was read since
@@ -35,12 +35,12 @@
 	begunAt time.Time // when the first bytes of a request were read that the server does not know of yet; zero if none
 }
 
-// Listen wraps a server's listener.
-func (c *Connections) Listen(l net.Listener) net.Listener { return &listener{Listener: l, all: c} }
+// Wrap wraps a server's listener.
+func (c *ConnTracker) Wrap(l net.Listener) net.Listener { return &listener{Listener: l, all: c} }
 
 type listener struct {
 	net.Listener
-	all *Connections
+	all *ConnTracker
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -55,8 +55,8 @@
 	return c, nil
 }
 
-// Changed is the server's hook for the states of its connections.
-func (c *Connections) Changed(conn net.Conn, state http.ConnState) {
+// OnStateChange is the server's hook for the states of its connections.
+func (c *ConnTracker) OnStateChange(conn net.Conn, state http.ConnState) {
 	one, ok := conn.(*connection)
 	if !ok {
 		return
@@ -159,8 +159,8 @@
 	beginWithin = 500 * time.Millisecond
 )
 
-// End ends a server gracefully: connections as they become idle, then the listener and those that never had a request.
-func (c *Connections) End(ctx context.Context, s *http.Server) error {
+// Shutdown ends a server gracefully: connections as they become idle, then the listener and those that never had a request.
+func (c *ConnTracker) Shutdown(ctx context.Context, s *http.Server) error {
 	began := time.Now()
 	for ctx.Err() == nil && (c.endIdle(time.Now()) || time.Since(began) < endFor) {
 		select {
@@ -172,7 +172,7 @@
 }
 
 // endIdle ends what is idle and reports whether connections are left that are, or have begun a request.
-func (c *Connections) endIdle(now time.Time) bool {
+func (c *ConnTracker) endIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	left := false
--- a/internal/adapter/gatewayhttp/connections_test.go
+++ b/internal/adapter/gatewayhttp/connections_test.go
@@ -85,11 +85,11 @@
 	serve := func(delay time.Duration) (address string, end func(context.Context) error) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		connections := gatewayhttp.NewConnections()
-		s := &http.Server{ConnState: connections.Changed, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "whole") })}
-		go func() { _ = s.Serve(connections.Listen(starved{l, delay})) }()
+		connections := gatewayhttp.NewConnTracker()
+		s := &http.Server{ConnState: connections.OnStateChange, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "whole") })}
+		go func() { _ = s.Serve(connections.Wrap(starved{l, delay})) }()
 		DeferCleanup(s.Close)
-		return l.Addr().String(), func(ctx context.Context) error { return connections.End(ctx, s) }
+		return l.Addr().String(), func(ctx context.Context) error { return connections.Shutdown(ctx, s) }
 	}
 	request := func(c net.Conn) {
 		_, err := c.Write([]byte("GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
@@ -128,14 +128,14 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		held := pipelined{l, make(chan struct{}, 10), make(chan struct{}), &atomic.Bool{}, make(chan struct{}), &sync.Once{}}
-		connections := gatewayhttp.NewConnections()
+		connections := gatewayhttp.NewConnTracker()
 		answer := make(chan struct{}, 2)
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-answer; fmt.Fprint(w, "whole") })}
 		s.ConnState = func(c net.Conn, state http.ConnState) {
-			connections.Changed(c, state)
+			connections.OnStateChange(c, state)
 			held.armed.Store(state == http.StateIdle)
 		}
-		go func() { _ = s.Serve(connections.Listen(held)) }()
+		go func() { _ = s.Serve(connections.Wrap(held)) }()
 		DeferCleanup(s.Close)
 		c, err := net.Dial("tcp", l.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
@@ -148,7 +148,7 @@
 		Expect(answered(c)).To(BeTrue())
 		Eventually(held.lifted).Should(BeClosed())
 		done := make(chan error, 1)
-		go func() { done <- connections.End(context.Background(), s) }()
+		go func() { done <- connections.Shutdown(context.Background(), s) }()
 		time.Sleep(50 * time.Millisecond) // two looks at what is idle
 		close(held.release)
 		answer <- struct{}{}
--- a/internal/adapter/gatewayhttp/gatewayhttp.go
+++ b/internal/adapter/gatewayhttp/gatewayhttp.go
@@ -77,8 +77,8 @@
 	out.Refuse(c, gateway.RetryAfter(c, call.Budget))
 }
 
-// Readiness serves the balancer's check at a path.
-func (s *Server) Readiness(path string) http.Handler {
+// ReadinessHandler serves the balancer's check at a path.
+func (s *Server) ReadinessHandler(path string) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
 		if !s.control.Ready() {
--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -90,17 +90,17 @@
 // Said counts what targets say of themselves.
 func (g *Gateway) Said(what string) { g.add("targets_said_total", "what", what, 1) }
 
-// Refused counts a refusal before a route was known.
-func (g *Gateway) Refused(c code.Code) { g.add("refused_total", "code", c.Lookup().Name, 1) }
+// CountRefusal counts a refusal before a route was known.
+func (g *Gateway) CountRefusal(c code.Code) { g.add("refused_total", "code", c.Lookup().Name, 1) }
 
-// Dialed counts a new connection to a target.
-func (g *Gateway) Dialed() { g.add("dials_total", "", "", 1) }
+// CountDial counts a new connection to a target.
+func (g *Gateway) CountDial() { g.add("dials_total", "", "", 1) }
 
-// PeerBytes counts bytes of routers' messages to each other, by kind and direction.
-func (g *Gateway) PeerBytes(kind string, n int64) { g.add("peer_bytes_total", "kind", kind, int(n)) }
+// AddPeerBytes counts bytes of routers' messages to each other, by kind and direction.
+func (g *Gateway) AddPeerBytes(kind string, n int64) { g.add("peer_bytes_total", "kind", kind, int(n)) }
 
-// StoreCall counts a call to the platform's store.
-func (g *Gateway) StoreCall(kind string, err error) {
+// CountStoreCall counts a call to the platform's store.
+func (g *Gateway) CountStoreCall(kind string, err error) {
 	outcome := "ok"
 	if err != nil {
 		outcome = "failed"
--- a/internal/adapter/metrics/levels.go
+++ b/internal/adapter/metrics/levels.go
@@ -8,12 +8,12 @@
 )
 
 // The metrics from which the service-level burn of the fleet is reported, with labels
-// pool and team. LevelRequests has window and outcome (OutcomeGood, OutcomeBad) as well.
+// pool and team. ServiceLevelRequests has window and outcome (OutcomeGood, OutcomeBad) as well.
 const (
-	LevelRequests = prefix + "service_level_requests"
-	LevelFirst    = prefix + "service_level_first_byte_ms"
-	OutcomeGood   = "good"
-	OutcomeBad    = "bad"
+	ServiceLevelRequests  = prefix + "service_level_requests"
+	ServiceLevelFirstByte = prefix + "service_level_first_byte_ms"
+	OutcomeGood           = "good"
+	OutcomeBad            = "bad"
 )
 
 // writeLevels prints how many requests of each pool and team met their service level in
@@ -26,11 +26,11 @@
 				n       uint64
 			}{{OutcomeGood, s.Counts[i].Good}, {OutcomeBad, s.Counts[i].Bad}} {
 				fmt.Fprintf(w, "%s{pool=%q,team=%q,window=%q,outcome=%q} %d\n",
-					LevelRequests, s.Key.Pool, s.Key.Team, window, one.outcome, one.n)
+					ServiceLevelRequests, s.Key.Pool, s.Key.Team, window, one.outcome, one.n)
 			}
 		}
 	}
-	fmt.Fprintf(w, "# TYPE %s histogram\n", LevelFirst)
+	fmt.Fprintf(w, "# TYPE %s histogram\n", ServiceLevelFirstByte)
 	for _, s := range samples {
 		writeFirst(w, s)
 	}
@@ -44,8 +44,8 @@
 			continue
 		}
 		total += bar.Count
-		fmt.Fprintf(w, "%s_bucket{pool=%q,team=%q,le=\"%d\"} %d\n", LevelFirst, s.Key.Pool, s.Key.Team, bar.To, total)
+		fmt.Fprintf(w, "%s_bucket{pool=%q,team=%q,le=\"%d\"} %d\n", ServiceLevelFirstByte, s.Key.Pool, s.Key.Team, bar.To, total)
 	}
-	fmt.Fprintf(w, "%s_bucket{pool=%q,team=%q,le=\"+Inf\"} %d\n", LevelFirst, s.Key.Pool, s.Key.Team, total)
-	fmt.Fprintf(w, "%s_count{pool=%q,team=%q} %d\n", LevelFirst, s.Key.Pool, s.Key.Team, total)
+	fmt.Fprintf(w, "%s_bucket{pool=%q,team=%q,le=\"+Inf\"} %d\n", ServiceLevelFirstByte, s.Key.Pool, s.Key.Team, total)
+	fmt.Fprintf(w, "%s_count{pool=%q,team=%q} %d\n", ServiceLevelFirstByte, s.Key.Pool, s.Key.Team, total)
 }
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -18,18 +18,18 @@
 // unbounded registry would outgrow the memory of a small VM.
 const maxSeries = 2000
 
-// Requests counts requests by pool and result. It is safe for concurrent use.
-type Requests struct {
+// RequestCounts counts requests by pool and result. It is safe for concurrent use.
+type RequestCounts struct {
 	mu       sync.Mutex
 	registry gometrics.Registry
 	series   int
 }
 
-// NewRequests returns empty counters.
-func NewRequests() *Requests { return &Requests{registry: gometrics.NewRegistry()} }
+// NewRequestCounts returns empty counters.
+func NewRequestCounts() *RequestCounts { return &RequestCounts{registry: gometrics.NewRegistry()} }
 
 // Observe records how a request ended.
-func (m *Requests) Observe(req router.Request, result router.Result) {
+func (m *RequestCounts) Observe(req router.Request, result router.Result) {
 	pool := req.Pool.Name
 	m.counter("pool." + pool + ".code." + result.Code.Lookup().Name).Inc(1)
 	m.counter("pool." + pool + ".tickets").Inc(int64(result.Attempts)) // one for each attempt
@@ -41,21 +41,21 @@
 	}
 }
 
-func (m *Requests) counter(name string) gometrics.Counter {
+func (m *RequestCounts) counter(name string) gometrics.Counter {
 	if !m.admit(name) {
 		name = "other"
 	}
 	return gometrics.GetOrRegisterCounter(name, m.registry)
 }
 
-func (m *Requests) timer(name string) gometrics.Timer {
+func (m *RequestCounts) timer(name string) gometrics.Timer {
 	if !m.admit(name) {
 		name = "other_timer"
 	}
 	return gometrics.GetOrRegisterTimer(name, m.registry)
 }
 
-func (m *Requests) admit(name string) bool {
+func (m *RequestCounts) admit(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.registry.Get(name) != nil {
@@ -69,24 +69,24 @@
 }
 
 // WriteJSON writes every metric.
-func (m *Requests) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(m.registry) }
+func (m *RequestCounts) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(m.registry) }
 
-// Traffic counts the bytes and writes of control connections.
-type Traffic struct {
+// ConnectionTraffic counts the bytes and writes of control connections.
+type ConnectionTraffic struct {
 	BytesIn, BytesOut, Reads, Writes atomic.Int64
 }
 
-// Listen wraps a listener so that its connections are counted.
-func (t *Traffic) Listen(l net.Listener) net.Listener {
+// WrapListener wraps a listener so that its connections are counted.
+func (t *ConnectionTraffic) WrapListener(l net.Listener) net.Listener {
 	return &countingListener{Listener: l, traffic: t}
 }
 
-// Wrap counts one connection.
-func (t *Traffic) Wrap(c net.Conn) net.Conn { return &countingConn{Conn: c, traffic: t} }
+// WrapConn counts one connection.
+func (t *ConnectionTraffic) WrapConn(c net.Conn) net.Conn { return &countingConn{Conn: c, traffic: t} }
 
 type countingListener struct {
 	net.Listener
-	traffic *Traffic
+	traffic *ConnectionTraffic
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -94,12 +94,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.traffic.Wrap(c), nil
+	return l.traffic.WrapConn(c), nil
 }
 
 type countingConn struct {
 	net.Conn
-	traffic *Traffic
+	traffic *ConnectionTraffic
 }
 
 func (c *countingConn) Read(p []byte) (int, error) {
@@ -116,8 +116,8 @@
 	return n, err
 }
 
-// ControlBytes is the control traffic of one process since its start.
-type ControlBytes struct {
+// TrafficCounts is the control traffic of one process since its start.
+type TrafficCounts struct {
 	In     int64 `json:"in"`
 	Out    int64 `json:"out"`
 	Reads  int64 `json:"reads"`
@@ -125,6 +125,6 @@
 }
 
 // Snapshot returns the counts.
-func (t *Traffic) Snapshot() ControlBytes {
-	return ControlBytes{In: t.BytesIn.Load(), Out: t.BytesOut.Load(), Reads: t.Reads.Load(), Writes: t.Writes.Load()}
+func (t *ConnectionTraffic) Snapshot() TrafficCounts {
+	return TrafficCounts{In: t.BytesIn.Load(), Out: t.BytesOut.Load(), Reads: t.Reads.Load(), Writes: t.Writes.Load()}
 }
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -31,8 +31,8 @@
 	Resources []resource.Resource `json:"resources"`
 }
 
-// Described is a resource with its status.
-type Described struct {
+// DescribedResource is a resource with its status.
+type DescribedResource struct {
 	resource.Resource
 	Status Status `json:"status"`
 }
@@ -40,7 +40,7 @@
 // Status says what actually holds.
 type Status struct {
 	ObservedGeneration uint64                `json:"observedGeneration"`
-	InForce            *controller.InForce   `json:"inForce,omitempty"`
+	Applied            *controller.InForce   `json:"inForce,omitempty"`
 	Change             *plannedchange.Status `json:"change,omitempty"`
 	Conditions         []Condition           `json:"conditions"`
 }
@@ -52,8 +52,8 @@
 	Reason string `json:"reason"`
 }
 
-// Explanation says why a chat goes where it goes.
-type Explanation struct {
+// PlacementExplanation says why a chat goes where it goes.
+type PlacementExplanation struct {
 	Pool     string   `json:"pool"`
 	Chat     string   `json:"chat"`
 	Owner    string   `json:"owner"`
@@ -144,9 +144,9 @@
 	reply(w, s.described(r.Context(), res))
 }
 
-func (s *Server) described(ctx context.Context, res resource.Resource) Described {
+func (s *Server) described(ctx context.Context, res resource.Resource) DescribedResource {
 	force := s.controller.InForce(ctx, res.Metadata.ResourceVersion)
-	out := Described{Resource: res, Status: Status{InForce: &force}}
+	out := DescribedResource{Resource: res, Status: Status{Applied: &force}}
 	everywhere := Condition{Type: "InForceEverywhere", Status: "True", Reason: "AllRouters"}
 	if force.Routers < force.Listed {
 		everywhere.Status, everywhere.Reason = "False", "RoutersBehind"
@@ -160,7 +160,7 @@
 	return out
 }
 
-func (s *Server) describeChange(ctx context.Context, res resource.Resource, out *Described) {
+func (s *Server) describeChange(ctx context.Context, res resource.Resource, out *DescribedResource) {
 	change, err := s.reconciler.Status(ctx, res.Metadata.Name)
 	if err != nil {
 		return
@@ -237,7 +237,7 @@
 	}
 	chat := q.Get("team") + "/" + q.Get("chat")
 	owner, _ := rendezvous.Highest(rendezvous.Hash(pool.Name), s.routers)
-	out := Explanation{
+	out := PlacementExplanation{
 		Pool: pool.Name, Chat: chat, Owner: strconv.Itoa(int(owner)), Revision: conf.Revision,
 		Order: []string{}, Leaving: []string{},
 	}
--- a/internal/adapter/peer/coalesce.go
+++ b/internal/adapter/peer/coalesce.go
@@ -73,8 +73,8 @@
 	return w.Conn.Close()
 }
 
-// Listen wraps a listener of the peer service, so that replies are coalesced.
-func Listen(l net.Listener) net.Listener { return coalescingListener{l} }
+// WrapListener wraps a listener of the peer service, so that replies are coalesced.
+func WrapListener(l net.Listener) net.Listener { return coalescingListener{l} }
 
 type coalescingListener struct{ net.Listener }
 
--- a/internal/adapter/peer/copier.go
+++ b/internal/adapter/peer/copier.go
@@ -16,19 +16,19 @@
 // on idle connections between all routers would cost more than new connections.
 const copyIdle = 3 * time.Second
 
-// Copier asks routers for copies of tables. It is safe for concurrent use.
-type Copier struct {
+// CopyClient asks routers for copies of tables. It is safe for concurrent use.
+type CopyClient struct {
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewCopier returns a Copier whose calls end after timeout.
-func NewCopier(timeout time.Duration, wrap func(net.Conn) net.Conn) *Copier {
-	return &Copier{client: newHTTPClient(timeout, copyIdle, wrap), timeout: timeout}
+// NewCopyClient returns a Copier whose calls end after timeout.
+func NewCopyClient(timeout time.Duration, wrap func(net.Conn) net.Conn) *CopyClient {
+	return &CopyClient{client: newHTTPClient(timeout, copyIdle, wrap), timeout: timeout}
 }
 
 // Copy asks the router at an address.
-func (c *Copier) Copy(ctx context.Context, address string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
+func (c *CopyClient) Copy(ctx context.Context, address string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	client := peerv1connect.NewPeerServiceClient(c.client, "http://"+address, connect.WithReadMaxBytes(maxMessage))
--- a/internal/adapter/peer/datagram.go
+++ b/internal/adapter/peer/datagram.go
@@ -34,9 +34,9 @@
 	yours  []*peerv1.Report
 }
 
-// Datagrams sends and receives digests. A digest replaces the one before, so
+// DigestSocket sends and receives digests. A digest replaces the one before, so
 // nothing is sent again, and no connection can go silent.
-type Datagrams struct {
+type DigestSocket struct {
 	conn    *net.UDPConn
 	in, out atomic.Int64
 	lost    atomic.Int64
@@ -48,11 +48,11 @@
 // datagramHeader is what IPv4 and UDP add to each digest on a link, in bytes.
 const datagramHeader = 28
 
-// Bytes returns what came in and went out since the start, with headers.
-func (d *Datagrams) Bytes() (in, out int64) { return d.in.Load(), d.out.Load() }
+// TrafficBytes returns what came in and went out since the start, with headers.
+func (d *DigestSocket) TrafficBytes() (in, out int64) { return d.in.Load(), d.out.Load() }
 
-// ListenDatagrams opens the socket at an IP number and port.
-func ListenDatagrams(address string) (*Datagrams, error) {
+// ListenDigests opens the socket at an IP number and port.
+func ListenDigests(address string) (*DigestSocket, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "address %q", address)
@@ -61,16 +61,16 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
 	}
-	d := &Datagrams{conn: conn, unsent: make(chan message, unsentMost), closed: make(chan struct{})}
+	d := &DigestSocket{conn: conn, unsent: make(chan message, unsentMost), closed: make(chan struct{})}
 	go d.run()
 	return d, nil
 }
 
-// Lost returns how many digests could not be sent since the start.
-func (d *Datagrams) Lost() int64 { return d.lost.Load() }
+// LostDigests returns how many digests could not be sent since the start.
+func (d *DigestSocket) LostDigests() int64 { return d.lost.Load() }
 
 // run sends what waits, in bursts.
-func (d *Datagrams) run() {
+func (d *DigestSocket) run() {
 	for {
 		select {
 		case <-d.closed:
@@ -83,7 +83,7 @@
 
 // Send queues a digest for each address; nobody waits for it. yours, if there are any, are added to the digest, each for the
 // address in its place. None of them may be changed afterwards.
-func (d *Datagrams) Send(to []string, m *peerv1.Digest, yours []*peerv1.Report) {
+func (d *DigestSocket) Send(to []string, m *peerv1.Digest, yours []*peerv1.Report) {
 	select {
 	case d.unsent <- message{to, m, yours}:
 	default:
@@ -92,7 +92,7 @@
 }
 
 // send encodes what is the same for all once.
-func (d *Datagrams) send(m message) {
+func (d *DigestSocket) send(m message) {
 	data, err := proto.Marshal(m.digest)
 	if err != nil {
 		d.lost.Add(int64(len(m.to)))
@@ -112,7 +112,7 @@
 	}
 }
 
-func (d *Datagrams) sendOne(address string, data []byte) bool {
+func (d *DigestSocket) sendOne(address string, data []byte) bool {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return false
@@ -126,7 +126,7 @@
 
 // Receive calls handle for each digest until the socket is closed. What is no
 // digest is left out.
-func (d *Datagrams) Receive(handle func(from string, m *peerv1.Digest)) error {
+func (d *DigestSocket) Receive(handle func(from string, m *peerv1.Digest)) error {
 	buffer := make([]byte, maxDatagram)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buffer)
@@ -146,7 +146,7 @@
 }
 
 // Close ends Receive. What waits is not sent.
-func (d *Datagrams) Close() error {
+func (d *DigestSocket) Close() error {
 	d.close.Do(func() { close(d.closed) })
 	return d.conn.Close()
 }
--- a/internal/adapter/peer/datagram_test.go
+++ b/internal/adapter/peer/datagram_test.go
@@ -15,14 +15,14 @@
 func TestSuite(t *testing.T) { testkit.Run(t, "peer") }
 
 var _ = Describe("digests as datagrams", func() {
-	listen := func(address string) *peer.Datagrams {
+	listen := func(address string) *peer.DigestSocket {
 		GinkgoHelper()
-		d, err := peer.ListenDatagrams(address)
+		d, err := peer.ListenDigests(address)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(d.Close)
 		return d
 	}
-	received := func(d *peer.Datagrams) <-chan *peerv1.Digest {
+	received := func(d *peer.DigestSocket) <-chan *peerv1.Digest {
 		out := make(chan *peerv1.Digest, 200)
 		go func() {
 			defer GinkgoRecover()
@@ -67,7 +67,7 @@
 	It("are counted as lost when they can't be sent, and when too many wait", func() {
 		here := listen("127.0.0.1:0")
 		here.Send([]string{"nowhere"}, &peerv1.Digest{}, nil)
-		Eventually(here.Lost).Should(Equal(int64(1)))
+		Eventually(here.LostDigests).Should(Equal(int64(1)))
 		to := make([]string, 320) // 19 pauses
 		for i := range to {
 			to[i] = "127.0.0.9:9"
@@ -77,6 +77,6 @@
 			here.Send(to, &peerv1.Digest{}, nil)
 		}
 		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second), "to send them takes 7.6 s at the least, and nobody waits for it")
-		Expect(here.Lost()).To(BeNumerically(">=", 10*320), "64 wait")
+		Expect(here.LostDigests()).To(BeNumerically(">=", 10*320), "64 wait")
 	})
 })
--- a/internal/adapter/peer/peer.go
+++ b/internal/adapter/peer/peer.go
@@ -37,8 +37,8 @@
 	return peerv1connect.NewPeerServiceHandler(&server{h}, append(options, connect.WithReadMaxBytes(maxMessage))...)
 }
 
-// Uncompressed is for handlers whose large answers are compressed already: each answer would be compressed again.
-func Uncompressed() connect.HandlerOption { return connect.WithCompressMinBytes(maxMessage) }
+// WithoutCompression is for handlers whose large answers are compressed already: each answer would be compressed again.
+func WithoutCompression() connect.HandlerOption { return connect.WithCompressMinBytes(maxMessage) }
 
 // Protocols returns the HTTP versions of the peer service: HTTP/2 without TLS.
 func Protocols() *http.Protocols {
@@ -100,17 +100,17 @@
 	return handle[peerv1.CopyRequest, peerv1.CopyResponse](ctx, s, req)
 }
 
-// Caller calls listed peers. It is safe for concurrent use.
-type Caller struct {
+// Client calls listed peers. It is safe for concurrent use.
+type Client struct {
 	clients map[uint32]peerv1connect.PeerServiceClient
 	timeout time.Duration
 }
 
-// NewCaller returns a Caller for peers by router number. wrap sees each new
+// NewClient returns a Caller for peers by router number. wrap sees each new
 // connection, to count its traffic.
-func NewCaller(addresses map[uint32]string, timeout time.Duration, wrap func(net.Conn) net.Conn) *Caller {
+func NewClient(addresses map[uint32]string, timeout time.Duration, wrap func(net.Conn) net.Conn) *Client {
 	client := newHTTPClient(timeout, 0, wrap)
-	c := &Caller{clients: make(map[uint32]peerv1connect.PeerServiceClient), timeout: timeout}
+	c := &Client{clients: make(map[uint32]peerv1connect.PeerServiceClient), timeout: timeout}
 	for id, address := range addresses {
 		c.clients[id] = peerv1connect.NewPeerServiceClient(client, "http://"+address, connect.WithReadMaxBytes(maxMessage))
 	}
@@ -142,7 +142,7 @@
 }
 
 // Call sends one request to a peer and returns its reply.
-func (c *Caller) Call(ctx context.Context, to uint32, m proto.Message) (proto.Message, error) {
+func (c *Client) Call(ctx context.Context, to uint32, m proto.Message) (proto.Message, error) {
 	client, ok := c.clients[to]
 	if !ok {
 		return nil, code.New(code.UnknownRouter, "router %d is not listed", to)
--- a/internal/adapter/storecall/storecall.go
+++ b/internal/adapter/storecall/storecall.go
@@ -1,6 +1,6 @@
-// Package storecall makes single calls to the platform's store, in whichever form it
-// speaks. It says what a call that went without an answer may have done, and never
-// sends one twice by itself.
+// Package storecall makes single HTTP calls to the platform's store. It never retries a call, and its
+// errors say whether a call without a reply may have taken effect. Paths and encodings are left to the
+// packages that use it.
 package storecall
 
 import (
@@ -14,41 +14,41 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/port"
 )
 
-// maxReply bounds what is read of one reply: a snapshot of 31,000 teams has about 6 MB.
-const maxReply = 64 << 20
+// maxReplyBytes bounds a reply. A snapshot of 31,000 teams has about 6 MB.
+const maxReplyBytes = 64 << 20
 
-// Caller calls a store. It is safe for concurrent use.
-type Caller struct {
-	Base   string // URL without a path
-	Client *http.Client
+// StoreClient calls a store. It is safe for concurrent use.
+type StoreClient struct {
+	BaseURL    string // without a trailing slash
+	HTTPClient *http.Client
 }
 
-// Call sends one call; body is nil for reads. The error is marked as
-// port.ErrOutcomeUnknown if a write may have taken effect, since a caller that
-// repeated it blindly would apply it twice, and as port.ErrUnavailable for a read.
-func (c Caller) Call(ctx context.Context, method, path string, body []byte) (status int, reply []byte, err error) {
-	unanswered := port.ErrUnavailable
+// Call sends one request and returns its status and reply. A nil body marks a read. If no complete
+// reply arrives, the error is marked as port.ErrUnavailable for a read and as port.ErrOutcomeUnknown
+// for a write: the write may have taken effect, and a blind retry could apply it twice.
+func (c StoreClient) Call(ctx context.Context, method, path string, body []byte) (status int, reply []byte, err error) {
+	noReply := port.ErrUnavailable
 	if body != nil {
-		unanswered = port.ErrOutcomeUnknown
+		noReply = port.ErrOutcomeUnknown
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "make request")
+		return 0, nil, errors.Wrap(err, "create request")
 	}
-	// Without GetBody the transport can't send a write again when a connection
-	// breaks; only the caller may decide that.
+	// Without GetBody the transport can't retry a write after a broken connection. Only the code that
+	// makes the call can decide on a retry.
 	if body != nil {
 		req.GetBody = nil
 		req.Header.Set("Content-Type", "application/json")
 	}
-	resp, err := c.Client.Do(req)
+	resp, err := c.HTTPClient.Do(req)
 	if err != nil {
-		return 0, nil, errors.Mark(errors.Wrap(err, "call"), unanswered)
+		return 0, nil, errors.Mark(errors.Wrap(err, "call store"), noReply)
 	}
 	defer resp.Body.Close()
-	reply, err = io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	reply, err = io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return 0, nil, errors.Mark(errors.Wrap(err, "read reply"), unanswered)
+		return 0, nil, errors.Mark(errors.Wrap(err, "read reply"), noReply)
 	}
 	return resp.StatusCode, reply, nil
 }
--- a/internal/adapter/tableservice/tableservice.go
+++ b/internal/adapter/tableservice/tableservice.go
@@ -1,5 +1,5 @@
-// Package tableservice reaches the table service, object store and VM list of the
-// brief over HTTP, as the stand-in speaks them.
+// Package tableservice is an HTTP client of the platform's table service, object store and VM list, in
+// the protocol of the stand-in servers.
 package tableservice
 
 import (
@@ -16,7 +16,7 @@
 )
 
 // Client implements port.Table, port.ObjectStore and port.VMList.
-type Client struct{ caller storecall.Caller }
+type Client struct{ store storecall.StoreClient }
 
 var (
 	_ port.Table       = (*Client)(nil)
@@ -24,9 +24,9 @@
 	_ port.VMList      = (*Client)(nil)
 )
 
-// New returns a Client for the service at base; timeout bounds each call.
-func New(base string, timeout time.Duration) *Client {
-	return &Client{storecall.Caller{Base: base, Client: &http.Client{Timeout: timeout}}}
+// New returns a Client for the service at baseURL. Each call is bounded by timeout.
+func New(baseURL string, timeout time.Duration) *Client {
+	return &Client{storecall.StoreClient{BaseURL: baseURL, HTTPClient: &http.Client{Timeout: timeout}}}
 }
 
 // Get returns one row.
@@ -36,16 +36,15 @@
 	return row, err
 }
 
-// Scan returns the rows under a prefix as of one instant.
+// Scan returns a consistent snapshot of the rows whose keys have the prefix.
 func (c *Client) Scan(ctx context.Context, prefix string) ([]port.Row, error) {
 	var rows []port.Row
 	err := c.read(ctx, "/table/scan?prefix="+url.QueryEscape(prefix), &rows)
 	return rows, err
 }
 
-// Commit applies txn. A reply that is lost is reported as ErrOutcomeUnknown,
-// never as a failure: the write may have taken effect, and a caller that
-// repeated it blindly would apply it twice.
+// Commit applies txn. If the reply is lost, the error is port.ErrOutcomeUnknown and the write may have
+// taken effect. If a precondition fails, the error is port.ErrConflict.
 func (c *Client) Commit(ctx context.Context, txn port.Txn) error {
 	body, err := json.Marshal(txn)
 	if err != nil {
@@ -57,7 +56,7 @@
 // PutObject stores one object.
 func (c *Client) PutObject(ctx context.Context, name string, data []byte) error {
 	if data == nil {
-		data = []byte{} // an empty object is a write as well
+		data = []byte{} // a nil body would mark the call as a read
 	}
 	return c.write(ctx, http.MethodPut, "/objects/"+name, data)
 }
@@ -67,7 +66,7 @@
 	return c.fetch(ctx, "/objects/"+name)
 }
 
-// VMs returns the platform's lagging VM list.
+// VMs returns the platform's VM list, which lags behind the VMs' real state.
 func (c *Client) VMs(ctx context.Context) ([]port.VM, error) {
 	var vms []port.VM
 	err := c.read(ctx, "/vms", &vms)
@@ -75,7 +74,7 @@
 }
 
 func (c *Client) write(ctx context.Context, method, path string, body []byte) error {
-	status, _, err := c.caller.Call(ctx, method, path, body)
+	status, _, err := c.store.Call(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
@@ -100,7 +99,7 @@
 }
 
 func (c *Client) fetch(ctx context.Context, path string) ([]byte, error) {
-	status, reply, err := c.caller.Call(ctx, http.MethodGet, path, nil)
+	status, reply, err := c.store.Call(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/adapter/target/orders.go
+++ b/internal/adapter/target/orders.go
@@ -11,22 +11,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Orders observes model engines and sends them orders.
-type Orders struct{ client *http.Client }
+// OrderClient reads the state of model engines and sends them operators' orders, such as a drain.
+type OrderClient struct{ client *http.Client }
 
-// NewOrders returns an Orders; timeout bounds each call.
-func NewOrders(timeout time.Duration) *Orders {
-	return &Orders{client: &http.Client{Timeout: timeout}}
+// NewOrderClient returns an OrderClient whose calls are bounded by timeout.
+func NewOrderClient(timeout time.Duration) *OrderClient {
+	return &OrderClient{client: &http.Client{Timeout: timeout}}
 }
 
-// ErrOldFencing says that a target refused an order for its fencing number.
-var ErrOldFencing = errors.New("order refused: old fencing number or expired")
+// ErrStaleFencing means that a target refused an order because it has seen a newer fencing number, or
+// because the order had expired.
+var ErrStaleFencing = errors.New("target refused the order: stale fencing number or expired")
 
-// Observe returns a target's open requests and what its last orders left it in.
-func (o *Orders) Observe(ctx context.Context, address string) (int, map[string]string, error) {
+// Observe returns the number of a target's open requests and the state that its last orders set. The
+// keys of the state are actions, its values their arguments.
+func (o *OrderClient) Observe(ctx context.Context, address string) (int, map[string]string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "make request")
+		return 0, nil, errors.Wrap(err, "create request")
 	}
 	resp, err := o.client.Do(req)
 	if err != nil {
@@ -44,8 +46,9 @@
 	return status.Open, status.State, errors.Wrap(err, "decode status")
 }
 
-// Order sends one order.
-func (o *Orders) Order(ctx context.Context, address string, fencing uint64, action, argument string, expires time.Time) error {
+// Order sends an order to a target. The target ignores it after expires. It fails with
+// ErrStaleFencing if the target has accepted a newer fencing number.
+func (o *OrderClient) Order(ctx context.Context, address string, fencing uint64, action, argument string, expires time.Time) error {
 	body, err := json.Marshal(struct {
 		Fencing  uint64    `json:"fencing"`
 		Action   string    `json:"action"`
@@ -57,7 +60,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/orders", bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	resp, err := o.client.Do(req)
 	if err != nil {
@@ -69,7 +72,7 @@
 	case http.StatusNoContent:
 		return nil
 	case http.StatusConflict:
-		return ErrOldFencing
+		return ErrStaleFencing
 	default:
 		return errors.Newf("target answered %d", resp.StatusCode)
 	}
--- a/internal/adapter/target/target.go
+++ b/internal/adapter/target/target.go
@@ -1,5 +1,5 @@
-// Package target sends attempts to targets and turns what happens into the
-// events of the attempt state machine.
+// Package target sends attempts to targets and reports their progress as events of the attempt state
+// machine.
 package target
 
 import (
@@ -20,63 +20,62 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// Dispatch is one attempt to be sent.
-type Dispatch struct {
+// AttemptRequest is one attempt of a request.
+type AttemptRequest struct {
 	Address string
 	Method  string
-	Path    string // with query
+	Path    string // including the query
 	Header  http.Header
 	Body    []byte
-	// RequestID and Attempt together name the attempt.
+	// RequestID and Number together identify the attempt.
 	RequestID string
-	Attempt   int
-	// Offset is the number of parts that the caller already has.
-	Offset int
-	// Stream says that the answer is a stream of chunks.
+	Number    int
+	// ReceivedParts is the number of parts that the caller already has. A target resumes the stream
+	// after them.
+	ReceivedParts int
+	// Stream reports whether the answer is a stream of chunks.
 	Stream bool
-	// FreshConnection forbids reuse of a connection. It is set for requests that
-	// are not idempotent, since the transport sends some requests again on its
-	// own when a reused connection breaks, and for repeated attempts, since the
-	// pooled connections may have gone silent.
+	// FreshConnection forbids the reuse of a connection. It is set for requests that are not
+	// idempotent, since the transport retries some requests on its own when a reused connection
+	// breaks. It is also set for retries, since pooled connections may have gone silent.
 	FreshConnection bool
 }
 
-// Answer is the content of a Part event.
+// Answer is an event of an attempt. If the event is an attempt.Part, it also carries the content.
 type Answer struct {
 	Event attempt.Event
-	// Text is the token of a stream's part.
+	// Text is the token of one part of a stream.
 	Text string
-	// Status, Header and Body are the answer of a plain service.
+	// Status, Header and Body are the whole answer of a service target.
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Settings bound the connections.
+// Settings limits connections and answers.
 type Settings struct {
 	DialTimeout time.Duration
-	// MaxAnswer is the largest answer of a plain service.
-	MaxAnswer int64
+	// MaxAnswerBytes is the largest body that a service target may answer with.
+	MaxAnswerBytes int64
 }
 
-// DefaultSettings returns the settings used by the router.
+// DefaultSettings returns the settings that the router uses.
 func DefaultSettings() Settings {
-	return Settings{DialTimeout: time.Second, MaxAnswer: 16 << 20}
+	return Settings{DialTimeout: time.Second, MaxAnswerBytes: 16 << 20}
 }
 
 // Client sends attempts. It is safe for concurrent use.
 type Client struct {
 	settings Settings
-	pooled   *http.Transport
-	fresh    *http.Transport
+	pooled   *http.Transport // reuses connections
+	fresh    *http.Transport // opens a connection for each request
 }
 
-// idleTimeout closes pooled connections early: the longer one idles, the likelier
-// something between the ends has forgotten it.
+// idleTimeout is short because middleboxes drop the state of idle connections. The longer a
+// connection idles, the likelier it is dead.
 const idleTimeout = 10 * time.Second
 
-// maxIdlePerTarget keeps enough connections for the streams that one router has
-// at one target.
+// maxIdlePerTarget covers the concurrent streams of one router at one target.
 const maxIdlePerTarget = 32
 
 // New returns a Client.
@@ -90,130 +89,133 @@
 	return &Client{settings: s, pooled: pooled, fresh: fresh}
 }
 
-// Suspect drops the pooled connections after one has gone silent.
+// Suspect closes all idle connections. The router calls it after a connection has gone silent, since
+// others may be dead as well.
 func (c *Client) Suspect() { c.pooled.CloseIdleConnections() }
 
-// AttemptID is the id that an answer must echo.
-func AttemptID(requestID string, n int) string { return fmt.Sprintf("%s.%d", requestID, n) }
+// AttemptID returns the id of an attempt, which a target's answer must echo.
+func AttemptID(requestID string, number int) string { return fmt.Sprintf("%s.%d", requestID, number) }
 
-// Run sends one attempt and calls emit for each event, the last one ending the
-// attempt. It returns after that or when ctx ends.
-func (c *Client) Run(ctx context.Context, d Dispatch, emit func(Answer)) {
-	wrote := false
+// Run sends an attempt and calls emit for each of its events. The last event ends the attempt. Run
+// returns after it, or when ctx ends.
+func (c *Client) Run(ctx context.Context, d AttemptRequest, emit func(Answer)) {
+	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
-		// From here on bytes may be written. The event comes before the first of
-		// them: a crash in between then errs on the side of "may have run".
-		wrote = true
-		emit(Answer{Event: attempt.WriteStarted{Attempt: d.Attempt}})
+		// The transport may write bytes from here on. The event precedes the first byte, so an attempt
+		// that fails in between counts as possibly executed.
+		connected = true
+		emit(Answer{Event: attempt.WriteStarted{Attempt: d.Number}})
 	}}
-	req, err := c.request(httptrace.WithClientTrace(ctx, trace), d)
+	req, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), d)
 	if err != nil {
-		emit(Answer{Event: attempt.NotSent{Attempt: d.Attempt}})
+		emit(Answer{Event: attempt.NotSent{Attempt: d.Number}})
 		return
 	}
 	transport := c.pooled
 	if d.FreshConnection {
 		transport = c.fresh
 	}
-	// RoundTrip, not Client.Do: a followed redirect would run the request again.
+	// http.Client.Do would follow redirects and send the request a second time.
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		if wrote {
-			emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Attempt}})
+		if connected {
+			emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Number}})
 		} else {
-			emit(Answer{Event: attempt.NotSent{Attempt: d.Attempt}})
+			emit(Answer{Event: attempt.NotSent{Attempt: d.Number}})
 		}
 		return
 	}
 	defer resp.Body.Close()
-	c.answer(d, resp, emit)
+	c.readAnswer(d, resp, emit)
 }
 
-func (c *Client) request(ctx context.Context, d Dispatch) (*http.Request, error) {
+func (c *Client) newRequest(ctx context.Context, d AttemptRequest) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, d.Method, "http://"+d.Address+d.Path, bytes.NewReader(d.Body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
-	// Without GetBody the transport can't repeat a request whose body it has sent.
+	// Without GetBody the transport can't retry a request whose body it has sent.
 	req.GetBody = nil
 	req.Header = d.Header.Clone()
-	req.Header.Set(wire.HeaderRequest, d.RequestID)
-	req.Header.Set(wire.HeaderAttempt, AttemptID(d.RequestID, d.Attempt))
-	if d.Offset > 0 {
-		req.Header.Set(wire.HeaderResumeFrom, strconv.Itoa(d.Offset))
+	req.Header.Set(wire.HeaderRequestID, d.RequestID)
+	req.Header.Set(wire.HeaderAttemptID, AttemptID(d.RequestID, d.Number))
+	if d.ReceivedParts > 0 {
+		req.Header.Set(wire.HeaderResumeFrom, strconv.Itoa(d.ReceivedParts))
 	}
 	return req, nil
 }
 
-func (c *Client) answer(d Dispatch, resp *http.Response, emit func(Answer)) {
-	if resp.Header.Get(wire.HeaderNotRun) != "" {
-		emit(Answer{Event: attempt.TargetRefused{Attempt: d.Attempt}})
+// readAnswer emits the events of a target's answer.
+func (c *Client) readAnswer(d AttemptRequest, resp *http.Response, emit func(Answer)) {
+	if resp.Header.Get(wire.HeaderNotExecuted) != "" {
+		emit(Answer{Event: attempt.TargetRefused{Attempt: d.Number}})
 		return
 	}
 	if !d.Stream {
-		c.plain(d, resp, emit)
+		c.readService(d, resp, emit)
 		return
 	}
 	if resp.StatusCode != http.StatusOK {
-		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Attempt}})
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Number}})
 		return
 	}
-	c.stream(d, resp.Body, emit)
+	c.readStream(d, resp.Body, emit)
 }
 
-var errNoEnd = errors.New("end marker without a last chunk")
+// errNoLastChunk means that a stream had its end marker, but no chunk with the number of its tokens.
+var errNoLastChunk = errors.New("stream has an end marker, but no last chunk")
 
-func (c *Client) stream(d Dispatch, body io.Reader, emit func(Answer)) {
+// readStream emits an event for each chunk of a stream and one for its end.
+func (c *Client) readStream(d AttemptRequest, body io.Reader, emit func(Answer)) {
 	var last *wire.Chunk
 	err := wire.ReadEvents(body, func(data []byte) error {
 		var chunk wire.Chunk
 		if err := json.Unmarshal(data, &chunk); err != nil {
 			return errors.Wrap(err, "decode chunk")
 		}
-		if chunk.Last() {
+		if chunk.IsLast() {
 			last = &chunk
 			return nil
 		}
 		emit(Answer{
-			Event: attempt.Part{Attempt: d.Attempt, Echo: d.echo(chunk.ID), Offset: chunk.Offset},
+			Event: attempt.Part{Attempt: d.Number, Echo: d.echoedNumber(chunk.ID), Offset: chunk.Offset},
 			Text:  chunk.Content(),
 		})
 		return nil
 	})
 	if err == nil && last == nil {
-		err = errNoEnd
+		err = errNoLastChunk
 	}
 	if err != nil {
-		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Attempt}})
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Number}})
 		return
 	}
-	emit(Answer{Event: attempt.End{Attempt: d.Attempt, Echo: d.echo(last.ID), Total: last.Offset}})
+	emit(Answer{Event: attempt.End{Attempt: d.Number, Echo: d.echoedNumber(last.ID), Total: last.Offset}})
 }
 
-// echo returns the number of the attempt that an answer names, -1 if it names
-// another request.
-func (d Dispatch) echo(id string) int {
-	if id == AttemptID(d.RequestID, d.Attempt) {
-		return d.Attempt
+// echoedNumber returns the attempt's number if an answer echoes the attempt's id, otherwise -1.
+func (d AttemptRequest) echoedNumber(id string) int {
+	if id == AttemptID(d.RequestID, d.Number) {
+		return d.Number
 	}
 	return -1
 }
 
-// plain reads the whole answer of a service before any of it goes on: a body
-// shorter than announced must not reach the caller as a whole one.
-func (c *Client) plain(d Dispatch, resp *http.Response, emit func(Answer)) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.settings.MaxAnswer+1))
-	if err != nil || int64(len(body)) > c.settings.MaxAnswer {
-		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Attempt}})
+// readService reads the whole answer of a service target before it emits any of it. A truncated body
+// must not reach the caller as a complete one.
+func (c *Client) readService(d AttemptRequest, resp *http.Response, emit func(Answer)) {
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.settings.MaxAnswerBytes+1))
+	if err != nil || int64(len(body)) > c.settings.MaxAnswerBytes {
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Number}})
 		return
 	}
-	echo := d.Attempt
-	if id := resp.Header.Get(wire.HeaderAttempt); id != "" {
-		echo = d.echo(id)
+	echo := d.Number
+	if id := resp.Header.Get(wire.HeaderAttemptID); id != "" {
+		echo = d.echoedNumber(id)
 	}
 	emit(Answer{
-		Event:  attempt.Part{Attempt: d.Attempt, Echo: echo, Offset: 0},
+		Event:  attempt.Part{Attempt: d.Number, Echo: echo, Offset: 0},
 		Status: resp.StatusCode, Header: resp.Header, Body: body,
 	})
-	emit(Answer{Event: attempt.End{Attempt: d.Attempt, Echo: echo, Total: 1}})
+	emit(Answer{Event: attempt.End{Attempt: d.Number, Echo: echo, Total: 1}})
 }
--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -10,45 +10,46 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is one connection to a target. One request at a time uses it.
+// conn is a connection to a target. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// usable is until when the target keeps the connection while it idles.
-	usable time.Time
+	// usableUntil is the local time after which the idle connection is no longer used. It comes
+	// from the idle timeout that the target announced.
+	usableUntil time.Time
 }
 
-// Connections go silent for good without a reset while new ones work, and a VM
-// without power answers nothing. Keep-alive probes find the first while an answer
-// is awaited, the user timeout finds a request that is never acknowledged; without
-// them only the request's deadline would end the wait.
-// Probes are counted in whole seconds.
+// Limits after which the kernel breaks a dead connection. A connection can go silent without a
+// reset while new ones still work, and a VM that loses power sends nothing at all. Keep-alive
+// probes detect this while a request waits for its answer. The user timeout detects a request that
+// is never acknowledged. Without them only the request's deadline would end the wait.
+// The kernel takes the probe times in whole seconds.
 const (
-	probeIdle     = time.Second
-	probeInterval = time.Second
-	probeCount    = 2
-	userTimeout   = 1500 * time.Millisecond
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
+	userTimeout       = 1500 * time.Millisecond
 )
 
-func dialer(timeout time.Duration) *net.Dialer {
+func newDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error { return setUserTimeout(raw) },
 	}
 }
 
 func setUserTimeout(raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
 func dial(ctx context.Context, d *net.Dialer, address string) (*conn, error) {
@@ -56,16 +57,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferBytes)}, nil
 }
 
-// readBuffer holds the header and the first events of an answer.
-const readBuffer = 4 << 10
+// readBufferBytes is enough for the header and the first events of an answer.
+const readBufferBytes = 4 << 10
 
-// quiet reports whether an idle connection is open and nothing has arrived on it.
-// What arrives between two requests is a second answer to the first one, or the end
-// of the connection; the next answer must not be read behind it.
-func (c *conn) quiet() bool {
+// isReusable reports whether an idle connection is open and has no unread bytes. Bytes that arrive
+// between two requests are a second answer to the earlier request or the end of the connection.
+// The next request must not read them as its own answer.
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -79,9 +80,9 @@
 	}
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, failed := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		open = failed == unix.EAGAIN
+		var buf [1]byte
+		_, _, sockErr := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		open = sockErr == unix.EAGAIN
 		return true
 	})
 	return err == nil && open
--- a/internal/adapter/upstream/upstream.go
+++ b/internal/adapter/upstream/upstream.go
@@ -1,7 +1,6 @@
-// Package upstream sends requests to targets over HTTP/1.1 and keeps connections.
-// The standard client is not used because it repeats some requests by itself and
-// drops an answer that belongs to another request without telling: both decide
-// whether a request may be sent again, which is the caller's to know.
+// Package upstream sends requests to targets over HTTP/1.1 and pools their connections.
+// It does not use http.Client, which retries some requests on its own and silently drops an answer
+// to another request. The router must know of both to decide whether a request may be retried.
 package upstream
 
 import (
@@ -18,54 +17,56 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of a send, which say what the target may have seen.
+// Errors of Client.Do. They say how much of the request the target may have received.
 var (
-	// ErrNotSent: no byte reached the target.
+	// ErrNotSent means that no byte was sent to the target.
 	ErrNotSent = errors.New("request not sent")
-	// ErrWithdrawn: the sender took the request back as it was about to be sent. It is an ErrNotSent.
+	// ErrWithdrawn means that Request.ConfirmSend returned false. The error is an ErrNotSent as well.
 	ErrWithdrawn = errors.New("request withdrawn")
-	// ErrBroken: the connection failed after a byte may have reached the target.
-	ErrBroken = errors.New("connection broken")
-	// ErrForeign: an answer belonged to another request.
-	ErrForeign = errors.New("answer to another request")
+	// ErrConnectionBroken means that the connection failed after a byte may have reached the target.
+	ErrConnectionBroken = errors.New("connection broken")
+	// ErrAnswerMismatch means that the target answered another request on this connection, and that
+	// the answer to this request could not be read after it.
+	ErrAnswerMismatch = errors.New("answer belongs to another request")
 )
 
-// Settings bound connections.
+// Settings limits the connections to targets.
 type Settings struct {
-	// DialTimeout is how long a target may take to accept a connection. Handshakes
-	// take a millisecond; an opening packet that is lost is sent again after a
-	// second, which is too late for most requests.
+	// DialTimeout bounds the TCP handshake. A handshake takes about a millisecond. The kernel resends
+	// a lost SYN only after a second, which is too late for most requests.
 	DialTimeout time.Duration
-	// MaxIdle is how many idle connections to one target are kept.
-	MaxIdle int
-	// IdleUnknown is how long a connection is kept whose target does not say how
-	// long it keeps it, and IdleMost the longest that any is kept.
-	IdleUnknown, IdleMost time.Duration
+	// MaxIdlePerTarget is the number of idle connections that are kept to one target.
+	MaxIdlePerTarget int
+	// DefaultIdleTimeout applies to connections whose target announces no idle timeout.
+	// MaxIdleTimeout caps the timeout that a target announces.
+	DefaultIdleTimeout, MaxIdleTimeout time.Duration
 }
 
-// DefaultSettings returns the settings used by the router.
+// DefaultSettings returns the settings that the router uses.
 func DefaultSettings() Settings {
 	return Settings{
-		DialTimeout: 300 * time.Millisecond, MaxIdle: 16,
-		IdleUnknown: 400 * time.Millisecond, IdleMost: 10 * time.Second,
+		DialTimeout: 300 * time.Millisecond, MaxIdlePerTarget: 16,
+		DefaultIdleTimeout: 400 * time.Millisecond, MaxIdleTimeout: 10 * time.Second,
 	}
 }
 
-// Request is one attempt.
+// Request is one attempt of a caller's request.
 type Request struct {
-	Target  uint64 // whose connections may be used
+	Target  uint64 // UID of the target's lifetime; only its connections are reused
 	Address string
 	Method  string
 	URI     string // as the caller sent it
 	Host    string
 	Header  http.Header
 	Body    []byte
-	// Echoes reports whether an answer belongs to this request.
-	Echoes func(http.Header) bool
-	// Sent is called before the first byte is written. If it returns false nothing is written.
-	Sent func() bool
-	// Heard is called with the header of each answer that the target sends, of one to another request too.
-	Heard func(status int, h http.Header)
+	// IsAnswer reports whether an answer with this header belongs to this request. Nil accepts any.
+	IsAnswer func(http.Header) bool
+	// ConfirmSend, if set, is called right before the first byte is written. If it returns false,
+	// nothing is written and Do fails with ErrWithdrawn.
+	ConfirmSend func() bool
+	// OnHeader, if set, is called for each final answer on the connection, including answers to other
+	// requests.
+	OnHeader func(status int, h http.Header)
 }
 
 // Client sends requests. It is safe for concurrent use.
@@ -73,51 +74,53 @@
 	settings Settings
 	dialer   *net.Dialer
 	now      func() time.Time
-	dials    func() // counts new connections
+	onDial   func() // called before each new connection
 
 	mu   sync.Mutex
 	idle map[uint64][]*conn
 }
 
-// New returns a Client; dialed is called for each new connection.
+// New returns a Client. It calls dialed before each new connection.
 func New(s Settings, now func() time.Time, dialed func()) *Client {
-	return &Client{settings: s, dialer: dialer(s.DialTimeout), now: now, dials: dialed, idle: make(map[uint64][]*conn)}
+	return &Client{settings: s, dialer: newDialer(s.DialTimeout), now: now, onDial: dialed, idle: make(map[uint64][]*conn)}
 }
 
-// Answer is a target's answer whose body is still to be read.
+// Answer is a target's answer. Its header has been read, its body has not. The reader of the body
+// must call Close.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Framed says that the body's end is marked, by a length or by chunks. Without,
-	// the end of the connection is all there is.
+	// Framed reports whether a Content-Length or chunked encoding marks the end of the body. Otherwise
+	// the end of the connection ends the body, and a truncated body can't be recognised.
 	Framed bool
 
 	body    io.ReadCloser
 	client  *Client
 	target  uint64
 	conn    *conn
-	written chan error // nil once the request was written whole
-	stop    func() bool
-	ended   bool
-	closing bool
+	written chan error  // receives the result of the background write; nil if there is none
+	unwatch func() bool // stops closing the connection when the request's context ends
+	eof     bool        // the body was read to its end
+	closing bool        // the connection can't carry another request
 }
 
-// Do sends a request and returns its answer, whose header has arrived. Closing ctx
-// ends the connection, at any time until Close.
+// Do sends a request and returns the answer as soon as its header has arrived. Until the answer is
+// closed, the end of ctx closes the connection. Errors are marked as ErrNotSent, ErrConnectionBroken
+// or ErrAnswerMismatch.
 func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
 	cn, err := c.connect(ctx, r)
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
 	}
 	a := &Answer{client: c, target: r.Target, conn: cn}
-	a.stop = context.AfterFunc(ctx, func() { _ = cn.Close() })
-	if r.Sent != nil && !r.Sent() {
+	a.unwatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
+	if r.ConfirmSend != nil && !r.ConfirmSend() {
 		a.abort()
 		return nil, errors.Mark(ErrWithdrawn, ErrNotSent)
 	}
 	if err := a.write(r); err != nil {
 		a.abort()
-		return nil, errors.Mark(err, ErrBroken)
+		return nil, errors.Mark(err, ErrConnectionBroken)
 	}
 	if err := a.readHeader(r); err != nil {
 		a.abort()
@@ -126,24 +129,25 @@
 	return a, nil
 }
 
+// connect returns a reusable idle connection to the target, or dials a new one.
 func (c *Client) connect(ctx context.Context, r Request) (*conn, error) {
 	for {
-		cn := c.take(r.Target)
+		cn := c.popIdle(r.Target)
 		if cn == nil {
 			break
 		}
-		if c.now().Before(cn.usable) && cn.quiet() {
+		if c.now().Before(cn.usableUntil) && cn.isReusable() {
 			return cn, nil
 		}
 		_ = cn.Close()
 	}
-	if c.dials != nil {
-		c.dials()
+	if c.onDial != nil {
+		c.onDial()
 	}
 	return dial(ctx, c.dialer, r.Address)
 }
 
-func (c *Client) take(target uint64) *conn {
+func (c *Client) popIdle(target uint64) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := c.idle[target]
@@ -155,18 +159,18 @@
 	return last
 }
 
-func (c *Client) keep(target uint64, cn *conn) bool {
+func (c *Client) pushIdle(target uint64, cn *conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[target]) >= c.settings.MaxIdle {
+	if len(c.idle[target]) >= c.settings.MaxIdlePerTarget {
 		return false
 	}
 	c.idle[target] = append(c.idle[target], cn)
 	return true
 }
 
-// Prune closes idle connections that are too old, and those to targets that are
-// no longer listed.
+// Prune closes idle connections whose idle timeout has passed, and those to targets that were removed
+// from the target list.
 func (c *Client) Prune(listed func(target uint64) bool) {
 	now := c.now()
 	c.mu.Lock()
@@ -174,7 +178,7 @@
 	for target, kept := range c.idle {
 		out := kept[:0]
 		for _, cn := range kept {
-			if listed(target) && now.Before(cn.usable) {
+			if listed(target) && now.Before(cn.usableUntil) {
 				out = append(out, cn)
 			} else {
 				_ = cn.Close()
@@ -187,9 +191,10 @@
 	}
 }
 
-// writeAside is the size from which a body is written while the answer is awaited:
-// a target may answer before it has read a long body, and neither side would go on.
-const writeAside = 2 << 10
+// backgroundWriteBytes is the body size from which a request is written in the background while its
+// answer is read. A target may answer before it has read a long body. If the router read the answer
+// only after the write, both sides could block on each other.
+const backgroundWriteBytes = 2 << 10
 
 func (a *Answer) write(r Request) error {
 	var b bytes.Buffer
@@ -202,7 +207,7 @@
 	}
 	b.WriteString("\r\n")
 	b.Write(r.Body)
-	if len(r.Body) < writeAside {
+	if len(r.Body) < backgroundWriteBytes {
 		_, err := a.conn.Write(b.Bytes())
 		return err
 	}
@@ -214,74 +219,76 @@
 	return nil
 }
 
-// maxForeign is how many answers to other requests are read over before the
-// connection is given up. A target sends at most one answer too many.
-const maxForeign = 2
+// maxMismatches is how many answers to other requests are skipped before the connection is closed.
+// A target sends at most one surplus answer.
+const maxMismatches = 2
 
 func (a *Answer) readHeader(r Request) error {
-	for foreign := 0; ; {
+	for mismatches := 0; ; {
 		resp, err := http.ReadResponse(a.conn.reader, &http.Request{Method: r.Method})
 		if err != nil {
-			return errors.Mark(err, ErrBroken)
+			return errors.Mark(err, ErrConnectionBroken)
 		}
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Heard != nil {
-			r.Heard(resp.StatusCode, resp.Header)
+		if r.OnHeader != nil {
+			r.OnHeader(resp.StatusCode, resp.Header)
 		}
-		if r.Echoes == nil || r.Echoes(resp.Header) {
-			a.take(resp)
+		if r.IsAnswer == nil || r.IsAnswer(resp.Header) {
+			a.setResponse(resp)
 			return nil
 		}
-		// A late second answer to an earlier request stands before ours.
-		if foreign++; foreign > maxForeign || resp.Close || !framed(resp) {
-			return errors.Mark(errors.New("foreign answer"), ErrForeign)
+		// A late second answer to an earlier request may precede the answer to this one.
+		if mismatches++; mismatches > maxMismatches || resp.Close || !isFramed(resp) {
+			return errors.Mark(errors.New("answer belongs to another request"), ErrAnswerMismatch)
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-			return errors.Mark(err, ErrForeign)
+			return errors.Mark(err, ErrAnswerMismatch)
 		}
 	}
 }
 
-func framed(resp *http.Response) bool {
+func isFramed(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-func (a *Answer) take(resp *http.Response) {
+func (a *Answer) setResponse(resp *http.Response) {
 	a.Status, a.Header, a.body = resp.StatusCode, resp.Header, resp.Body
-	a.Framed = framed(resp)
+	a.Framed = isFramed(resp)
 	a.closing = resp.Close || !a.Framed
 }
 
-// Read reads the body. io.EOF means that it is whole, as far as Framed can tell.
+// Read reads the body. If Framed is set, io.EOF means that the body is complete.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.ended = true
+		a.eof = true
 	}
 	return n, err
 }
 
-// Close ends the answer. The connection is kept only if nothing is left of this
-// request on it, in either direction.
+// Close releases the answer. It keeps the connection for reuse only if the request was written and
+// the answer read completely.
 func (a *Answer) Close() {
-	if !a.stop() || !a.ended || a.closing || !a.wasWritten() || a.conn.reader.Buffered() > 0 {
+	if !a.unwatch() || !a.eof || a.closing || !a.isWritten() || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
-	a.conn.usable = a.client.now().Add(a.client.keepFor(a.Header))
-	if !a.client.keep(a.target, a.conn) {
+	a.conn.usableUntil = a.client.now().Add(a.client.idleTimeout(a.Header))
+	if !a.client.pushIdle(a.target, a.conn) {
 		_ = a.conn.Close()
 	}
 }
 
+// abort closes the connection of a request without an answer.
 func (a *Answer) abort() {
-	a.stop()
+	a.unwatch()
 	_ = a.conn.Close()
 }
 
-func (a *Answer) wasWritten() bool {
+// isWritten reports whether the whole request was written without an error.
+func (a *Answer) isWritten() bool {
 	if a.written == nil {
 		return true
 	}
@@ -293,19 +300,21 @@
 	}
 }
 
-// keepMargin is taken off a target's idle time: a request that crosses the target's
-// close on the way would be lost, and nobody could tell whether it ran.
-const keepMargin = 500 * time.Millisecond
+// idleTimeoutMargin is subtracted from the idle timeout that a target announces. Without it a request
+// could be sent while the target closes the connection, and it would be unknown whether it was
+// executed.
+const idleTimeoutMargin = 500 * time.Millisecond
 
-func (c *Client) keepFor(h http.Header) time.Duration {
+// idleTimeout returns how long a connection may idle, by the Keep-Alive header of its last answer.
+func (c *Client) idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil && seconds > 0 {
-			return min(time.Duration(seconds)*time.Second-keepMargin, c.settings.IdleMost)
+			return min(time.Duration(seconds)*time.Second-idleTimeoutMargin, c.settings.MaxIdleTimeout)
 		}
 	}
-	return c.settings.IdleUnknown
+	return c.settings.DefaultIdleTimeout
 }
--- a/internal/app/controller/reconciler.go
+++ b/internal/app/controller/reconciler.go
@@ -255,7 +255,7 @@
 
 // writeStatus stores a status unless another process has stored one since it was read.
 func (r *Reconciler) writeStatus(ctx context.Context, name string, s plannedchange.Status, version uint64) error {
-	r.log.Line(eventlog.PlannedChange).Str("change", name).Str("phase", string(s.Phase)).Str("why", s.Message).Msg("")
+	r.log.Line(eventlog.PlannedChangeProgress).Str("change", name).Str("phase", string(s.Phase)).Str("why", s.Message).Msg("")
 	return r.put(ctx, statusPrefix+name, s, version)
 }
 
--- a/internal/app/gateway/departures.go
+++ b/internal/app/gateway/departures.go
@@ -65,7 +65,7 @@
 	for _, d := range told {
 		if (d.Announced && c.view.saysLeaving(now, d.Target)) || (d.Exited && c.view.targetEnded(now, d.Target)) {
 			news = append(news, d)
-			c.log.Line(eventlog.TargetLeft).Str("target", c.view.targetID(d.Target)).Bool("said", d.Announced).Bool("ended", d.Exited).Msg("")
+			c.log.Line(eventlog.TargetDeparted).Str("target", c.view.targetID(d.Target)).Bool("said", d.Announced).Bool("ended", d.Exited).Msg("")
 		}
 	}
 	if len(news) == 0 {
@@ -76,6 +76,6 @@
 		c.publishTargets(now)
 	}
 	for _, id := range ids {
-		c.log.Line(eventlog.TargetLeft).Str("target", id).Msg("")
+		c.log.Line(eventlog.TargetDeparted).Str("target", id).Msg("")
 	}
 }
--- a/internal/app/gateway/keep.go
+++ b/internal/app/gateway/keep.go
@@ -72,7 +72,7 @@
 		err = k.write(ctx, now)
 	}
 	if err != nil {
-		c.log.Line(eventlog.KeepFailed).Err(err).Msg("")
+		c.log.Line(eventlog.SuspectStoreFailed).Err(err).Msg("")
 		k.retryAt = now.Add(k.retry)
 		k.retry = min(2*k.retry, listRetryMax)
 		return
--- a/internal/app/gateway/listing.go
+++ b/internal/app/gateway/listing.go
@@ -77,7 +77,7 @@
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := c.store.Register(call, texts(missing)); err != nil {
-		c.log.Line(eventlog.ListFailed).Int("routers", len(missing)).Err(err).Msg("")
+		c.log.Line(eventlog.RouterListFailed).Int("routers", len(missing)).Err(err).Msg("")
 		l.retryAt = now.Add(l.retry)
 		l.retry = min(2*l.retry, listRetryMax)
 		return
@@ -95,7 +95,7 @@
 	defer cancel()
 	listed, err := c.store.Registered(call)
 	if err != nil {
-		c.log.Line(eventlog.ListFailed).Err(err).Msg("")
+		c.log.Line(eventlog.RouterListFailed).Err(err).Msg("")
 		return nil, err
 	}
 	// Others take an entry out if they have heard nothing of its router for long.
@@ -123,7 +123,7 @@
 		err := c.store.Unregister(call, string(a))
 		cancel()
 		if err != nil {
-			c.log.Line(eventlog.ListFailed).Str("peer", string(a)).Err(err).Msg("")
+			c.log.Line(eventlog.RouterListFailed).Str("peer", string(a)).Err(err).Msg("")
 			continue
 		}
 		c.log.Line(eventlog.PeerUnlisted).Str("peer", string(a)).Msg("")
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -227,7 +227,7 @@
 }
 
 func (r *Relay) ended(target placement.Target, requests []poison.Fingerprint) {
-	r.log.Line(eventlog.TargetEnded).Str("target", target.ID).Int("requests", len(requests)).Msg("")
+	r.log.Line(eventlog.TargetExited).Str("target", target.ID).Int("requests", len(requests)).Msg("")
 	r.view.guard.ended(r.now(), target.UID, requests)
 	if r.view.targetEnded(r.now(), target.UID) {
 		r.depart(placement.Departure{Target: target.UID, Exited: true})
--- a/internal/app/gateway/reads.go
+++ b/internal/app/gateway/reads.go
@@ -59,13 +59,13 @@
 	switch {
 	case err != nil:
 		reply = nil
-		c.log.Line(eventlog.CopyFailed).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Err(err).Msg("")
+		c.log.Line(eventlog.TableCopyFailed).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Err(err).Msg("")
 	case reply.GetBusy():
-		c.log.Line(eventlog.CopyRefused).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Msg("")
+		c.log.Line(eventlog.TableCopyRefused).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Msg("")
 		c.post(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Busy: true, Holders: fleet.DecodeAddresses(reply.GetHolders())})
 		return
 	default:
-		c.log.Line(eventlog.Copied).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Uint64("row", reply.GetVersion()).
+		c.log.Line(eventlog.TableCopied).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Uint64("row", reply.GetVersion()).
 			Bool("whole", reply.GetWhole()).Int("bytes", size).Dur("took", c.now().Sub(began)).Msg("")
 	}
 	c.post(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Reply: reply})
--- a/internal/app/gateway/run.go
+++ b/internal/app/gateway/run.go
@@ -53,7 +53,7 @@
 	r := x.relay
 	if full, ok := r.view.allowRepeat(r.now(), x.match.pool); !ok {
 		x.denied = true
-		x.note(eventlog.RepeatDenied).Str("pool", x.match.pool).Int("repeats", full.Retries).Float64("allowed", full.Allowed).
+		x.note(eventlog.RetryDenied).Str("pool", x.match.pool).Int("repeats", full.Retries).Float64("allowed", full.Allowed).
 			Float64("requests", full.Requests).Float64("slack", full.Slack).Msg("")
 		return x.machine.Step(attempt.TicketRefused{Code: code.TargetRefused})
 	}
--- a/internal/app/gateway/said.go
+++ b/internal/app/gateway/said.go
@@ -21,7 +21,7 @@
 	if !reply.Leaving && reply.Pause == 0 && reply.BadPause == "" {
 		return
 	}
-	r.log.Line(eventlog.TargetSaid).Str("target", t.choice.Target.ID).Bool("leaving", reply.Leaving).
+	r.log.Line(eventlog.TargetNotice).Str("target", t.choice.Target.ID).Bool("leaving", reply.Leaving).
 		Dur("pause", reply.Pause).Str("bad", reply.BadPause[:min(len(reply.BadPause), maxBadShown)]).Msg("")
 	for what, said := range map[string]bool{SaidLeaving: reply.Leaving, SaidPause: reply.Pause > 0, SaidBad: reply.BadPause != ""} {
 		if said {
--- a/internal/app/gateway/said_test.go
+++ b/internal/app/gateway/said_test.go
@@ -33,11 +33,11 @@
 		s.meanwhile = nil
 		say(q)
 	}
-	if !q.Sent() {
+	if !q.ConfirmSend() {
 		return nil, upstream.ErrWithdrawn
 	}
 	s.sent[q.Target]++
-	return nil, upstream.ErrBroken
+	return nil, upstream.ErrConnectionBroken
 }
 
 func (*slowDial) Prune(func(uint64) bool) {}
@@ -65,7 +65,7 @@
 		var leaver uint64
 		up.meanwhile = func(q upstream.Request) {
 			leaver = q.Target
-			q.Heard(http.StatusOK, http.Header{"Leaving": []string{"1"}})
+			q.OnHeader(http.StatusOK, http.Header{"Leaving": []string{"1"}})
 		}
 		for i := range 10 {
 			match, got := relay.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -110,9 +110,9 @@
 	return upstream.Request{
 		Target: t.choice.Target.UID, Address: t.choice.Target.Address,
 		Method: call.Method, URI: call.URI, Host: call.Host, Header: x.relay.wire.Prepare(call, a), Body: x.body,
-		Echoes: func(h http.Header) bool { return x.relay.wire.Echoes(call, h) },
-		Heard:  t.hear,
-		Sent:   t.sent,
+		IsAnswer:    func(h http.Header) bool { return x.relay.wire.Echoes(call, h) },
+		OnHeader:    t.hear,
+		ConfirmSend: t.sent,
 	}
 }
 
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -23,7 +23,7 @@
 
 // Targets sends attempts.
 type Targets interface {
-	Run(ctx context.Context, d target.Dispatch, emit func(target.Answer))
+	Run(ctx context.Context, d target.AttemptRequest, emit func(target.Answer))
 	Suspect()
 }
 
@@ -262,10 +262,10 @@
 	r.note(eventlog.Placed).Int("attempt", a.Attempt).Str("pool", r.req.Pool.Name).Str("team", r.req.Team).
 		Str("target", r.result.Target).Str("rule", string(placement.RuleTicket)).Dur("wait", r.sentAt.Sub(r.askedAt)).
 		Uint64("version", r.traffic.control.Table().Revision).Msg("")
-	d := target.Dispatch{
+	d := target.AttemptRequest{
 		Address: r.req.Pool.Targets[i].Address, Method: r.req.Method, Path: r.req.Path,
-		Header: r.req.Header, Body: r.req.Body, RequestID: r.req.ID, Attempt: a.Attempt,
-		Offset: a.Offset, Stream: r.req.Stream,
+		Header: r.req.Header, Body: r.req.Body, RequestID: r.req.ID, Number: a.Attempt,
+		ReceivedParts: a.Offset, Stream: r.req.Stream,
 		FreshConnection: !r.req.Idempotent || a.Attempt > 1,
 	}
 	go r.traffic.targets.Run(attemptCtx, d, func(answer target.Answer) {
--- a/internal/app/router/traffic_test.go
+++ b/internal/app/router/traffic_test.go
@@ -32,12 +32,12 @@
 // fakeTargets answers every attempt with some parts and an end.
 type fakeTargets struct{ parts int }
 
-func (f fakeTargets) Run(_ context.Context, d target.Dispatch, emit func(target.Answer)) {
-	emit(target.Answer{Event: attempt.WriteStarted{Attempt: d.Attempt}})
-	for i := d.Offset; i < f.parts; i++ {
-		emit(target.Answer{Event: attempt.Part{Attempt: d.Attempt, Echo: d.Attempt, Offset: i}})
+func (f fakeTargets) Run(_ context.Context, d target.AttemptRequest, emit func(target.Answer)) {
+	emit(target.Answer{Event: attempt.WriteStarted{Attempt: d.Number}})
+	for i := d.ReceivedParts; i < f.parts; i++ {
+		emit(target.Answer{Event: attempt.Part{Attempt: d.Number, Echo: d.Number, Offset: i}})
 	}
-	emit(target.Answer{Event: attempt.End{Attempt: d.Attempt, Echo: d.Attempt, Total: f.parts}})
+	emit(target.Answer{Event: attempt.End{Attempt: d.Number, Echo: d.Number, Total: f.parts}})
 }
 
 func (fakeTargets) Suspect() {}
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -38,7 +38,7 @@
 // its headers, and one bare acknowledgement for the reply; the request's
 // acknowledgement rides on the reply.
 func MeasureCall(request, reply proto.Message, n int) (WireCost, error) {
-	var server, client metrics.Traffic
+	var server, client metrics.ConnectionTraffic
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return WireCost{}, errors.Wrap(err, "listen")
@@ -46,9 +46,9 @@
 	mux := http.NewServeMux()
 	mux.Handle(peer.NewHandler(echo{reply}))
 	s := &http.Server{Handler: mux, Protocols: peer.Protocols()}
-	go func() { _ = s.Serve(peer.Listen(server.Listen(l))) }()
+	go func() { _ = s.Serve(peer.WrapListener(server.WrapListener(l))) }()
 	defer s.Close()
-	caller := peer.NewCaller(map[uint32]string{1: l.Addr().String()}, time.Second, client.Wrap)
+	caller := peer.NewClient(map[uint32]string{1: l.Addr().String()}, time.Second, client.WrapConn)
 	if err := call(caller, request, 3); err != nil {
 		return WireCost{}, err
 	}
@@ -67,7 +67,7 @@
 	}, nil
 }
 
-func call(c *peer.Caller, request proto.Message, n int) error {
+func call(c *peer.Client, request proto.Message, n int) error {
 	for range n {
 		if _, err := c.Call(context.Background(), 1, request); err != nil {
 			return err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -20,11 +20,11 @@
 
 // The exit codes.
 const (
-	ExitOK       = 0
-	ExitFailed   = 1
-	ExitUsage    = 2
-	ExitConflict = 3
-	ExitUnknown  = 4 // the outcome of a change is not known
+	ExitOK             = 0
+	ExitFailed         = 1
+	ExitUsage          = 2
+	ExitConflict       = 3
+	ExitOutcomeUnknown = 4 // the outcome of a change is not known
 )
 
 // App is one invocation of hemlockctl.
@@ -72,7 +72,7 @@
 	case code.Conflict:
 		return ExitConflict
 	case code.ChangeUnknown:
-		return ExitUnknown
+		return ExitOutcomeUnknown
 	case code.BadUsage, code.BadResource:
 		return ExitUsage
 	}
@@ -153,7 +153,7 @@
 // apply fills in the versions of existing resources, so that a change that
 // another operator makes meanwhile is a conflict and is not overwritten unseen.
 func (a *App) apply(file, operation string) error {
-	resources, err := ReadFile(file)
+	resources, err := ReadResourceFile(file)
 	if err != nil {
 		return err
 	}
@@ -240,8 +240,8 @@
 		for _, c := range d.Status.Conditions {
 			fmt.Fprintf(w, "condition\t%s=%s (%s)\n", c.Type, c.Status, c.Reason)
 		}
-		if d.Status.InForce != nil && len(d.Status.InForce.Behind) > 0 {
-			fmt.Fprintf(w, "behind\trouters %v\n", d.Status.InForce.Behind)
+		if d.Status.Applied != nil && len(d.Status.Applied.Behind) > 0 {
+			fmt.Fprintf(w, "behind\trouters %v\n", d.Status.Applied.Behind)
 		}
 		if d.Status.Change != nil {
 			fmt.Fprintf(w, "phase\t%s: %s\n", d.Status.Change.Phase, d.Status.Change.Message)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -33,7 +33,7 @@
 	}
 	switch {
 	case r.URL.Path == "/v1/resources/Team/known":
-		answer(operatorhttp.Described{Resource: resource.Resource{
+		answer(operatorhttp.DescribedResource{Resource: resource.Resource{
 			Kind: resource.KindTeam, Spec: []byte(`{"weight":2}`),
 			Metadata: resource.Metadata{Name: "known", Generation: 3, ResourceVersion: 41},
 		}})
@@ -124,7 +124,7 @@
 			Expect(errOut).NotTo(BeEmpty())
 		},
 		Entry("conflict", 5002, cli.ExitConflict),
-		Entry("outcome unknown", 4002, cli.ExitUnknown),
+		Entry("outcome unknown", 4002, cli.ExitOutcomeUnknown),
 		Entry("store down", 5004, cli.ExitFailed),
 	)
 
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -48,8 +48,8 @@
 }
 
 // Get returns one resource with its status.
-func (c *Client) Get(kind resource.Kind, name string) (operatorhttp.Described, error) {
-	var out operatorhttp.Described
+func (c *Client) Get(kind resource.Kind, name string) (operatorhttp.DescribedResource, error) {
+	var out operatorhttp.DescribedResource
 	err := c.call(http.MethodGet, "/v1/resources/"+url.PathEscape(string(kind))+"/"+url.PathEscape(name), nil, &out)
 	return out, err
 }
@@ -83,8 +83,8 @@
 }
 
 // Explain says why a chat goes where it goes.
-func (c *Client) Explain(pool, team, chat string) (operatorhttp.Explanation, error) {
-	var out operatorhttp.Explanation
+func (c *Client) Explain(pool, team, chat string) (operatorhttp.PlacementExplanation, error) {
+	var out operatorhttp.PlacementExplanation
 	q := url.Values{"pool": {pool}, "team": {team}, "chat": {chat}}
 	err := c.call(http.MethodGet, "/v1/explain?"+q.Encode(), nil, &out)
 	return out, err
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -25,8 +25,8 @@
 	ResourceVersion uint64 `yaml:"resourceVersion"`
 }
 
-// ReadFile reads the resources of a YAML file; "-" is standard input.
-func ReadFile(path string) ([]resource.Resource, error) {
+// ReadResourceFile reads the resources of a YAML file; "-" is standard input.
+func ReadResourceFile(path string) ([]resource.Resource, error) {
 	if path == "-" {
 		return ReadResources(os.Stdin)
 	}
--- a/internal/cli/levels.go
+++ b/internal/cli/levels.go
@@ -65,7 +65,7 @@
 		return nil, errors.Wrap(err, "read metrics")
 	}
 	samples := make(map[burn.Key]*burn.Sample)
-	for _, m := range families[metrics.LevelRequests].GetMetric() {
+	for _, m := range families[metrics.ServiceLevelRequests].GetMetric() {
 		labels := labelsOf(m)
 		s := sampleFor(samples, labels)
 		n := uint64(m.GetUntyped().GetValue())
@@ -79,7 +79,7 @@
 			}
 		}
 	}
-	for _, m := range families[metrics.LevelFirst].GetMetric() {
+	for _, m := range families[metrics.ServiceLevelFirstByte].GetMetric() {
 		if err := readFirst(sampleFor(samples, labelsOf(m)), m.GetHistogram()); err != nil {
 			return nil, err
 		}
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -46,10 +46,10 @@
 	for i, p := range s.Peers {
 		ids[i] = p.ID
 	}
-	peers := peer.NewCaller(addresses(s.Peers), peerTimeout, func(c net.Conn) net.Conn { return c })
+	peers := peer.NewClient(addresses(s.Peers), peerTimeout, func(c net.Conn) net.Conn { return c })
 	ctl := controller.New(configstore.New(store, time.Now), peers, ids, log)
 	reconciler := controller.NewReconciler(
-		ctl, store, target.NewOrders(orderTimeout), s.ID, uuid.NewString(), s.Lease.Std(), log, time.Now)
+		ctl, store, target.NewOrderClient(orderTimeout), s.ID, uuid.NewString(), s.Lease.Std(), log, time.Now)
 	l, err := listen(s.Listen)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -60,9 +60,9 @@
 	settings GatewaySettings
 	log      *eventlog.Log
 	control  *gateway.Control
-	links    *peer.Datagrams
+	links    *peer.DigestSocket
 	servers  []*http.Server // callers first
-	callers  *gatewayhttp.Connections
+	callers  *gatewayhttp.ConnTracker
 	failed   chan error
 	stop     context.CancelFunc
 }
@@ -84,19 +84,19 @@
 		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &Gateway{settings: s, log: log, callers: gatewayhttp.NewConnections(), failed: make(chan error, 5), stop: stop}
-	links, err := peer.ListenDatagrams(s.Gateway.Address)
+	g := &Gateway{settings: s, log: log, callers: gatewayhttp.NewConnTracker(), failed: make(chan error, 5), stop: stop}
+	links, err := peer.ListenDigests(s.Gateway.Address)
 	if err != nil {
 		stop()
 		return nil, err
 	}
 	g.links = links
-	up := upstream.New(upstream.DefaultSettings(), time.Now, m.Dialed)
+	up := upstream.New(upstream.DefaultSettings(), time.Now, m.CountDial)
 	use := &linkUse{digests: links, link: s.Gateway.LinkBytes, log: log, metrics: m}
-	peers := &gatewayPeers{Datagrams: links, Copier: peer.NewCopier(gatewayPeerTimeout, use.fetched.Wrap)}
+	peers := &gatewayPeers{DigestSocket: links, CopyClient: peer.NewCopyClient(gatewayPeerTimeout, use.fetched.WrapConn)}
 	g.control = gateway.NewControl(s.Gateway, p.Store, p.Decoder, peers, up, log, time.Now)
 	relay := gateway.NewRelay(g.control, p.Wire, up, m, log, time.Now)
-	front := gatewayhttp.New(relay, g.control, p.Wire, time.Now, m.Refused)
+	front := gatewayhttp.New(relay, g.control, p.Wire, time.Now, m.CountRefusal)
 	if err := g.listen(front, m, use); err != nil {
 		stop()
 		return nil, err
@@ -111,8 +111,8 @@
 
 // gatewayPeers joins the two ways to other routers.
 type gatewayPeers struct {
-	*peer.Datagrams
-	*peer.Copier
+	*peer.DigestSocket
+	*peer.CopyClient
 }
 
 func (g *Gateway) receive(ctx context.Context) {
@@ -133,17 +133,17 @@
 
 func (g *Gateway) listen(front *gatewayhttp.Server, m *metrics.Gateway, use *linkUse) error {
 	peerMux := http.NewServeMux()
-	peerMux.Handle(peer.NewHandler(g, peer.Uncompressed()))
+	peerMux.Handle(peer.NewHandler(g, peer.WithoutCompression()))
 	for _, one := range []struct {
 		address string
 		server  *http.Server
 		wrap    func(net.Listener) net.Listener
 	}{
-		{g.settings.Callers, &http.Server{Handler: front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ConnState: g.callers.Changed},
-			g.callers.Listen},
-		{g.settings.Readiness, &http.Server{Handler: front.Readiness(g.settings.ReadinessPath)}, nil},
+		{g.settings.Callers, &http.Server{Handler: front, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader, ConnState: g.callers.OnStateChange},
+			g.callers.Wrap},
+		{g.settings.Readiness, &http.Server{Handler: front.ReadinessHandler(g.settings.ReadinessPath)}, nil},
 		{g.settings.Gateway.Address, &http.Server{Handler: peerMux, Protocols: peer.Protocols()},
-			func(l net.Listener) net.Listener { return peer.Listen(use.served.Listen(l)) }},
+			func(l net.Listener) net.Listener { return peer.WrapListener(use.served.WrapListener(l)) }},
 		{g.settings.Metrics, &http.Server{Handler: m.Handler(g.control.Status)}, nil},
 	} {
 		l, err := listen(one.address)
@@ -190,11 +190,11 @@
 	for g.control.Early() > 0 && graceful.Err() == nil {
 		sleep(graceful, drainPoll)
 	}
-	if err := g.callers.End(graceful, g.servers[0]); err != nil {
+	if err := g.callers.Shutdown(graceful, g.servers[0]); err != nil {
 		g.log.Line(eventlog.RequestsCut).Err(err).Msg("")
 	}
 	if err := g.control.Unlist(graceful); err != nil {
-		g.log.Line(eventlog.ListFailed).Err(err).Msg("")
+		g.log.Line(eventlog.RouterListFailed).Err(err).Msg("")
 	}
 	g.stop()
 	_ = g.links.Close()
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -18,9 +18,9 @@
 // load alone, and looks well otherwise. A link that they fill holds up the news of leaving targets and the
 // requests themselves, and everything at that router times out; nothing else would show why.
 type linkUse struct {
-	digests *peer.Datagrams
+	digests *peer.DigestSocket
 	// served are the copies that others asked for, fetched those that this router asked for.
-	served, fetched metrics.Traffic
+	served, fetched metrics.ConnectionTraffic
 	link            int64 // bytes a second each way; 0 if unknown
 	log             *eventlog.Log
 	metrics         *metrics.Gateway
@@ -58,11 +58,11 @@
 	}{
 		{"digests_in", d.digestsIn}, {"digests_out", d.digestsOut}, {"copies_in", d.copiesIn}, {"copies_out", d.copiesOut},
 	} {
-		u.metrics.PeerBytes(one.kind, one.n)
+		u.metrics.AddPeerBytes(one.kind, one.n)
 	}
 	s := u.status()
 	line := u.log.Line(eventlog.LinkUse).Int("peers", s.Peers).Int("heard", s.Heard).Str("feeder", s.Feeder).Dur("fed_ago", s.FedAge).
-		Int64("unsent", u.digests.Lost()).Int64("digests_in", d.digestsIn).Int64("digests_out", d.digestsOut).
+		Int64("unsent", u.digests.LostDigests()).Int64("digests_in", d.digestsIn).Int64("digests_out", d.digestsOut).
 		Int64("copies_in", d.copiesIn).Int64("copies_out", d.copiesOut)
 	if u.link > 0 {
 		most := max(d.digestsIn+d.copiesIn, d.digestsOut+d.copiesOut)
@@ -73,7 +73,7 @@
 
 func (u *linkUse) total() linkBytes {
 	var b linkBytes
-	b.digestsIn, b.digestsOut = u.digests.Bytes()
+	b.digestsIn, b.digestsOut = u.digests.TrafficBytes()
 	b.copiesIn = u.served.BytesIn.Load() + u.fetched.BytesIn.Load()
 	b.copiesOut = u.served.BytesOut.Load() + u.fetched.BytesOut.Load()
 	return b
--- a/internal/daemon/link_test.go
+++ b/internal/daemon/link_test.go
@@ -22,7 +22,7 @@
 
 var _ = Describe("what routers' messages take of a link", func() {
 	It("is told by kind and direction since the last line, and counted", func() {
-		here, err := peer.ListenDatagrams("127.0.0.1:0")
+		here, err := peer.ListenDigests("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer here.Close()
 		var log bytes.Buffer
@@ -34,7 +34,7 @@
 			}}
 		here.Send([]string{"127.0.0.1:9", "127.0.0.1:9"}, &peerv1.Digest{Known: [][]byte{{1, 2, 3}}}, nil)
 		var out int64
-		Eventually(func() int64 { _, out = here.Bytes(); return out }).Should(Equal(int64(2*(28+5))), "two digests with their headers")
+		Eventually(func() int64 { _, out = here.TrafficBytes(); return out }).Should(Equal(int64(2*(28+5))), "two digests with their headers")
 		u.served.BytesOut.Add(2500)
 		u.fetched.BytesIn.Add(700)
 		u.tell()
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -34,8 +34,8 @@
 	log      *eventlog.Log
 	control  *router.Control
 	traffic  *router.Traffic
-	requests *metrics.Requests
-	bytes    *metrics.Traffic
+	requests *metrics.RequestCounts
+	bytes    *metrics.ConnectionTraffic
 	callers  *http.Server
 	peers    *http.Server
 	admin    *http.Server
@@ -48,14 +48,14 @@
 func StartRouter(s settings.Router, incarnation uint64, log *eventlog.Log) (*Router, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &Router{
-		settings: s, log: log, requests: metrics.NewRequests(), bytes: &metrics.Traffic{},
+		settings: s, log: log, requests: metrics.NewRequestCounts(), bytes: &metrics.ConnectionTraffic{},
 		failed: make(chan error, 3), stop: stop,
 	}
 	store := tableservice.New(s.Platform.URL, s.Platform.Timeout.Std())
 	r.control = router.NewControl(
 		core.New(time.Now(), coreSettings(s, incarnation)),
-		peer.NewCaller(addresses(s.Peers), peerTimeout, r.bytes.Wrap),
-		configstore.New(store, time.Now), target.NewOrders(probeTimeout), log, time.Now,
+		peer.NewClient(addresses(s.Peers), peerTimeout, r.bytes.WrapConn),
+		configstore.New(store, time.Now), target.NewOrderClient(probeTimeout), log, time.Now,
 	)
 	targets := target.New(target.DefaultSettings())
 	r.traffic = router.NewTraffic(r.control, targets, log, time.Now, s.Limits.StreamSilence.Std())
@@ -122,7 +122,7 @@
 		wrap    func(net.Listener) net.Listener
 	}{
 		{r.callers, r.settings.Listen.Callers, nil},
-		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.Listen(r.bytes.Listen(l)) }},
+		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.WrapListener(r.bytes.WrapListener(l)) }},
 		{r.admin, r.settings.Listen.Admin, nil},
 	} {
 		l, err := listen(one.address)
@@ -147,7 +147,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(struct {
 			router.Status
-			Control metrics.ControlBytes `json:"control"`
+			Control metrics.TrafficCounts `json:"control"`
 		}{r.control.Status(r.settings.ID), r.bytes.Snapshot()})
 	})
 	return m
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -36,7 +36,7 @@
 func (l *Log) Line(k Kind) *zerolog.Event {
 	left, write := l.count(k)
 	if left > 0 {
-		l.begin(LeftOut).Str("kind", k.Name).Int("count", left).Msg("")
+		l.begin(LinesDropped).Str("kind", k.Name).Int("count", left).Msg("")
 	}
 	if !write {
 		return nil
@@ -61,7 +61,7 @@
 		left = c.left
 		*c = count{since: now}
 	}
-	if c.written >= k.PerSecond {
+	if c.written >= k.MaxPerSecond {
 		c.left++
 		return left, false
 	}
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -47,11 +47,11 @@
 		var out bytes.Buffer
 		now := time.Unix(1000, 0)
 		log := eventlog.New(zerolog.New(&out), func() time.Time { return now })
-		for range eventlog.Placed.PerSecond + 7 {
+		for range eventlog.Placed.MaxPerSecond + 7 {
 			log.Line(eventlog.Placed).Str("request", "r").Msg("")
 		}
 		log.Line(eventlog.Failed).Str("request", "r").Msg("")
-		Expect(strings.Count(out.String(), `"event":"placed"`)).To(Equal(eventlog.Placed.PerSecond))
+		Expect(strings.Count(out.String(), `"event":"placed"`)).To(Equal(eventlog.Placed.MaxPerSecond))
 		Expect(out.String()).To(ContainSubstring(`"event":"failed"`), "a flood of others takes no room of failures")
 		now = now.Add(time.Second)
 		log.Line(eventlog.Placed).Msg("")
@@ -123,7 +123,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		listed := 0
 		for _, k := range eventlog.Kinds() {
-			Expect(string(page)).To(ContainSubstring(fmt.Sprintf("| `%s` | %s | %d | %s |", k.Name, k.Level, k.PerSecond, k.Meaning)))
+			Expect(string(page)).To(ContainSubstring(fmt.Sprintf("| `%s` | %s | %d | %s |", k.Name, k.Level, k.MaxPerSecond, k.Meaning)))
 			listed++
 		}
 		Expect(regexp.MustCompile("(?m)^\\| `[a-z_]+` \\| (info|warn|error) ").FindAllString(string(page), -1)).To(HaveLen(listed))
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -71,7 +71,7 @@
 		buffer = w.append(buffer, <-w.lines) // nobody else takes lines
 	}
 	if n := w.dropped.Swap(0); n > 0 {
-		buffer = w.append(buffer, fmt.Appendf(nil, "{\"level\":\"warn\",\"event\":%q,\"kind\":\"any\",\"count\":%d}\n", LeftOut.Name, n))
+		buffer = w.append(buffer, fmt.Appendf(nil, "{\"level\":\"warn\",\"event\":%q,\"kind\":\"any\",\"count\":%d}\n", LinesDropped.Name, n))
 	}
 	return w.flush(buffer)
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -25,34 +25,34 @@
 	Request string    `json:"request"`
 	Route   string    `json:"route"`
 
-	Attempt     int     `json:"attempt"`
-	Target      string  `json:"target"`
-	Rule        string  `json:"rule"`
-	Open        int     `json:"open"`
-	Bound       float64 `json:"bound"`
-	LoadsAge    float64 `json:"loads_age"`
-	Version     uint64  `json:"version"`
-	Fingerprint string  `json:"fingerprint"`
-	ResumeFrom  string  `json:"resume_from"`
-	Why         string  `json:"why"`
-	Error       string  `json:"error"`
-	After       float64 `json:"after"`
-	Wait        float64 `json:"wait"`
-	RetryAfter  float64 `json:"retry_after"`
-	Left        float64 `json:"left"`
-	Rank        int     `json:"rank"`
-	Code        int     `json:"code"`
-	Name        string  `json:"name"`
-	Ran         string  `json:"ran"`
-	Status      int     `json:"status"`
-	Attempts    int     `json:"attempts"`
-	First       float64 `json:"first"`
-	Total       float64 `json:"total"`
-	Budget      float64 `json:"budget"`
-	Repeats     int     `json:"repeats"`
-	Allowed     float64 `json:"allowed"`
-	Requests    float64 `json:"requests"`
-	Slack       float64 `json:"slack"`
+	Attempt        int     `json:"attempt"`
+	Target         string  `json:"target"`
+	Rule           string  `json:"rule"`
+	Open           int     `json:"open"`
+	Bound          float64 `json:"bound"`
+	LoadReportAge  float64 `json:"loads_age"`
+	Version        uint64  `json:"version"`
+	Fingerprint    string  `json:"fingerprint"`
+	ResumeFrom     string  `json:"resume_from"`
+	Reason         string  `json:"why"`
+	Error          string  `json:"error"`
+	After          float64 `json:"after"`
+	Wait           float64 `json:"wait"`
+	RetryAfter     float64 `json:"retry_after"`
+	RemainingTime  float64 `json:"left"`
+	Rank           int     `json:"rank"`
+	Code           int     `json:"code"`
+	Name           string  `json:"name"`
+	Executed       string  `json:"ran"`
+	Status         int     `json:"status"`
+	Attempts       int     `json:"attempts"`
+	FirstByte      float64 `json:"first"`
+	Total          float64 `json:"total"`
+	Budget         float64 `json:"budget"`
+	Retries        int     `json:"repeats"`
+	AllowedRetries float64 `json:"allowed"`
+	Requests       float64 `json:"requests"`
+	Slack          float64 `json:"slack"`
 
 	order int
 }
@@ -105,28 +105,28 @@
 			return fmt.Sprintf("attempt %d goes to %s by a ticket that took %.0f ms; configuration %d", e.Attempt, e.Target, e.Wait, e.Version)
 		}
 		text := fmt.Sprintf("attempt %d goes to %s by rule %s: %d open of at most %.1f, by loads %.0f ms old; desired state %d",
-			e.Attempt, e.Target, e.Rule, e.Open, e.Bound, e.LoadsAge, e.Version)
+			e.Attempt, e.Target, e.Rule, e.Open, e.Bound, e.LoadReportAge, e.Version)
 		if e.ResumeFrom != "" {
 			text += ", goes on after event " + e.ResumeFrom
 		}
 		return text
 	case eventlog.AttemptFailed.Name:
 		return fmt.Sprintf("attempt %d failed after %.0f ms: %s", e.Attempt, e.After, e.why())
-	case eventlog.RepeatDenied.Name:
-		return fmt.Sprintf("no repeat: %d made lately, %.1f allowed for %.0f requests and a slack of %.1f", e.Repeats, e.Allowed, e.Requests, e.Slack)
+	case eventlog.RetryDenied.Name:
+		return fmt.Sprintf("no repeat: %d made lately, %.1f allowed for %.0f requests and a slack of %.1f", e.Retries, e.AllowedRetries, e.Requests, e.Slack)
 	case eventlog.PoisonRefused.Name:
 		return fmt.Sprintf("not sent: targets have ended under requests with the fingerprint %s; come back after %.0f ms", e.Fingerprint, e.Wait)
 	case eventlog.NotAdmitted.Name:
-		return fmt.Sprintf("not sent to %s: a wait of %.0f ms expected behind %d open, %.0f ms left, rank %d", e.Target, e.Wait, e.Open, e.Left, e.Rank)
+		return fmt.Sprintf("not sent to %s: a wait of %.0f ms expected behind %d open, %.0f ms left, rank %d", e.Target, e.Wait, e.Open, e.RemainingTime, e.Rank)
 	case eventlog.TargetSuspended.Name:
-		return fmt.Sprintf("%s gets no new work for a while: %s", e.Target, e.Why)
+		return fmt.Sprintf("%s gets no new work for a while: %s", e.Target, e.Reason)
 	case eventlog.Finished.Name:
 		if e.Status == 0 {
-			return fmt.Sprintf("answered by %s, first byte after %.0f ms, end after %.0f of %.0f ms", e.Target, e.First, e.Total, e.Budget)
+			return fmt.Sprintf("answered by %s, first byte after %.0f ms, end after %.0f of %.0f ms", e.Target, e.FirstByte, e.Total, e.Budget)
 		}
-		return fmt.Sprintf("answered with status %d, first byte after %.0f ms, end after %.0f of %.0f ms", e.Status, e.First, e.Total, e.Budget)
+		return fmt.Sprintf("answered with status %d, first byte after %.0f ms, end after %.0f of %.0f ms", e.Status, e.FirstByte, e.Total, e.Budget)
 	case eventlog.Failed.Name:
-		return fmt.Sprintf("ended as %d %s (ran: %s) after %.0f of %.0f ms", e.Code, e.Name, e.Ran, e.Total, e.Budget)
+		return fmt.Sprintf("ended as %d %s (ran: %s) after %.0f of %.0f ms", e.Code, e.Name, e.Executed, e.Total, e.Budget)
 	}
 	return e.Event
 }
@@ -151,9 +151,9 @@
 }
 
 func (e Entry) why() string {
-	text, ok := reasons[e.Why]
+	text, ok := reasons[e.Reason]
 	if !ok {
-		text = e.Why
+		text = e.Reason
 	}
 	text = e.Target + ": " + text
 	if e.Error != "" {
@@ -172,7 +172,7 @@
 		switch e := &entries[i]; e.Event {
 		case eventlog.Placed.Name:
 			last = e
-		case eventlog.AttemptFailed.Name, eventlog.NotAdmitted.Name, eventlog.PoisonRefused.Name, eventlog.RepeatDenied.Name, eventlog.TicketRefused.Name:
+		case eventlog.AttemptFailed.Name, eventlog.NotAdmitted.Name, eventlog.PoisonRefused.Name, eventlog.RetryDenied.Name, eventlog.TicketRefused.Name:
 			failure = e
 		case eventlog.Finished.Name, eventlog.Failed.Name:
 			end = e
@@ -205,9 +205,9 @@
 		return fmt.Sprintf("the answer with status %d is the target's own%s", end.Status, at(last))
 	}
 	if failure != nil {
-		return fmt.Sprintf("answered after %.0f ms, because %s", end.First, failure.describe())
+		return fmt.Sprintf("answered after %.0f ms, because %s", end.FirstByte, failure.describe())
 	}
-	text := fmt.Sprintf("answered; the first byte came after %.0f ms%s", end.First, at(last))
+	text := fmt.Sprintf("answered; the first byte came after %.0f ms%s", end.FirstByte, at(last))
 	if last == nil || last.Rule == string(placement.RuleTicket) {
 		return text // a ticket does not tell what the target has open
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -215,7 +215,7 @@
 		return false
 	}
 	var transport *url.Error
-	return errors.As(err, &transport) || errors.Is(err, wire.ErrCut)
+	return errors.As(err, &transport) || errors.Is(err, wire.ErrStreamTruncated)
 }
 
 func (d *driver) complete(ctx context.Context, router, team, chat, prompt string, tokens int, body []byte) error {
@@ -224,7 +224,7 @@
 		return err
 	}
 	req.Header.Set(wire.HeaderTeam, team)
-	req.Header.Set(wire.HeaderChat, chat)
+	req.Header.Set(wire.HeaderChatID, chat)
 	began := time.Now()
 	resp, err := d.client.Do(req)
 	if err != nil {
@@ -243,7 +243,7 @@
 		switch {
 		case len(chunk.Choices) == 0:
 			return errors.Newf("error event: %s", data)
-		case chunk.Last():
+		case chunk.IsLast():
 			last = chunk.Offset
 			return nil
 		case chunk.Content() != engine.Word(prompt, got):
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -41,13 +41,13 @@
 	Message string
 }
 
-// Checked is a settings struct that can check its own ranges.
-type Checked interface {
-	Check() []Problem
+// Validator is a settings struct that can check its own ranges.
+type Validator interface {
+	Validate() []Problem
 }
 
 // LoadFile reads path over the defaults already in into.
-func LoadFile(path string, into Checked) error {
+func LoadFile(path string, into Validator) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return code.New(code.BadSettings, "%s", err)
@@ -56,7 +56,7 @@
 }
 
 // Load decodes data strictly over the defaults already in into, then checks ranges.
-func Load(data []byte, into Checked) error {
+func Load(data []byte, into Validator) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
 	if err := dec.Decode(into); err != nil && !errors.Is(err, io.EOF) {
@@ -65,7 +65,7 @@
 	if err := dec.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
 		return code.New(code.BadSettings, "more than one YAML document")
 	}
-	problems := into.Check()
+	problems := into.Validate()
 	if len(problems) == 0 {
 		return nil
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -132,7 +132,7 @@
 }
 
 // Check reports values out of range.
-func (r *Router) Check() []Problem {
+func (r *Router) Validate() []Problem {
 	var c checker
 	c.positive("id", int64(r.ID))
 	c.address("listen.callers", r.Listen.Callers)
@@ -185,7 +185,7 @@
 }
 
 // Check reports values out of range.
-func (s *Controller) Check() []Problem {
+func (s *Controller) Validate() []Problem {
 	var c checker
 	c.positive("id", int64(s.ID))
 	c.address("listen", s.Listen)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -107,7 +107,7 @@
 	}
 	faults := s.takeFaults()
 	if faults.Refuse {
-		w.Header().Set(wire.HeaderNotRun, "true")
+		w.Header().Set(wire.HeaderNotExecuted, "true")
 		http.Error(w, "not run", http.StatusServiceUnavailable)
 		return
 	}
@@ -118,7 +118,7 @@
 	s.enter()
 	defer s.leave()
 	prompt := req.Prompt()
-	wait := s.prefill(r.Header.Get(wire.HeaderChat), len(prompt)/4+1)
+	wait := s.prefill(r.Header.Get(wire.HeaderChatID), len(prompt)/4+1)
 	wait += time.Duration(faults.StallMillis) * time.Millisecond
 	if !sleep(r, wait) {
 		return
@@ -167,14 +167,14 @@
 
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, req wire.ChatRequest, prompt string, faults Faults) {
 	from, _ := strconv.Atoi(r.Header.Get(wire.HeaderResumeFrom))
-	echo := r.Header.Get(wire.HeaderAttempt)
+	echo := r.Header.Get(wire.HeaderAttemptID)
 	if faults.CrossOnce {
 		echo = "crossed-" + echo
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
-	for i := from; i < req.Tokens(); i++ {
+	for i := from; i < req.AnswerTokens(); i++ {
 		if !sleep(r, s.settings.Step) {
 			return
 		}
@@ -187,8 +187,8 @@
 		}
 		_ = flusher.Flush()
 	}
-	_ = wire.WriteEvent(w, wire.NewLastChunk(echo, req.Model, req.Tokens()))
-	_ = wire.WriteDone(w)
+	_ = wire.WriteEvent(w, wire.NewLastChunk(echo, req.Model, req.AnswerTokens()))
+	_ = wire.WriteEndMarker(w)
 }
 
 func sleep(r *http.Request, d time.Duration) bool {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -50,7 +50,7 @@
 	}
 	f := s.faults.Get()
 	if f.Refuse {
-		w.Header().Set(wire.HeaderNotRun, "true")
+		w.Header().Set(wire.HeaderNotExecuted, "true")
 		http.Error(w, "not run", http.StatusServiceUnavailable)
 		return
 	}
@@ -63,7 +63,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
-	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
+	w.Header().Set(wire.HeaderAttemptID, r.Header.Get(wire.HeaderAttemptID))
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, `{"path":%q,"bytes":%d,"run":%d}`, r.URL.Path, len(body), n)
 }
@@ -73,7 +73,7 @@
 	if key := r.Header.Get(wire.HeaderIdempotencyKey); key != "" {
 		return "key/" + key
 	}
-	return "request/" + r.Header.Get(wire.HeaderRequest)
+	return "request/" + r.Header.Get(wire.HeaderRequestID)
 }
 
 func (s *Server) count(key string) int {
--- a/internal/wire/chat.go
+++ b/internal/wire/chat.go
@@ -14,17 +14,17 @@
 // The headers of requests and answers.
 const (
 	HeaderTeam           = "X-Team"
-	HeaderChat           = "X-Chat-Id"
+	HeaderChatID         = "X-Chat-Id"
 	HeaderPriority       = "X-Priority"
 	HeaderDeadline       = "X-Deadline-Ms"
-	HeaderRequest        = "X-Request-Id"
+	HeaderRequestID      = "X-Request-Id"
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderAttempt names the attempt; a target echoes it in its answer.
-	HeaderAttempt = "X-Attempt-Id"
+	// HeaderAttemptID names the attempt; a target echoes it in its answer.
+	HeaderAttemptID = "X-Attempt-Id"
 	// HeaderResumeFrom is the number of tokens that the caller already has.
 	HeaderResumeFrom = "X-Resume-From"
-	// HeaderNotRun is a target's promise that it did not run the request.
-	HeaderNotRun = "X-Not-Run"
+	// HeaderNotExecuted is a target's promise that it did not run the request.
+	HeaderNotExecuted = "X-Not-Run"
 )
 
 // Message is one message of a chat.
@@ -44,8 +44,8 @@
 // defaultTokens is the length of an answer to a request that asks for none.
 const defaultTokens = 16
 
-// Tokens returns the number of tokens asked for.
-func (r ChatRequest) Tokens() int {
+// AnswerTokens returns the number of tokens asked for.
+func (r ChatRequest) AnswerTokens() int {
 	if r.MaxTokens <= 0 {
 		return defaultTokens
 	}
@@ -100,8 +100,8 @@
 	}
 }
 
-// Last reports whether the chunk ends the answer.
-func (c Chunk) Last() bool {
+// IsLast reports whether the chunk ends the answer.
+func (c Chunk) IsLast() bool {
 	return len(c.Choices) > 0 && c.Choices[0].FinishReason != nil
 }
 
@@ -165,14 +165,14 @@
 	return err
 }
 
-// WriteDone writes the end marker.
-func WriteDone(w io.Writer) error {
+// WriteEndMarker writes the end marker.
+func WriteEndMarker(w io.Writer) error {
 	_, err := io.WriteString(w, dataPrefix+doneMarker+"\n\n")
 	return err
 }
 
-// ErrCut says that a stream ended before its end marker.
-var ErrCut = errors.New("stream ended before its end marker")
+// ErrStreamTruncated says that a stream ended before its end marker.
+var ErrStreamTruncated = errors.New("stream ended before its end marker")
 
 // maxEvent bounds the size of one event.
 const maxEvent = 1 << 20
@@ -195,7 +195,7 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		return errors.Mark(err, ErrCut)
+		return errors.Mark(err, ErrStreamTruncated)
 	}
-	return ErrCut
+	return ErrStreamTruncated
 }
