--- a/internal/adapter/gatewayhttp/connections.go
+++ b/internal/adapter/gatewayhttp/connections.go
@@ -11,36 +11,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ConnTracker are the open connections of a server's callers. The server's own graceful shutdown takes a connection for
-// idle until it has read the whole header of a request, and closes it: on a VM that is short of processor time
-// a caller's request is read and its connection closed without an answer, and the caller can't know
-// whether it ran. It is safe for concurrent use.
+// ConnTracker closes the callers' connections of a server on a graceful shutdown without losing
+// requests. http.Server.Shutdown alone considers a connection idle until it has read the whole header
+// of a request. On a VM that is short of processor time it closes connections whose next request has
+// been read in part. The caller gets no answer and can't know whether the request was executed.
+// ConnTracker is safe for concurrent use.
 type ConnTracker struct {
 	mu   sync.Mutex
 	open map[*connection]struct{}
 }
 
-// NewConnTracker returns an empty Connections.
+// NewConnTracker returns an empty ConnTracker.
 func NewConnTracker() *ConnTracker { return &ConnTracker{open: make(map[*connection]struct{})} }
 
-// connection is one of them.
+// connection is a caller's connection.
 type connection struct {
 	net.Conn
-	all *ConnTracker
+	tracker *ConnTracker
 
-	mu      sync.Mutex
-	idle    bool      // its last answer has ended, and nothing was read since
-	ending  bool      // reads of it are ended
-	resting bool      // what was there when a read was ended is being read
-	begunAt time.Time // when the first bytes of a request were read that the server does not know of yet; zero if none
+	mu               sync.Mutex
+	idle             bool      // the last answer is complete and nothing has been read since
+	readsInterrupted bool      // a read deadline in the past interrupts reads
+	drainingRead     bool      // an interrupted read is taking the bytes that had arrived
+	requestBegunAt   time.Time // first bytes of a request that the server has not reported as active; zero if none
 }
 
-// Wrap wraps a server's listener.
-func (c *ConnTracker) Wrap(l net.Listener) net.Listener { return &listener{Listener: l, all: c} }
+// Wrap returns a listener whose connections are tracked.
+func (c *ConnTracker) Wrap(l net.Listener) net.Listener { return &listener{Listener: l, tracker: c} }
 
 type listener struct {
 	net.Listener
-	all *ConnTracker
+	tracker *ConnTracker
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -48,66 +49,70 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &connection{Conn: inner, all: l.all}
-	l.all.mu.Lock()
-	defer l.all.mu.Unlock()
-	l.all.open[c] = struct{}{}
+	c := &connection{Conn: inner, tracker: l.tracker}
+	l.tracker.mu.Lock()
+	defer l.tracker.mu.Unlock()
+	l.tracker.open[c] = struct{}{}
 	return c, nil
 }
 
-// OnStateChange is the server's hook for the states of its connections.
+// OnStateChange is to be set as the ConnState hook of the server.
 func (c *ConnTracker) OnStateChange(conn net.Conn, state http.ConnState) {
-	one, ok := conn.(*connection)
+	tracked, ok := conn.(*connection)
 	if !ok {
 		return
 	}
-	one.mu.Lock()
-	defer one.mu.Unlock()
+	tracked.mu.Lock()
+	defer tracked.mu.Unlock()
 	switch state {
 	case http.StateIdle:
-		one.idle, one.begunAt = true, time.Time{}
+		tracked.idle, tracked.requestBegunAt = true, time.Time{}
 	case http.StateActive:
-		one.begunAt = time.Time{}
+		tracked.requestBegunAt = time.Time{}
 	}
 }
 
-// Read reads what is there even if the read was ended: the server reads a byte ahead while a handler runs, so a
-// connection may turn idle with a request begun, whose caller would get no answer.
+// Read reads from the connection. If closeIfIdle has interrupted the read, Read still takes the bytes
+// that have arrived: the server reads a byte ahead while a handler runs, so a connection may become idle
+// after the first byte of its next request. Without the rest, that request would get no answer.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.rests(true) {
-		n, err = c.readRest(p)
-		c.rests(false)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.setDrainingRead(true) {
+		n, err = c.readArrived(p)
+		c.setDrainingRead(false)
 	}
 	if n > 0 {
-		c.begun()
+		c.markRequestBegun()
 	}
 	return n, err
 }
 
-// begun notes that a request has begun to be read.
-func (c *connection) begun() {
+// markRequestBegun records that the first bytes of a request were read.
+func (c *connection) markRequestBegun() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle {
-		c.idle, c.ending, c.begunAt = false, false, time.Now()
+		c.idle, c.readsInterrupted, c.requestBegunAt = false, false, time.Now()
 	}
 }
 
-// rests begins or ends the reading of what was there; false if no read of the connection was ended.
-func (c *connection) rests(begins bool) bool {
+// setDrainingRead sets or clears drainingRead and returns its new value. It can only be set while reads
+// are interrupted.
+func (c *connection) setDrainingRead(draining bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.resting = begins && c.ending
-	return c.resting
+	c.drainingRead = draining && c.readsInterrupted
+	return c.drainingRead
 }
 
-// restWithin is how long a read that was ended waits for what has arrived: a read with a deadline that has
-// passed takes nothing, whatever is there. Callers send a request in one piece.
-const restWithin = 5 * time.Millisecond
+// arrivedReadTimeout is how long an interrupted read waits for bytes that have arrived. A read whose
+// deadline has passed returns nothing, even if bytes are there. A short wait is enough, since callers
+// send a request in one piece.
+const arrivedReadTimeout = 5 * time.Millisecond
 
-func (c *connection) readRest(p []byte) (int, error) {
-	if err := c.Conn.SetReadDeadline(time.Now().Add(restWithin)); err != nil {
+// readArrived reads the bytes that have arrived and lifts the read deadline if there are any.
+func (c *connection) readArrived(p []byte) (int, error) {
+	if err := c.Conn.SetReadDeadline(time.Now().Add(arrivedReadTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
@@ -117,67 +122,73 @@
 	return n, err
 }
 
-// CloseWrite ends the writing half, which the server does first where a caller may still be sending: a connection that is
-// closed with bytes unread is reset, and the answer on it lost.
+// CloseWrite closes the writing half. The server calls it before Close while a caller may still be
+// sending. A connection that is closed with unread bytes is reset, which can lose the answer.
 func (c *connection) CloseWrite() error {
-	half, ok := c.Conn.(interface{ CloseWrite() error })
+	writer, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
-		return errors.New("connection has no halves")
+		return errors.New("connection doesn't support CloseWrite")
 	}
-	return half.CloseWrite()
+	return writer.CloseWrite()
 }
 
 func (c *connection) Close() error {
-	c.all.mu.Lock()
-	delete(c.all.open, c)
-	c.all.mu.Unlock()
+	c.tracker.mu.Lock()
+	delete(c.tracker.open, c)
+	c.tracker.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// end lets the server close an idle connection, and reports whether it has to be looked at again. A read that waits ends
-// without bytes; one that has bytes already goes on, and its request is answered.
-func (c *connection) end(now time.Time) bool {
+// closeIfIdle interrupts the reads of an idle connection, so that the server closes it. A read that has
+// received bytes continues, and its request is answered. closeIfIdle reports whether the connection has
+// to be checked again.
+func (c *connection) closeIfIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.idle && !c.resting {
-		c.ending = true
-		_ = c.SetReadDeadline(time.Unix(1, 0)) // fails if it is closed already
+	if c.idle && !c.drainingRead {
+		c.readsInterrupted = true
+		_ = c.SetReadDeadline(time.Unix(1, 0)) // fails if the connection is closed already
 	}
-	return c.idle || now.Sub(c.begunAt) < beginWithin
+	return c.idle || now.Sub(c.requestBegunAt) < requestBeginTimeout
 }
 
-// endPoll is the pause between looks at the connections: the server may set another deadline as it turns idle.
-const endPoll = 20 * time.Millisecond
+// shutdownPollInterval is the time between two checks of the connections. They are checked repeatedly,
+// since the server may set another read deadline when a connection becomes idle.
+const shutdownPollInterval = 20 * time.Millisecond
 
 const (
-	// endFor is for how long connections are ended as they become idle, before the server's own shutdown closes those whose
-	// answer ends, whatever their callers have begun to send: a process may get no processor time for
-	// a tenth of a second between an answer's last byte and the end of its handler.
-	endFor = 200 * time.Millisecond
-	// beginWithin is how long the server may take to know of a request that has begun to be read; it closes the
-	// connection until then. A caller that sends half a header must not hold up the stop.
-	beginWithin = 500 * time.Millisecond
+	// minShutdownPolling is how long connections are at least closed one by one as they become idle. After
+	// it http.Server.Shutdown closes each connection whose answer ends, even if its caller has begun another
+	// request. A process may get no processor time for a tenth of a second between the last byte of an
+	// answer and the end of its handler.
+	minShutdownPolling = 200 * time.Millisecond
+	// requestBeginTimeout is how long the server may take to report a connection as active after the first
+	// bytes of a request. Until then http.Server.Shutdown would close it. The limit keeps a caller that
+	// sends half a header from delaying the shutdown.
+	requestBeginTimeout = 500 * time.Millisecond
 )
 
-// Shutdown ends a server gracefully: connections as they become idle, then the listener and those that never had a request.
+// Shutdown shuts a server down gracefully. It closes connections as they become idle, then the listener
+// and the connections that never had a request. It returns when no request is open or ctx ends.
 func (c *ConnTracker) Shutdown(ctx context.Context, s *http.Server) error {
-	began := time.Now()
-	for ctx.Err() == nil && (c.endIdle(time.Now()) || time.Since(began) < endFor) {
+	startedAt := time.Now()
+	for ctx.Err() == nil && (c.closeIdle(time.Now()) || time.Since(startedAt) < minShutdownPolling) {
 		select {
-		case <-time.After(endPoll):
+		case <-time.After(shutdownPollInterval):
 		case <-ctx.Done():
 		}
 	}
 	return s.Shutdown(ctx)
 }
 
-// endIdle ends what is idle and reports whether connections are left that are, or have begun a request.
-func (c *ConnTracker) endIdle(now time.Time) bool {
+// closeIdle closes the idle connections. It reports whether any connection is idle or has begun a
+// request that the server has not reported as active.
+func (c *ConnTracker) closeIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	left := false
-	for one := range c.open {
-		left = one.end(now) || left
+	remaining := false
+	for tracked := range c.open {
+		remaining = tracked.closeIfIdle(now) || remaining
 	}
-	return left
+	return remaining
 }
--- a/internal/adapter/gatewayhttp/gatewayhttp.go
+++ b/internal/adapter/gatewayhttp/gatewayhttp.go
@@ -1,5 +1,5 @@
-// Package gatewayhttp serves callers of the plain HTTP interface, and the
-// balancer's readiness checks.
+// Package gatewayhttp is the HTTP interface of a router on the users' platform. It serves callers and
+// the balancer's readiness checks.
 package gatewayhttp
 
 import (
@@ -15,9 +15,9 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// Decoder decodes what callers send.
+// Decoder decodes callers' requests.
 type Decoder interface {
-	// Call decodes a request without its body.
+	// Call decodes the request line and the headers of a request.
 	Call(r *http.Request) *gateway.Call
 }
 
@@ -27,26 +27,26 @@
 	control *gateway.Control
 	decoder Decoder
 	now     func() time.Time
-	refused func(c code.Code) // counts refusals before a route is known
+	refused func(c code.Code) // called for each request that is refused before it has a route
 }
 
-// New returns a Server.
+// New returns a Server. It calls refused for each request that it refuses itself.
 func New(relay *gateway.Relay, control *gateway.Control, decoder Decoder, now func() time.Time, refused func(code.Code)) *Server {
 	return &Server{relay: relay, control: control, decoder: decoder, now: now, refused: refused}
 }
 
-// defaultMaxBody applies while the desired state names no limit.
-const defaultMaxBody = 4 << 20
+// defaultMaxBodyBytes applies if the desired state sets no limit.
+const defaultMaxBodyBytes = 4 << 20
 
-// ServeHTTP carries one request. It is no mux: paths go to targets as they came,
-// and a mux would redirect those that it finds unclean.
+// ServeHTTP relays one request. It does not use a mux, since targets get the path unchanged and a mux
+// would redirect paths that are not in canonical form.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.control.Leaving() {
-		// Connections end one by one, each with its next answer. Closing idle ones at
-		// once would cross requests that are on their way.
+		// Each connection is closed with its next answer. If all idle connections were closed at once,
+		// requests that are on their way would be lost.
 		w.Header().Set("Connection", "close")
 	}
-	out := &responder{w: w, flush: http.NewResponseController(w), now: s.now}
+	out := &responder{w: w, control: http.NewResponseController(w), now: s.now}
 	call := s.decoder.Call(r)
 	match, refusal := s.relay.Match(call)
 	if refusal != code.OK {
@@ -55,7 +55,7 @@
 	}
 	limit := match.MaxBodyBytes
 	if limit == 0 {
-		limit = defaultMaxBody
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	switch {
@@ -67,8 +67,8 @@
 		return
 	}
 	s.relay.Serve(r.Context(), match, body, out)
-	if out.cut {
-		panic(http.ErrAbortHandler) // closes the connection without ending the answer
+	if out.aborted {
+		panic(http.ErrAbortHandler) // closes the connection without completing the answer
 	}
 }
 
@@ -77,7 +77,7 @@
 	out.Refuse(c, gateway.RetryAfter(c, call.Budget))
 }
 
-// ReadinessHandler serves the balancer's check at a path.
+// ReadinessHandler returns the handler of the balancer's readiness check at a path.
 func (s *Server) ReadinessHandler(path string) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
@@ -90,37 +90,36 @@
 	return r
 }
 
-// responder writes answers to one caller.
+// responder writes the answer to one request.
 type responder struct {
 	w         http.ResponseWriter
-	flush     *http.ResponseController
+	control   *http.ResponseController
 	now       func() time.Time
-	streaming bool // the body has no length
-	cut       bool
+	streaming bool // the length of the body is not known
+	aborted   bool // the connection is closed without completing the answer
 }
 
-// callerStall is how long a caller may take no bytes before its request counts as
-// given up. A connection that something between the ends has forgotten neither
-// takes bytes nor fails.
-const callerStall = 5 * time.Second
+// callerWriteTimeout bounds each write to a caller, after which the caller counts as disconnected. If a
+// middlebox has dropped the connection, writes neither fail nor complete.
+const callerWriteTimeout = 5 * time.Second
 
-// hopByHop are headers that concern one connection only, and those that this side
-// sets itself.
-var hopByHop = map[string]bool{
+// unforwardedHeaders are the headers of a target's answer that are not sent to the caller: hop-by-hop
+// headers, and those that the router sets itself.
+var unforwardedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
 	"Te": true, "Trailer": true, "Upgrade": true, "Content-Length": true,
 }
 
-// Begin sends status and header.
+// Begin sends the status and the header. A negative length means that the length is not known.
 func (o *responder) Begin(status int, header http.Header, length int64) {
 	h := o.w.Header()
 	for name, values := range header {
-		if !hopByHop[name] {
+		if !unforwardedHeaders[name] {
 			h[name] = values
 		}
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // or the server would guess one
+		h["Content-Type"] = nil // keeps the server from detecting one
 	}
 	o.streaming = length < 0
 	if !o.streaming {
@@ -129,22 +128,22 @@
 	o.w.WriteHeader(status)
 }
 
-// Write sends part of the body.
+// Write sends a part of the body. It flushes each part of a body without a known length.
 func (o *responder) Write(p []byte) error {
-	_ = o.flush.SetWriteDeadline(o.now().Add(callerStall))
+	_ = o.control.SetWriteDeadline(o.now().Add(callerWriteTimeout))
 	if _, err := o.w.Write(p); err != nil {
 		return err
 	}
 	if o.streaming {
-		return o.flush.Flush()
+		return o.control.Flush()
 	}
 	return nil
 }
 
-// Refuse answers with a result code.
+// Refuse answers with a result code. If the caller has disconnected, it aborts the connection instead.
 func (o *responder) Refuse(c code.Code, retryAfter time.Duration) {
 	if c == code.CallerGone {
-		o.cut = true // nobody reads an answer
+		o.aborted = true
 		return
 	}
 	if retryAfter > 0 {
@@ -153,5 +152,5 @@
 	wire.WriteError(o.w, code.New(c, "request not served"))
 }
 
-// Cut closes the connection so that the answer has no end.
-func (o *responder) Cut() { o.cut = true }
+// Cut marks the answer as truncated. ServeHTTP then closes the connection without completing it.
+func (o *responder) Cut() { o.aborted = true }
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -1,4 +1,4 @@
-// Package operatorhttp serves the resource API to operators.
+// Package operatorhttp is the controller's HTTP interface for operators, the resource API.
 package operatorhttp
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// maxBody bounds one request: 31,000 teams of 200 bytes are about 6 MB.
-const maxBody = 16 << 20
+// maxBodyBytes bounds the body of one request. A change of 31,000 teams of 200 bytes has about 6 MB.
+const maxBodyBytes = 16 << 20
 
-// ApplyRequest is the body of a change.
+// ApplyRequest is the body of a request that changes resources.
 type ApplyRequest struct {
-	// Operation is a name chosen by the client. The same name again returns the
-	// first outcome instead of changing anything twice.
+	// Operation is a name that the client chooses. A second request with the same name changes nothing
+	// and returns the outcome of the first.
 	Operation string              `json:"operation"`
 	Resources []resource.Resource `json:"resources"`
 }
@@ -37,29 +37,31 @@
 	Status Status `json:"status"`
 }
 
-// Status says what actually holds.
+// Status is the observed state of a resource.
 type Status struct {
+	// ObservedGeneration is 0 until all listed routers have applied the resource's generation, then that
+	// generation. For a planned change it is the generation that the reconciler has last acted on.
 	ObservedGeneration uint64                `json:"observedGeneration"`
 	Applied            *controller.InForce   `json:"inForce,omitempty"`
 	Change             *plannedchange.Status `json:"change,omitempty"`
 	Conditions         []Condition           `json:"conditions"`
 }
 
-// Condition is one aspect of a resource's state.
+// Condition is one aspect of the observed state of a resource.
 type Condition struct {
 	Type   string `json:"type"`
 	Status string `json:"status"`
 	Reason string `json:"reason"`
 }
 
-// PlacementExplanation says why a chat goes where it goes.
+// PlacementExplanation is the ranking of a pool's targets for a chat.
 type PlacementExplanation struct {
 	Pool     string   `json:"pool"`
-	Chat     string   `json:"chat"`
-	Owner    string   `json:"owner"`
-	Order    []string `json:"order"`
-	Leaving  []string `json:"leaving"`
-	Revision uint64   `json:"revision"`
+	Chat     string   `json:"chat"`     // team and chat, joined by a slash
+	Owner    string   `json:"owner"`    // id of the router that grants the pool's tickets while it is live
+	Order    []string `json:"order"`    // names of the highest-ranked targets, best first
+	Leaving  []string `json:"leaving"`  // names of the pool's leaving targets
+	Revision uint64   `json:"revision"` // of the configuration
 }
 
 // Server serves operators. It is safe for concurrent use.
@@ -69,7 +71,7 @@
 	routers    []uint32
 }
 
-// New returns a Server.
+// New returns a Server. routers lists the ids of all routers.
 func New(c *controller.Controller, r *controller.Reconciler, routers []uint32) *Server {
 	return &Server{controller: c, reconciler: r, routers: routers}
 }
@@ -77,7 +79,7 @@
 // Handler returns the resource API.
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/livez", func(w http.ResponseWriter, _ *http.Request) { reply(w, "ok") })
+	r.HandleFunc("/livez", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, "ok") })
 	r.HandleFunc("/v1/apply", s.apply).Methods(http.MethodPost)
 	r.HandleFunc("/v1/operations/{name}", s.operation).Methods(http.MethodGet)
 	r.HandleFunc("/v1/resources/{kind}", s.list).Methods(http.MethodGet)
@@ -86,50 +88,50 @@
 	r.HandleFunc("/v1/burn", s.burn).Methods(http.MethodGet)
 	r.HandleFunc("/v1/explain", s.explain).Methods(http.MethodGet)
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		fail(w, code.New(code.NotFound, "no such path"))
+		writeError(w, code.New(code.NotFound, "no such path"))
 	})
 	return r
 }
 
 func (s *Server) apply(w http.ResponseWriter, r *http.Request) {
 	var req ApplyRequest
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&req); err != nil {
-		fail(w, code.New(code.BadBody, "%s", err))
+		writeError(w, code.New(code.BadBody, "%s", err))
 		return
 	}
 	if req.Operation == "" || len(req.Resources) == 0 {
-		fail(w, code.New(code.BadBody, "operation or resources are missing"))
+		writeError(w, code.New(code.BadBody, "operation or resources are missing"))
 		return
 	}
 	accepted, err := s.controller.Apply(r.Context(), req.Operation, req.Resources)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, accepted)
+	writeJSON(w, accepted)
 }
 
 func (s *Server) operation(w http.ResponseWriter, r *http.Request) {
 	op, err := s.controller.Store().Operation(r.Context(), mux.Vars(r)["name"])
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, controller.Accepted{Operation: op, InForce: s.controller.InForce(r.Context(), op.Revision)})
+	writeJSON(w, controller.Accepted{Operation: op, InForce: s.controller.InForce(r.Context(), op.Revision)})
 }
 
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	list, err := s.controller.Store().List(r.Context(), resource.Kind(mux.Vars(r)["kind"]))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
 	if list == nil {
 		list = []resource.Resource{}
 	}
-	reply(w, list)
+	writeJSON(w, list)
 }
 
 func storeError(err error) error { return code.New(code.StoreDown, "table service: %s", err) }
@@ -138,76 +140,79 @@
 	key := resource.Key{Kind: resource.Kind(mux.Vars(r)["kind"]), Name: mux.Vars(r)["name"]}
 	res, err := s.controller.Store().Get(r.Context(), key)
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	reply(w, s.described(r.Context(), res))
+	writeJSON(w, s.withStatus(r.Context(), res))
 }
 
-func (s *Server) described(ctx context.Context, res resource.Resource) DescribedResource {
-	force := s.controller.InForce(ctx, res.Metadata.ResourceVersion)
-	out := DescribedResource{Resource: res, Status: Status{Applied: &force}}
-	everywhere := Condition{Type: "InForceEverywhere", Status: "True", Reason: "AllRouters"}
-	if force.Routers < force.Listed {
-		everywhere.Status, everywhere.Reason = "False", "RoutersBehind"
+// withStatus adds the observed state to a resource.
+func (s *Server) withStatus(ctx context.Context, res resource.Resource) DescribedResource {
+	applied := s.controller.InForce(ctx, res.Metadata.ResourceVersion)
+	out := DescribedResource{Resource: res, Status: Status{Applied: &applied}}
+	condition := Condition{Type: "InForceEverywhere", Status: "True", Reason: "AllRouters"}
+	if applied.Routers < applied.Listed {
+		condition.Status, condition.Reason = "False", "RoutersBehind"
 	} else {
 		out.Status.ObservedGeneration = res.Metadata.Generation
 	}
-	out.Status.Conditions = append(out.Status.Conditions, everywhere)
+	out.Status.Conditions = append(out.Status.Conditions, condition)
 	if res.Kind == resource.KindPlannedChange {
-		s.describeChange(ctx, res, &out)
+		s.addChangeStatus(ctx, res, &out)
 	}
 	return out
 }
 
-func (s *Server) describeChange(ctx context.Context, res resource.Resource, out *DescribedResource) {
+// addChangeStatus adds the progress of a planned change. It adds nothing if that can't be read.
+func (s *Server) addChangeStatus(ctx context.Context, res resource.Resource, out *DescribedResource) {
 	change, err := s.reconciler.Status(ctx, res.Metadata.Name)
 	if err != nil {
 		return
 	}
 	out.Status.Change = &change
 	out.Status.ObservedGeneration = change.ObservedGeneration
-	done := Condition{Type: "Complete", Status: "False", Reason: string(change.Phase)}
+	complete := Condition{Type: "Complete", Status: "False", Reason: string(change.Phase)}
 	if change.Phase == plannedchange.Done && change.ObservedGeneration == res.Metadata.Generation {
-		done.Status = "True"
+		complete.Status = "True"
 	}
-	out.Status.Conditions = append(out.Status.Conditions, done)
+	out.Status.Conditions = append(out.Status.Conditions, complete)
 }
 
-// watchWait is how long a watch waits for a change before it answers empty, and
-// watchEvery how often it looks.
 const (
-	watchWait  = 10 * time.Second
-	watchEvery = 250 * time.Millisecond
+	// watchTimeout is how long a watch waits for a change before it returns an empty list.
+	watchTimeout = 10 * time.Second
+	// watchPollInterval is the time between two reads of the store by one watch.
+	watchPollInterval = 250 * time.Millisecond
 )
 
-// watch answers with the changes after a revision as soon as there are any.
+// watch waits for changes after a revision and returns them. If the store no longer has all of these
+// changes, it returns the whole configuration as one change.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		fail(w, code.New(code.BadBody, "after is not a revision"))
+		writeError(w, code.New(code.BadBody, "parameter after is not a revision number"))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), watchWait)
+	ctx, cancel := context.WithTimeout(r.Context(), watchTimeout)
 	defer cancel()
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchPollInterval)
 	defer ticker.Stop()
 	for {
 		changes, whole, err := s.controller.Store().Since(ctx, after)
 		switch {
 		case whole != nil:
-			reply(w, []resource.Change{{Revision: whole.Revision, Resources: whole.Resources}})
+			writeJSON(w, []resource.Change{{Revision: whole.Revision, Resources: whole.Resources}})
 			return
 		case len(changes) > 0:
-			reply(w, changes)
+			writeJSON(w, changes)
 			return
 		case err != nil && ctx.Err() == nil:
-			fail(w, storeError(err))
+			writeError(w, storeError(err))
 			return
 		}
 		select {
 		case <-ctx.Done():
-			reply(w, []resource.Change{})
+			writeJSON(w, []resource.Change{})
 			return
 		case <-ticker.C:
 		}
@@ -217,22 +222,23 @@
 func (s *Server) burn(w http.ResponseWriter, r *http.Request) {
 	report, err := s.controller.Burn(r.Context())
 	if err != nil {
-		fail(w, storeError(err))
+		writeError(w, storeError(err))
 		return
 	}
-	reply(w, report)
+	writeJSON(w, report)
 }
 
+// explain ranks a pool's targets for a chat, as a router does that knows only the configuration.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	conf, err := s.controller.Store().Load(r.Context())
 	if err != nil {
-		fail(w, storeError(err))
+		writeError(w, storeError(err))
 		return
 	}
 	q := r.URL.Query()
 	pool, ok := routing.Build(conf.Revision, conf.Resources).Pool(q.Get("pool"))
 	if !ok {
-		fail(w, code.New(code.UnknownPool, "no pool %q", q.Get("pool")))
+		writeError(w, code.New(code.UnknownPool, "no pool %q", q.Get("pool")))
 		return
 	}
 	chat := q.Get("team") + "/" + q.Get("chat")
@@ -251,15 +257,16 @@
 			out.Leaving = append(out.Leaving, t.Name)
 		}
 	}
-	reply(w, out)
+	writeJSON(w, out)
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func fail(w http.ResponseWriter, err error) {
+// writeError answers with the result code of err. An error without a code comes from the store.
+func writeError(w http.ResponseWriter, err error) {
 	var coded *code.Error
 	if !errors.As(err, &coded) {
 		coded = code.New(code.StoreDown, "%s", err)
