--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -18,38 +18,37 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// prefix begins the name of every metric.
+// prefix is the prefix of all metric names.
 const prefix = "hemlockdyke_"
 
-// maxLatencies bounds the latency histograms, 250 bytes each, and maxLevels the pairs of
-// pool and team whose service level is kept, 20 KB each: a VM has 184 MB at the least.
+// The limits bound the memory for metrics, since the smallest VM has 184 MB.
 const (
-	maxLatencies = 1000
-	maxLevels    = 200
+	maxLatencies     = 1000 // latency histograms, of 250 bytes each
+	maxServiceLevels = 200  // pairs of pool and team with a service level, of 20 KB each
 )
 
-// Gateway counts what a gateway does. It is safe for concurrent use.
+// Gateway holds the metrics of a router on the users' platform. It is safe for concurrent use.
 type Gateway struct {
 	now func() time.Time
 
-	mu        sync.Mutex
-	registry  gometrics.Registry
-	series    int
-	latencies map[latencyKey]*latency
-	levels    *burn.Tracker
+	mu            sync.Mutex
+	registry      gometrics.Registry
+	series        int // counters in registry, up to maxSeries
+	latencies     map[latencyKey]*latency
+	serviceLevels *burn.Tracker
 }
 
 type latencyKey struct{ name, route, class string }
 
-// NewGateway returns empty counters.
+// NewGateway returns a Gateway without any counts.
 func NewGateway(now func() time.Time) *Gateway {
 	return &Gateway{
 		now: now, registry: gometrics.NewRegistry(), latencies: make(map[latencyKey]*latency),
-		levels: burn.NewTracker(now(), maxLevels),
+		serviceLevels: burn.NewTracker(now(), maxServiceLevels),
 	}
 }
 
-// Observe records how a request ended.
+// Observe records the result of a request.
 func (g *Gateway) Observe(r gateway.Result) {
 	g.add("requests_total", "code", r.Code.Lookup().Name, 1)
 	if r.Repeats > 0 {
@@ -61,19 +60,19 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.Code == code.OK {
-		g.latency("first_byte_ms", r).observe(r.First)
-		g.latency("total_ms", r).observe(r.Total)
+		g.getOrAddLatency("first_byte_ms", r).observe(r.First)
+		g.getOrAddLatency("total_ms", r).observe(r.Total)
 	}
 	if r.Code == code.CallerGone {
-		return // says nothing of the service
+		return // the service level does not count requests whose caller disconnected
 	}
 	answered := r.Code == code.OK && r.Status < http.StatusInternalServerError
-	g.levels.Observe(g.now(), burn.Key{Pool: r.Pool, Team: r.Team}, burn.Good(answered, r.First, r.Objective), r.First)
+	g.serviceLevels.Observe(g.now(), burn.Key{Pool: r.Pool, Team: r.Team}, burn.Good(answered, r.First, r.Objective), r.First)
 }
 
-// latency returns the histogram of a request's route and team class. Beyond the bound
-// all share one.
-func (g *Gateway) latency(name string, r gateway.Result) *latency {
+// getOrAddLatency returns the histogram of a request's route and team class. Once there are
+// maxLatencies histograms, all new routes and classes share one.
+func (g *Gateway) getOrAddLatency(name string, r gateway.Result) *latency {
 	key := latencyKey{name: name, route: r.Route, class: r.Class}
 	l, ok := g.latencies[key]
 	if !ok && len(g.latencies) >= maxLatencies {
@@ -87,19 +86,20 @@
 	return l
 }
 
-// Said counts what targets say of themselves.
+// Said counts a notice in a target's answer: that it leaves, a pause, or an invalid pause.
 func (g *Gateway) Said(what string) { g.add("targets_said_total", "what", what, 1) }
 
-// CountRefusal counts a refusal before a route was known.
+// CountRefusal counts a request that was refused before it had a route.
 func (g *Gateway) CountRefusal(c code.Code) { g.add("refused_total", "code", c.Lookup().Name, 1) }
 
 // CountDial counts a new connection to a target.
 func (g *Gateway) CountDial() { g.add("dials_total", "", "", 1) }
 
-// AddPeerBytes counts bytes of routers' messages to each other, by kind and direction.
+// AddPeerBytes counts n bytes of messages between routers. kind names the message and its direction.
 func (g *Gateway) AddPeerBytes(kind string, n int64) { g.add("peer_bytes_total", "kind", kind, int(n)) }
 
-// CountStoreCall counts a call to the platform's store.
+// CountStoreCall counts a call to the platform's store and whether it failed. kind is the path of the
+// call.
 func (g *Gateway) CountStoreCall(kind string, err error) {
 	outcome := "ok"
 	if err != nil {
@@ -108,6 +108,8 @@
 	g.add("store_calls_total", "call", strings.TrimPrefix(kind, "/")+"_"+outcome, 1)
 }
 
+// add adds n to a counter. Once there are maxSeries counters, new label values are counted under the
+// metric's name without a label.
 func (g *Gateway) add(name, label, value string, n int) {
 	key := seriesName(name, label, value)
 	g.mu.Lock()
@@ -128,7 +130,8 @@
 	return fmt.Sprintf("%s{%s=%q}", name, label, value)
 }
 
-// Handler serves the metrics as text; status tells what the router holds now.
+// Handler returns a handler that serves the metrics as text. It calls status for the current state of
+// the router.
 func (g *Gateway) Handler(status func() gateway.Status) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -140,32 +143,32 @@
 }
 
 func writeStatus(w io.Writer, s gateway.Status) {
-	for _, one := range []struct {
+	for _, gauge := range []struct {
 		name  string
 		value float64
 	}{
-		{"ready", boolean(s.Ready)}, {"store_reading", boolean(s.Reading)}, {"desired_state_version", float64(s.Version)},
+		{"ready", toFloat(s.Ready)}, {"store_reading", toFloat(s.Reading)}, {"desired_state_version", float64(s.Version)},
 		{"desired_state_age_seconds", s.DesiredAge.Seconds()}, {"targets_age_seconds", s.TargetsAge.Seconds()},
-		{"peers_alive", float64(s.Peers)}, {"peers_heard", float64(s.Heard)}, {"relay", boolean(s.Relay)},
+		{"peers_alive", float64(s.Peers)}, {"peers_heard", float64(s.Heard)}, {"relay", toFloat(s.Relay)},
 		{"feed_age_seconds", s.FedAge.Seconds()}, {"suspects", float64(s.Suspects)}, {"evacuated_data_centres", float64(s.Evacuated)},
 		{"cold_targets", float64(s.Cold)},
 	} {
-		fmt.Fprintf(w, "%s%s %g\n", prefix, one.name, one.value)
+		fmt.Fprintf(w, "%s%s %g\n", prefix, gauge.name, gauge.value)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.OpenAt)) {
 		fmt.Fprintf(w, "%sopen_requests{target=%q} %d\n", prefix, id, s.OpenAt[id])
 	}
 }
 
-func boolean(b bool) float64 {
+func toFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// write prints counters, latencies and service levels. All lines of one name stand
-// together, as scrapers expect them.
+// write prints counters, latencies and service levels. Lines of the same metric are adjacent, as the
+// text format requires.
 func (g *Gateway) write(w io.Writer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -186,5 +189,5 @@
 			}
 		}
 	}
-	writeLevels(w, g.levels.Samples(g.now()))
+	writeServiceLevels(w, g.serviceLevels.Samples(g.now()))
 }
--- a/internal/adapter/metrics/latency.go
+++ b/internal/adapter/metrics/latency.go
@@ -9,13 +9,13 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// latencyBounds are the upper bounds of the buckets in milliseconds. They are close
-// together where routes have their objectives, from 100 to 600 ms.
+// latencyBounds are the upper bounds of the buckets in milliseconds. They are dense from 100 to 600 ms,
+// where the objectives of routes lie.
 var latencyBounds = [...]int64{10, 25, 50, 100, 150, 200, 300, 400, 600, 1000, 2000, 5000, 10000}
 
-// latency is a histogram whose buckets can be added up over routers, unlike quantiles.
+// latency is a histogram of latencies. The buckets of several routers can be added up, unlike quantiles.
 type latency struct {
-	buckets [len(latencyBounds) + 1]gometrics.Counter // the last one has no bound
+	buckets [len(latencyBounds) + 1]gometrics.Counter // the last bucket has no upper bound
 	sum     gometrics.Counter                         // milliseconds
 }
 
@@ -29,12 +29,12 @@
 
 func (l *latency) observe(d time.Duration) {
 	ms := d.Milliseconds()
-	at := sort.Search(len(latencyBounds), func(i int) bool { return ms <= latencyBounds[i] })
-	l.buckets[at].Inc(1)
+	bucket := sort.Search(len(latencyBounds), func(i int) bool { return ms <= latencyBounds[i] })
+	l.buckets[bucket].Inc(1)
 	l.sum.Inc(ms)
 }
 
-// write prints the histogram as scrapers read it: each bucket counts all below it too.
+// write prints the histogram in the text format, in which the buckets are cumulative.
 func (l *latency) write(w io.Writer, name, labels string) {
 	total := int64(0)
 	for i, c := range l.buckets {
--- a/internal/adapter/metrics/levels.go
+++ b/internal/adapter/metrics/levels.go
@@ -7,8 +7,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/burn"
 )
 
-// The metrics from which the service-level burn of the fleet is reported, with labels
-// pool and team. ServiceLevelRequests has window and outcome (OutcomeGood, OutcomeBad) as well.
+// The metrics from which hemlockctl computes the burn report of the fleet. Both have the labels pool and
+// team. ServiceLevelRequests also has the labels window and outcome (OutcomeGood, OutcomeBad).
 const (
 	ServiceLevelRequests  = prefix + "service_level_requests"
 	ServiceLevelFirstByte = prefix + "service_level_first_byte_ms"
@@ -16,28 +16,28 @@
 	OutcomeBad            = "bad"
 )
 
-// writeLevels prints how many requests of each pool and team met their service level in
-// each window, and how long their first bytes took since the start.
-func writeLevels(w io.Writer, samples []burn.Sample) {
+// writeServiceLevels prints, for each pool and team, how many requests met their service level in each
+// window, and the histogram of their first-byte times since the router's start.
+func writeServiceLevels(w io.Writer, samples []burn.Sample) {
 	for _, s := range samples {
 		for i, window := range burn.Windows() {
-			for _, one := range []struct {
+			for _, count := range []struct {
 				outcome string
 				n       uint64
 			}{{OutcomeGood, s.Counts[i].Good}, {OutcomeBad, s.Counts[i].Bad}} {
 				fmt.Fprintf(w, "%s{pool=%q,team=%q,window=%q,outcome=%q} %d\n",
-					ServiceLevelRequests, s.Key.Pool, s.Key.Team, window, one.outcome, one.n)
+					ServiceLevelRequests, s.Key.Pool, s.Key.Team, window, count.outcome, count.n)
 			}
 		}
 	}
 	fmt.Fprintf(w, "# TYPE %s histogram\n", ServiceLevelFirstByte)
 	for _, s := range samples {
-		writeFirst(w, s)
+		writeFirstByte(w, s)
 	}
 }
 
-// writeFirst prints the histogram of a sample with its non-empty buckets only.
-func writeFirst(w io.Writer, s burn.Sample) {
+// writeFirstByte prints the non-empty buckets of the first-byte histogram of a sample.
+func writeFirstByte(w io.Writer, s burn.Sample) {
 	total := int64(0)
 	for _, bar := range s.Histogram.Distribution() {
 		if bar.Count == 0 {
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a router does, in registries of its own.
+// Package metrics holds the metrics of routers. Each metrics object has its own registry.
 package metrics
 
 import (
@@ -14,25 +14,25 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// maxSeries bounds the number of team and pool series: with 31,000 teams an
-// unbounded registry would outgrow the memory of a small VM.
+// maxSeries bounds the number of counters and timers in a registry. With 31,000 teams an unbounded
+// registry would exceed the memory of a small VM.
 const maxSeries = 2000
 
 // RequestCounts counts requests by pool and result. It is safe for concurrent use.
 type RequestCounts struct {
 	mu       sync.Mutex
 	registry gometrics.Registry
-	series   int
+	series   int // metrics in registry, up to maxSeries
 }
 
-// NewRequestCounts returns empty counters.
+// NewRequestCounts returns a RequestCounts without any counts.
 func NewRequestCounts() *RequestCounts { return &RequestCounts{registry: gometrics.NewRegistry()} }
 
-// Observe records how a request ended.
+// Observe records the result of a request.
 func (m *RequestCounts) Observe(req router.Request, result router.Result) {
 	pool := req.Pool.Name
 	m.counter("pool." + pool + ".code." + result.Code.Lookup().Name).Inc(1)
-	m.counter("pool." + pool + ".tickets").Inc(int64(result.Attempts)) // one for each attempt
+	m.counter("pool." + pool + ".tickets").Inc(int64(result.Attempts)) // each attempt takes a ticket
 	if result.Code == code.OK {
 		m.timer("pool." + pool + ".first_part").Update(result.FirstPart)
 	}
@@ -41,21 +41,24 @@
 	}
 }
 
+// counter returns the named counter, or a shared one if the registry is full.
 func (m *RequestCounts) counter(name string) gometrics.Counter {
-	if !m.admit(name) {
+	if !m.reserve(name) {
 		name = "other"
 	}
 	return gometrics.GetOrRegisterCounter(name, m.registry)
 }
 
+// timer returns the named timer, or a shared one if the registry is full.
 func (m *RequestCounts) timer(name string) gometrics.Timer {
-	if !m.admit(name) {
+	if !m.reserve(name) {
 		name = "other_timer"
 	}
 	return gometrics.GetOrRegisterTimer(name, m.registry)
 }
 
-func (m *RequestCounts) admit(name string) bool {
+// reserve reports whether the registry has the named metric or has room for it. It counts a new one.
+func (m *RequestCounts) reserve(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.registry.Get(name) != nil {
@@ -68,20 +71,21 @@
 	return true
 }
 
-// WriteJSON writes every metric.
+// WriteJSON writes all metrics as JSON.
 func (m *RequestCounts) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(m.registry) }
 
-// ConnectionTraffic counts the bytes and writes of control connections.
+// ConnectionTraffic counts the bytes, reads and writes of the connections between routers and
+// controllers. It is safe for concurrent use.
 type ConnectionTraffic struct {
 	BytesIn, BytesOut, Reads, Writes atomic.Int64
 }
 
-// WrapListener wraps a listener so that its connections are counted.
+// WrapListener returns a listener whose connections are counted.
 func (t *ConnectionTraffic) WrapListener(l net.Listener) net.Listener {
 	return &countingListener{Listener: l, traffic: t}
 }
 
-// WrapConn counts one connection.
+// WrapConn returns a connection that is counted.
 func (t *ConnectionTraffic) WrapConn(c net.Conn) net.Conn { return &countingConn{Conn: c, traffic: t} }
 
 type countingListener struct {
@@ -116,15 +120,15 @@
 	return n, err
 }
 
-// TrafficCounts is the control traffic of one process since its start.
+// TrafficCounts is the traffic of one process since its start.
 type TrafficCounts struct {
-	In     int64 `json:"in"`
-	Out    int64 `json:"out"`
+	In     int64 `json:"in"`  // bytes
+	Out    int64 `json:"out"` // bytes
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
 }
 
-// Snapshot returns the counts.
+// Snapshot returns the current counts.
 func (t *ConnectionTraffic) Snapshot() TrafficCounts {
 	return TrafficCounts{In: t.BytesIn.Load(), Out: t.BytesOut.Load(), Reads: t.Reads.Load(), Writes: t.Writes.Load()}
 }
--- a/internal/adapter/peer/coalesce.go
+++ b/internal/adapter/peer/coalesce.go
@@ -5,27 +5,26 @@
 	"sync"
 )
 
-// coalescer joins small writes to a connection that follow each other at once.
-// HTTP/2 writes the headers and the data of a short message separately; sent
-// apart, the packet headers of the second cost more than the message. Handing
-// the bytes to a goroutine gives the second write the time to join the first;
-// a timer would take about a millisecond.
-type coalescer struct {
+// coalescingConn joins small writes that follow each other immediately. HTTP/2 writes the headers and
+// the data of a short message separately. In two packets, the packet headers of the second would cost
+// more than the message. A goroutine does the writing, which gives the second write enough time to join
+// the first. A timer would delay messages by about a millisecond.
+type coalescingConn struct {
 	net.Conn
-	wake    chan struct{}
+	wake    chan struct{} // receives a value after each Write; closed by Close
 	mu      sync.Mutex
 	pending []byte
 	closed  bool
-	failed  error
+	err     error // of the first failed write to Conn, after which nothing is written
 }
 
-func newCoalescer(c net.Conn) *coalescer {
-	w := &coalescer{Conn: c, wake: make(chan struct{}, 1)}
+func newCoalescingConn(c net.Conn) *coalescingConn {
+	w := &coalescingConn{Conn: c, wake: make(chan struct{}, 1)}
 	go w.run()
 	return w
 }
 
-func (w *coalescer) run() {
+func (w *coalescingConn) run() {
 	for range w.wake {
 		w.mu.Lock()
 		w.flush()
@@ -33,16 +32,16 @@
 	}
 }
 
-// Write queues p. An error of a queued write is returned by the next Write; the
-// reader sees the broken connection sooner.
-func (w *coalescer) Write(p []byte) (int, error) {
+// Write queues p. If a queued write fails, the next Write returns the error. The reader of the
+// connection notices the failure earlier.
+func (w *coalescingConn) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
 		return 0, net.ErrClosed
 	}
-	if w.failed != nil {
-		return 0, w.failed
+	if w.err != nil {
+		return 0, w.err
 	}
 	w.pending = append(w.pending, p...)
 	select {
@@ -52,16 +51,17 @@
 	return len(p), nil
 }
 
-func (w *coalescer) flush() {
-	if len(w.pending) == 0 || w.failed != nil {
+// flush writes the pending bytes. It is called with mu held.
+func (w *coalescingConn) flush() {
+	if len(w.pending) == 0 || w.err != nil {
 		return
 	}
-	_, w.failed = w.Conn.Write(w.pending)
+	_, w.err = w.Conn.Write(w.pending)
 	w.pending = w.pending[:0]
 }
 
-// Close sends what is pending and closes the connection.
-func (w *coalescer) Close() error {
+// Close writes the pending bytes and closes the connection.
+func (w *coalescingConn) Close() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.closed {
@@ -73,7 +73,7 @@
 	return w.Conn.Close()
 }
 
-// WrapListener wraps a listener of the peer service, so that replies are coalesced.
+// WrapListener returns a listener of the peer service whose connections coalesce the writes of replies.
 func WrapListener(l net.Listener) net.Listener { return coalescingListener{l} }
 
 type coalescingListener struct{ net.Listener }
@@ -83,5 +83,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return newCoalescer(c), nil
+	return newCoalescingConn(c), nil
 }
--- a/internal/adapter/peer/copier.go
+++ b/internal/adapter/peer/copier.go
@@ -12,26 +12,27 @@
 	"github.com/hemlockdyke/hemlockdyke/gen/hemlockdyke/peer/v1/peerv1connect"
 )
 
-// copyIdle is how long a connection for copies is kept. Copies are rare, and pings
-// on idle connections between all routers would cost more than new connections.
-const copyIdle = 3 * time.Second
+// copyIdleTimeout is how long an idle connection for table copies is kept. Copies are rare, and pings on
+// idle connections between all routers would cost more than new connections.
+const copyIdleTimeout = 3 * time.Second
 
-// CopyClient asks routers for copies of tables. It is safe for concurrent use.
+// CopyClient requests table copies from other routers. It is safe for concurrent use.
 type CopyClient struct {
 	client  *http.Client
 	timeout time.Duration
 }
 
-// NewCopyClient returns a Copier whose calls end after timeout.
+// NewCopyClient returns a CopyClient whose calls are bounded by timeout. wrap is called for each new
+// connection, to count its traffic.
 func NewCopyClient(timeout time.Duration, wrap func(net.Conn) net.Conn) *CopyClient {
-	return &CopyClient{client: newHTTPClient(timeout, copyIdle, wrap), timeout: timeout}
+	return &CopyClient{client: newHTTPClient(timeout, copyIdleTimeout, wrap), timeout: timeout}
 }
 
-// Copy asks the router at an address.
+// Copy requests a table copy from the router at an address.
 func (c *CopyClient) Copy(ctx context.Context, address string, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	client := peerv1connect.NewPeerServiceClient(c.client, "http://"+address, connect.WithReadMaxBytes(maxMessage))
+	client := peerv1connect.NewPeerServiceClient(c.client, "http://"+address, connect.WithReadMaxBytes(maxMessageBytes))
 	resp, err := client.Copy(ctx, connect.NewRequest(req))
 	if err != nil {
 		return nil, err
--- a/internal/adapter/peer/datagram.go
+++ b/internal/adapter/peer/datagram.go
@@ -13,45 +13,45 @@
 	peerv1 "github.com/hemlockdyke/hemlockdyke/gen/hemlockdyke/peer/v1"
 )
 
-// maxDatagram is the largest digest that is read.
-const maxDatagram = 64 << 10
+// maxDatagramBytes is the largest digest that can be received.
+const maxDatagramBytes = 64 << 10
 
 const (
-	// burst is how many digests go out at once, and burstPause the time between two bursts: the queue of a small link
-	// holds some 40 datagrams and loses the rest, always those of the same routers. 100 a tick of a tenth of a second
-	// go out in 30 ms.
-	burst      = 16
-	burstPause = 5 * time.Millisecond
-	// unsentMost is how many messages may wait to be sent. More means that the processor is too busy; what comes
-	// then is lost, and replaced by the next digest.
-	unsentMost = 64
+	// burstSize is the number of digests that are sent without a pause, and burstInterval the pause between
+	// two bursts. The queue of a small link holds about 40 datagrams. It drops the rest of a larger burst,
+	// always those to the same routers. 100 digests, as sent every 100 ms, take 30 ms.
+	burstSize     = 16
+	burstInterval = 5 * time.Millisecond
+	// maxQueuedMessages bounds the messages that wait to be sent. A full queue means that the processor is
+	// overloaded. Further digests are dropped, and the next ones replace them.
+	maxQueuedMessages = 64
 )
 
-// message is a digest for some routers.
+// message is a digest to several routers.
 type message struct {
-	to     []string
-	digest *peerv1.Digest
-	yours  []*peerv1.Report
+	to               []string // addresses
+	digest           *peerv1.Digest
+	recipientReports []*peerv1.Report // added to the digest for the address at the same index
 }
 
-// DigestSocket sends and receives digests. A digest replaces the one before, so
-// nothing is sent again, and no connection can go silent.
+// DigestSocket sends and receives digests as UDP datagrams. It never resends a digest, since the next
+// one replaces it. Without connections, none can go silent. It is safe for concurrent use.
 type DigestSocket struct {
 	conn    *net.UDPConn
-	in, out atomic.Int64
-	lost    atomic.Int64
-	unsent  chan message
+	in, out atomic.Int64 // bytes with headers
+	lost    atomic.Int64 // digests that could not be sent
+	queue   chan message
 	closed  chan struct{}
 	close   sync.Once
 }
 
-// datagramHeader is what IPv4 and UDP add to each digest on a link, in bytes.
-const datagramHeader = 28
+// datagramHeaderBytes is the size of the IPv4 and UDP headers of a datagram.
+const datagramHeaderBytes = 28
 
-// TrafficBytes returns what came in and went out since the start, with headers.
+// TrafficBytes returns the bytes received and sent since the start, including IP and UDP headers.
 func (d *DigestSocket) TrafficBytes() (in, out int64) { return d.in.Load(), d.out.Load() }
 
-// ListenDigests opens the socket at an IP number and port.
+// ListenDigests opens a socket at an address of IP number and port.
 func ListenDigests(address string) (*DigestSocket, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -61,37 +61,38 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", address)
 	}
-	d := &DigestSocket{conn: conn, unsent: make(chan message, unsentMost), closed: make(chan struct{})}
+	d := &DigestSocket{conn: conn, queue: make(chan message, maxQueuedMessages), closed: make(chan struct{})}
 	go d.run()
 	return d, nil
 }
 
-// LostDigests returns how many digests could not be sent since the start.
+// LostDigests returns the number of digests that could not be sent since the start.
 func (d *DigestSocket) LostDigests() int64 { return d.lost.Load() }
 
-// run sends what waits, in bursts.
+// run sends the queued messages until the socket is closed.
 func (d *DigestSocket) run() {
 	for {
 		select {
 		case <-d.closed:
 			return
-		case m := <-d.unsent:
+		case m := <-d.queue:
 			d.send(m)
 		}
 	}
 }
 
-// Send queues a digest for each address; nobody waits for it. yours, if there are any, are added to the digest, each for the
-// address in its place. None of them may be changed afterwards.
-func (d *DigestSocket) Send(to []string, m *peerv1.Digest, yours []*peerv1.Report) {
+// Send queues a digest to each address and returns immediately. If recipientReports is not empty, its
+// reports are added to the digest, each for the address at the same index. The arguments must not be
+// changed afterwards.
+func (d *DigestSocket) Send(to []string, m *peerv1.Digest, recipientReports []*peerv1.Report) {
 	select {
-	case d.unsent <- message{to, m, yours}:
+	case d.queue <- message{to, m, recipientReports}:
 	default:
 		d.lost.Add(int64(len(to)))
 	}
 }
 
-// send encodes what is the same for all once.
+// send sends a message in bursts. It encodes the digest once for all addresses.
 func (d *DigestSocket) send(m message) {
 	data, err := proto.Marshal(m.digest)
 	if err != nil {
@@ -99,14 +100,14 @@
 		return
 	}
 	for i, address := range m.to {
-		if i > 0 && i%burst == 0 {
-			time.Sleep(burstPause)
+		if i > 0 && i%burstSize == 0 {
+			time.Sleep(burstInterval)
 		}
-		whole := data
-		if i < len(m.yours) && m.yours[i] != nil {
-			whole, err = proto.MarshalOptions{}.MarshalAppend(data[:len(data):len(data)], &peerv1.Digest{Yours: m.yours[i]})
+		datagram := data
+		if i < len(m.recipientReports) && m.recipientReports[i] != nil {
+			datagram, err = proto.MarshalOptions{}.MarshalAppend(data[:len(data):len(data)], &peerv1.Digest{Yours: m.recipientReports[i]})
 		}
-		if err != nil || !d.sendOne(address, whole) {
+		if err != nil || !d.sendOne(address, datagram) {
 			d.lost.Add(1)
 		}
 	}
@@ -120,14 +121,14 @@
 	if _, err := d.conn.WriteToUDPAddrPort(data, at); err != nil {
 		return false
 	}
-	d.out.Add(int64(len(data) + datagramHeader))
+	d.out.Add(int64(len(data) + datagramHeaderBytes))
 	return true
 }
 
-// Receive calls handle for each digest until the socket is closed. What is no
-// digest is left out.
+// Receive calls handle with each digest and its sender's address until the socket is closed. It ignores
+// datagrams that can't be decoded.
 func (d *DigestSocket) Receive(handle func(from string, m *peerv1.Digest)) error {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -136,7 +137,7 @@
 		if err != nil {
 			return err
 		}
-		d.in.Add(int64(n + datagramHeader))
+		d.in.Add(int64(n + datagramHeaderBytes))
 		m := &peerv1.Digest{}
 		if proto.Unmarshal(buffer[:n], m) != nil {
 			continue
@@ -145,7 +146,7 @@
 	}
 }
 
-// Close ends Receive. What waits is not sent.
+// Close closes the socket, which ends Receive. Queued messages are not sent.
 func (d *DigestSocket) Close() error {
 	d.close.Do(func() { close(d.closed) })
 	return d.conn.Close()
--- a/internal/adapter/peer/datagram_test.go
+++ b/internal/adapter/peer/datagram_test.go
@@ -14,7 +14,7 @@
 
 func TestSuite(t *testing.T) { testkit.Run(t, "peer") }
 
-var _ = Describe("digests as datagrams", func() {
+var _ = Describe("a digest socket", func() {
 	listen := func(address string) *peer.DigestSocket {
 		GinkgoHelper()
 		d, err := peer.ListenDigests(address)
@@ -22,7 +22,7 @@
 		DeferCleanup(d.Close)
 		return d
 	}
-	received := func(d *peer.DigestSocket) <-chan *peerv1.Digest {
+	receive := func(d *peer.DigestSocket) <-chan *peerv1.Digest {
 		out := make(chan *peerv1.Digest, 200)
 		go func() {
 			defer GinkgoRecover()
@@ -31,11 +31,12 @@
 		return out
 	}
 
-	// A relay encodes the fleet's report once for all that it feeds, and adds to each what of it is theirs.
-	It("come whole, each with what is its receiver's", func() {
-		here := listen("127.0.0.1:0")
-		a, b := received(listen("127.0.0.2:17341")), received(listen("127.0.0.3:17341"))
-		here.Send([]string{"127.0.0.2:17341", "127.0.0.3:17341"},
+	// A relay encodes the fleet's report once for all routers that it feeds, and adds a report of its own for
+	// each of them.
+	It("adds to each digest the report of its recipient", func() {
+		sender := listen("127.0.0.1:0")
+		a, b := receive(listen("127.0.0.2:17341")), receive(listen("127.0.0.3:17341"))
+		sender.Send([]string{"127.0.0.2:17341", "127.0.0.3:17341"},
 			&peerv1.Digest{Sequence: 7, Report: &peerv1.Report{LoadTarget: []uint64{1, 2}, LoadOpen: []uint32{3, 4}}},
 			[]*peerv1.Report{{LoadTarget: []uint64{1}, LoadOpen: []uint32{1}}, nil})
 		var first, second *peerv1.Digest
@@ -48,35 +49,36 @@
 		Expect(second.GetSequence()).To(BeEquivalentTo(7))
 	})
 
-	// Symptom: the same routers miss every digest. Cause: one burst to all, of which a small link's queue loses the end.
-	It("go out in bursts with pauses between them", func() {
-		here := listen("127.0.0.1:0")
-		got := received(listen("127.0.0.4:17341"))
+	// Guards against routers that miss every digest, when one burst to all routers overflows the queue of a
+	// small link and the queue drops the end of it.
+	It("sends digests in bursts with pauses between them", func() {
+		sender := listen("127.0.0.1:0")
+		got := receive(listen("127.0.0.4:17341"))
 		to := make([]string, 65) // five bursts
 		for i := range to {
 			to[i] = "127.0.0.4:17341"
 		}
-		began := time.Now()
-		here.Send(to, &peerv1.Digest{Sequence: 1}, nil)
+		startedAt := time.Now()
+		sender.Send(to, &peerv1.Digest{Sequence: 1}, nil)
 		for range to {
 			Eventually(got).Should(Receive())
 		}
-		Expect(time.Since(began)).To(BeNumerically(">=", 20*time.Millisecond), "four pauses of 5 ms")
+		Expect(time.Since(startedAt)).To(BeNumerically(">=", 20*time.Millisecond), "four pauses of 5 ms")
 	})
 
-	It("are counted as lost when they can't be sent, and when too many wait", func() {
-		here := listen("127.0.0.1:0")
-		here.Send([]string{"nowhere"}, &peerv1.Digest{}, nil)
-		Eventually(here.LostDigests).Should(Equal(int64(1)))
+	It("counts digests as lost if they can't be sent or the queue is full", func() {
+		sender := listen("127.0.0.1:0")
+		sender.Send([]string{"nowhere"}, &peerv1.Digest{}, nil)
+		Eventually(sender.LostDigests).Should(Equal(int64(1)))
 		to := make([]string, 320) // 19 pauses
 		for i := range to {
 			to[i] = "127.0.0.9:9"
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		for range 80 {
-			here.Send(to, &peerv1.Digest{}, nil)
+			sender.Send(to, &peerv1.Digest{}, nil)
 		}
-		Expect(time.Since(began)).To(BeNumerically("<", 2*time.Second), "to send them takes 7.6 s at the least, and nobody waits for it")
-		Expect(here.LostDigests()).To(BeNumerically(">=", 10*320), "64 wait")
+		Expect(time.Since(startedAt)).To(BeNumerically("<", 2*time.Second), "Send does not wait for the digests to be sent, which takes at least 7.6 s")
+		Expect(sender.LostDigests()).To(BeNumerically(">=", 10*320), "the queue holds 64 messages")
 	})
 })
--- a/internal/adapter/peer/peer.go
+++ b/internal/adapter/peer/peer.go
@@ -1,4 +1,5 @@
-// Package peer carries the peer protocol over connect-go.
+// Package peer implements the protocol between routers, and between controllers and routers: calls over
+// connect-go, and digests as UDP datagrams.
 package peer
 
 import (
@@ -16,31 +17,32 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// maxMessage bounds one message: a snapshot of 31,000 teams has about 6 MB.
-const maxMessage = 32 << 20
+// maxMessageBytes bounds one message. A snapshot of 31,000 teams has about 6 MB.
+const maxMessageBytes = 32 << 20
 
-// pingAfter and pingTimeout find connections that have gone silent: without
-// them every call to a peer would wait for its own timeout on a connection that
-// something in between has forgotten, although a new one would work.
+// HTTP/2 pings detect connections that have gone silent. Without them each call to a peer would run into
+// its timeout if a middlebox has dropped the connection, although a new connection would work.
 const (
-	pingAfter   = time.Second
-	pingTimeout = 500 * time.Millisecond
+	sendPingTimeout = time.Second
+	pingTimeout     = 500 * time.Millisecond
 )
 
-// Handler answers one incoming message.
+// Handler handles incoming messages. Handle returns the reply to m.
 type Handler interface {
 	Handle(ctx context.Context, m proto.Message) (proto.Message, error)
 }
 
-// NewHandler returns the HTTP handler of the peer service.
+// NewHandler returns the path and the HTTP handler of the peer service.
 func NewHandler(h Handler, options ...connect.HandlerOption) (string, http.Handler) {
-	return peerv1connect.NewPeerServiceHandler(&server{h}, append(options, connect.WithReadMaxBytes(maxMessage))...)
+	return peerv1connect.NewPeerServiceHandler(&server{h}, append(options, connect.WithReadMaxBytes(maxMessageBytes))...)
 }
 
-// WithoutCompression is for handlers whose large answers are compressed already: each answer would be compressed again.
-func WithoutCompression() connect.HandlerOption { return connect.WithCompressMinBytes(maxMessage) }
+// WithoutCompression returns an option for a handler whose large replies are compressed already. It
+// avoids a second compression.
+func WithoutCompression() connect.HandlerOption { return connect.WithCompressMinBytes(maxMessageBytes) }
 
-// Protocols returns the HTTP versions of the peer service: HTTP/2 without TLS.
+// Protocols returns the HTTP versions that a server of the peer service accepts: HTTP/1 and HTTP/2
+// without TLS.
 func Protocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
@@ -52,19 +54,21 @@
 
 var _ peerv1connect.PeerServiceHandler = (*server)(nil)
 
+// handle passes a request to the Handler and returns its reply.
 func handle[Req, Resp any](ctx context.Context, s *server, req *connect.Request[Req]) (*connect.Response[Resp], error) {
 	out, err := s.handler.Handle(ctx, any(req.Msg).(proto.Message))
 	if err != nil {
-		return nil, toConnect(err)
+		return nil, toConnectError(err)
 	}
 	resp, ok := any(out).(*Resp)
 	if !ok {
-		return nil, connect.NewError(connect.CodeInternal, errors.Newf("unexpected reply %T", out))
+		return nil, connect.NewError(connect.CodeInternal, errors.Newf("unexpected reply type %T", out))
 	}
 	return connect.NewResponse(resp), nil
 }
 
-func toConnect(err error) error {
+// toConnectError converts an error of the Handler to an error of the protocol.
+func toConnectError(err error) error {
 	var coded *code.Error
 	if errors.As(err, &coded) {
 		return connect.NewError(connect.CodeFailedPrecondition, coded)
@@ -100,26 +104,26 @@
 	return handle[peerv1.CopyRequest, peerv1.CopyResponse](ctx, s, req)
 }
 
-// Client calls listed peers. It is safe for concurrent use.
+// Client calls routers by their ids. It is safe for concurrent use.
 type Client struct {
 	clients map[uint32]peerv1connect.PeerServiceClient
 	timeout time.Duration
 }
 
-// NewClient returns a Caller for peers by router number. wrap sees each new
-// connection, to count its traffic.
+// NewClient returns a Client for the routers at the given addresses, by id. Each call is bounded by
+// timeout. wrap is called for each new connection, to count its traffic.
 func NewClient(addresses map[uint32]string, timeout time.Duration, wrap func(net.Conn) net.Conn) *Client {
 	client := newHTTPClient(timeout, 0, wrap)
 	c := &Client{clients: make(map[uint32]peerv1connect.PeerServiceClient), timeout: timeout}
 	for id, address := range addresses {
-		c.clients[id] = peerv1connect.NewPeerServiceClient(client, "http://"+address, connect.WithReadMaxBytes(maxMessage))
+		c.clients[id] = peerv1connect.NewPeerServiceClient(client, "http://"+address, connect.WithReadMaxBytes(maxMessageBytes))
 	}
 	return c
 }
 
-// newHTTPClient returns a client for the peer service. idle is how long an unused
-// connection is kept; 0 means as long as both ends live.
-func newHTTPClient(timeout, idle time.Duration, wrap func(net.Conn) net.Conn) *http.Client {
+// newHTTPClient returns an HTTP client for the peer service. An idle connection is closed after
+// idleTimeout, or never if that is 0.
+func newHTTPClient(timeout, idleTimeout time.Duration, wrap func(net.Conn) net.Conn) *http.Client {
 	dialer := &net.Dialer{Timeout: timeout}
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -127,11 +131,11 @@
 			if err != nil {
 				return nil, err
 			}
-			return newCoalescer(wrap(conn)), nil
+			return newCoalescingConn(wrap(conn)), nil
 		},
-		IdleConnTimeout: idle,
+		IdleConnTimeout: idleTimeout,
 		Protocols:       unencryptedHTTP2(),
-		HTTP2:           &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2:           &http.HTTP2Config{SendPingTimeout: sendPingTimeout, PingTimeout: pingTimeout},
 	}}
 }
 
@@ -141,7 +145,7 @@
 	return p
 }
 
-// Call sends one request to a peer and returns its reply.
+// Call sends a request to a router and returns its reply.
 func (c *Client) Call(ctx context.Context, to uint32, m proto.Message) (proto.Message, error) {
 	client, ok := c.clients[to]
 	if !ok {
@@ -163,7 +167,7 @@
 	case *peerv1.PullRequest:
 		return call(ctx, client.Pull, m)
 	}
-	return nil, errors.Newf("no call for %T", m)
+	return nil, errors.Newf("peer service has no call for %T", m)
 }
 
 func call[Req, Resp any](ctx context.Context, do func(context.Context, *connect.Request[Req]) (*connect.Response[Resp], error), m *Req) (proto.Message, error) {
