--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -7,64 +7,65 @@
 	"github.com/rs/zerolog"
 )
 
-// Log writes lines within their bounds. It is safe for concurrent use.
+// Log writes event lines and limits their rate for each kind. It is safe for concurrent use.
 type Log struct {
 	out zerolog.Logger
 	now func() time.Time
 
 	mu     sync.Mutex
-	counts map[string]*count
+	counts map[string]*lineCount // by name of the kind
 }
 
-// count is what was written of one kind in the present second.
-type count struct {
+// lineCount counts the lines of one kind since the start of the current second.
+type lineCount struct {
 	since   time.Time
 	written int
-	left    int
+	dropped int
 }
 
 // New returns a Log that writes to out.
 func New(out zerolog.Logger, now func() time.Time) *Log {
-	return &Log{out: out, now: now, counts: make(map[string]*count)}
+	return &Log{out: out, now: now, counts: make(map[string]*lineCount)}
 }
 
-// Nop returns a Log that writes nothing.
+// Nop returns a Log that discards all lines.
 func Nop() *Log { return New(zerolog.Nop(), time.Now) }
 
-// Line begins a line. It is nil, which takes fields and writes nothing, if the kind's
-// room for this second is used up.
+// Line begins a line of a kind. It returns nil, which accepts fields and writes nothing, if the kind has
+// reached its limit in the current second. The first line of a kind after that second also reports how
+// many lines were dropped.
 func (l *Log) Line(k Kind) *zerolog.Event {
-	left, write := l.count(k)
-	if left > 0 {
-		l.begin(LinesDropped).Str("kind", k.Name).Int("count", left).Msg("")
+	dropped, write := l.countLine(k)
+	if dropped > 0 {
+		l.newEvent(LinesDropped).Str("kind", k.Name).Int("count", dropped).Msg("")
 	}
 	if !write {
 		return nil
 	}
-	return l.begin(k)
+	return l.newEvent(k)
 }
 
-func (l *Log) begin(k Kind) *zerolog.Event { return l.out.WithLevel(k.Level).Str("event", k.Name) }
+func (l *Log) newEvent(k Kind) *zerolog.Event { return l.out.WithLevel(k.Level).Str("event", k.Name) }
 
-// count takes one line of a kind and reports whether it is written, and how many of
-// the second before were not.
-func (l *Log) count(k Kind) (left int, write bool) {
+// countLine counts a line of a kind. It returns whether the line may be written, and how many lines were
+// dropped in the previous second if this line begins a new one.
+func (l *Log) countLine(k Kind) (dropped int, write bool) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c, ok := l.counts[k.Name]
 	if !ok {
-		c = &count{since: now}
+		c = &lineCount{since: now}
 		l.counts[k.Name] = c
 	}
 	if now.Sub(c.since) >= time.Second {
-		left = c.left
-		*c = count{since: now}
+		dropped = c.dropped
+		*c = lineCount{since: now}
 	}
 	if c.written >= k.MaxPerSecond {
-		c.left++
-		return left, false
+		c.dropped++
+		return dropped, false
 	}
 	c.written++
-	return left, true
+	return dropped, true
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -20,30 +20,30 @@
 
 func TestSuite(t *testing.T) { testkit.Run(t, "eventlog") }
 
-// stalling is a writer that stands still until it is released.
-type stalling struct {
+// stalledWriter is a writer that blocks until release is closed.
+type stalledWriter struct {
 	release chan bool
 	mu      sync.Mutex
 	buf     bytes.Buffer
 }
 
-func (s *stalling) Write(p []byte) (int, error) {
+func (s *stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-// recording keeps each write.
-type recording struct{ writes []string }
+// recordingWriter records each write.
+type recordingWriter struct{ writes []string }
 
-func (r *recording) Write(p []byte) (int, error) {
+func (r *recordingWriter) Write(p []byte) (int, error) {
 	r.writes = append(r.writes, string(p))
 	return len(p), nil
 }
 
 var _ = Describe("the event log", func() {
-	It("bounds the lines of a kind and second, and counts what it leaves out", func() {
+	It("limits the lines per kind and second and counts the dropped ones", func() {
 		var out bytes.Buffer
 		now := time.Unix(1000, 0)
 		log := eventlog.New(zerolog.New(&out), func() time.Time { return now })
@@ -52,58 +52,56 @@
 		}
 		log.Line(eventlog.Failed).Str("request", "r").Msg("")
 		Expect(strings.Count(out.String(), `"event":"placed"`)).To(Equal(eventlog.Placed.MaxPerSecond))
-		Expect(out.String()).To(ContainSubstring(`"event":"failed"`), "a flood of others takes no room of failures")
+		Expect(out.String()).To(ContainSubstring(`"event":"failed"`), "a flood of other lines must not use up the limit for failures")
 		now = now.Add(time.Second)
 		log.Line(eventlog.Placed).Msg("")
 		Expect(out.String()).To(ContainSubstring(`"event":"left_out","kind":"placed","count":7`))
 	})
 
-	// Symptom: every request stands still. Sequence: whoever reads standard output stops
-	// reading; the pipe fills up. Cause: a line was written by the request itself.
-	It("never blocks on a writer that stalls, and tells what was dropped", func() {
-		out := &stalling{release: make(chan bool)}
+	// Guards against requests that block on a log line, when the reader of standard output stops reading and
+	// the pipe fills up.
+	It("never blocks on a stalled writer and reports the number of dropped lines", func() {
+		out := &stalledWriter{release: make(chan bool)}
 		w := eventlog.NewWriter(out)
 		log := zerolog.New(w)
-		began := time.Now()
+		startedAt := time.Now()
 		for i := range 5000 {
 			log.Info().Int("i", i).Msg("")
 		}
-		Expect(time.Since(began)).To(BeNumerically("<", time.Second))
+		Expect(time.Since(startedAt)).To(BeNumerically("<", time.Second))
 		close(out.release)
 		w.Close()
 		Expect(out.buf.String()).To(MatchRegexp(`"event":"left_out","kind":"any","count":\d{4}`))
 	})
 
-	// Symptom: a router that stops gracefully ends with a panic, "send on closed channel". Sequence: a call to
-	// another router fails after the log was closed, and its goroutine logs that. Cause: a line
-	// after Close was taken for a mistake of the caller's.
-	It("takes lines while it is closed and after, and writes all that came before", func() {
+	// Guards against a panic at the end of a graceful shutdown ("send on closed channel"), when a call to
+	// another router fails and its goroutine logs that after the log was closed.
+	It("accepts lines during and after Close and writes all lines from before", func() {
 		for range 50 {
-			out := &recording{}
+			out := &recordingWriter{}
 			w := eventlog.NewWriter(out)
 			_, err := w.Write([]byte("before\n"))
 			Expect(err).NotTo(HaveOccurred())
-			var late sync.WaitGroup
+			var lateWriters sync.WaitGroup
 			for range 4 {
-				late.Go(func() {
+				lateWriters.Go(func() {
 					for range 50 {
-						_, _ = w.Write([]byte("late\n")) // lost or not, it must not end the process
+						_, _ = w.Write([]byte("late\n")) // may be dropped, but must not panic
 					}
 				})
 			}
 			w.Close()
-			late.Wait()
+			lateWriters.Wait()
 			_, err = w.Write([]byte("after\n"))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(strings.Join(out.writes, "")).To(HavePrefix("before\n"))
 		}
 	})
 
-	// Symptom: the line that ends a request is missing although the router wrote it.
-	// Sequence: a crash ends many requests at once. Cause: all lines went in one write, of
-	// which a reader of the pipe took a part.
-	It("writes whole lines, not more at once than a pipe takes whole", func() {
-		out := &recording{}
+	// Guards against lines that are lost although the router wrote them. When a target exits, many requests
+	// end at the same time. If their lines went into one write, the reader of the pipe could get a part.
+	It("writes complete lines, and at most as many bytes at once as a pipe accepts atomically", func() {
+		out := &recordingWriter{}
 		w := eventlog.NewWriter(out)
 		for i := range 300 {
 			fmt.Fprintf(w, "{\"i\":%d,\"text\":%q}\n", i, strings.Repeat("x", 150))
@@ -118,7 +116,7 @@
 		Expect(lines).To(Equal(300))
 	})
 
-	It("is described by docs/LOGS.md, line by line", func() {
+	It("has each kind described in docs/LOGS.md", func() {
 		page, err := os.ReadFile("../../docs/LOGS.md")
 		Expect(err).NotTo(HaveOccurred())
 		listed := 0
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -7,34 +7,33 @@
 )
 
 const (
-	// queued is how many lines wait for a slow writer: about two seconds of a busy
-	// router, some 300 KB.
-	queued = 1024
-	// batch is the most that is written at once, but for a longer single line. Pipes take
-	// that much whole; of more, a reader may get a part and lose the rest of a line.
-	batch = 4 << 10
+	// maxQueuedLines bounds the lines that wait for a slow writer. A busy router writes that many in about
+	// two seconds. They take about 300 KB.
+	maxQueuedLines = 1024
+	// maxBatchBytes bounds one write, except for a longer single line. Pipes accept up to this size
+	// atomically. The reader of a pipe may get only a part of a larger write and lose the rest of a line.
+	maxBatchBytes = 4 << 10
 )
 
-// Writer passes lines on to a slow writer without ever blocking: while that one
-// stalls, lines are dropped and counted. A pipe whose reader has stopped would
-// otherwise stop every request at its next line.
+// Writer writes lines to an underlying writer in the background. It never blocks: while its queue is
+// full, lines are dropped and counted. Otherwise a pipe whose reader has stopped would block every
+// request at its next log line. Writer is safe for concurrent use.
 type Writer struct {
-	out   io.Writer
-	lines chan []byte // never closed: calls that end late write lines after the last one
-	// ending is closed when no more lines are taken, closed when all that were are written.
-	ending  chan struct{}
-	closed  chan struct{}
+	out     io.Writer
+	lines   chan []byte   // never closed, since late goroutines may write lines after Close
+	closing chan struct{} // closed when Close is called
+	done    chan struct{} // closed when all queued lines have been written
 	dropped atomic.Int64
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queued), ending: make(chan struct{}), closed: make(chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues one line. It keeps no reference to p.
+// Write queues a line, or drops it if the queue is full. It never fails and does not retain p.
 func (w *Writer) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -45,30 +44,32 @@
 	return len(p), nil
 }
 
-// Close writes what is queued and ends the Writer; it is called once. Lines that come later are lost.
+// Close writes the queued lines and stops the Writer. It must be called only once. Later lines are
+// dropped.
 func (w *Writer) Close() {
-	close(w.ending)
-	<-w.closed
+	close(w.closing)
+	<-w.done
 }
 
 func (w *Writer) run() {
-	defer close(w.closed)
-	buffer := make([]byte, 0, batch)
+	defer close(w.done)
+	buffer := make([]byte, 0, maxBatchBytes)
 	for {
 		select {
 		case line := <-w.lines:
 			buffer = w.writeQueued(w.append(buffer, line))
-		case <-w.ending:
+		case <-w.closing:
 			w.writeQueued(buffer)
 			return
 		}
 	}
 }
 
-// writeQueued writes the buffer and what is queued at this moment.
+// writeQueued writes the buffer, the lines that are queued at the time of the call, and the number of
+// dropped lines. It returns the emptied buffer.
 func (w *Writer) writeQueued(buffer []byte) []byte {
-	for waiting := len(w.lines); waiting > 0; waiting-- {
-		buffer = w.append(buffer, <-w.lines) // nobody else takes lines
+	for remaining := len(w.lines); remaining > 0; remaining-- {
+		buffer = w.append(buffer, <-w.lines) // does not block, since only this goroutine receives lines
 	}
 	if n := w.dropped.Swap(0); n > 0 {
 		buffer = w.append(buffer, fmt.Appendf(nil, "{\"level\":\"warn\",\"event\":%q,\"kind\":\"any\",\"count\":%d}\n", LinesDropped.Name, n))
@@ -76,19 +77,20 @@
 	return w.flush(buffer)
 }
 
-// append adds a line to the buffer, which is written first if it has no room.
+// append adds a line to the buffer. It writes the buffer first if the line does not fit.
 func (w *Writer) append(buffer, line []byte) []byte {
-	if len(buffer) > 0 && len(buffer)+len(line) > batch {
+	if len(buffer) > 0 && len(buffer)+len(line) > maxBatchBytes {
 		buffer = w.flush(buffer)
 	}
 	return append(buffer, line...)
 }
 
+// flush writes the buffer and returns it empty.
 func (w *Writer) flush(buffer []byte) []byte {
 	if len(buffer) == 0 {
 		return buffer
 	}
-	// A log that can't be written has nowhere to be reported.
+	// There is nowhere to report a log that can't be written.
 	_, _ = w.out.Write(buffer)
 	return buffer[:0]
 }
--- a/internal/wire/chat.go
+++ b/internal/wire/chat.go
@@ -1,5 +1,5 @@
-// Package wire holds the HTTP shapes that callers, routers and targets share:
-// chat completions with server-sent events, and the header names.
+// Package wire defines the HTTP messages that callers, routers and targets exchange: header names, chat
+// completions, server-sent events and error bodies.
 package wire
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The headers of requests and answers.
+// Names of the headers of requests and answers.
 const (
 	HeaderTeam           = "X-Team"
 	HeaderChatID         = "X-Chat-Id"
@@ -19,11 +19,11 @@
 	HeaderDeadline       = "X-Deadline-Ms"
 	HeaderRequestID      = "X-Request-Id"
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderAttemptID names the attempt; a target echoes it in its answer.
+	// HeaderAttemptID is the id of an attempt. A target echoes it in its answer.
 	HeaderAttemptID = "X-Attempt-Id"
 	// HeaderResumeFrom is the number of tokens that the caller already has.
 	HeaderResumeFrom = "X-Resume-From"
-	// HeaderNotExecuted is a target's promise that it did not run the request.
+	// HeaderNotExecuted is set by a target that guarantees that it has not executed the request.
 	HeaderNotExecuted = "X-Not-Run"
 )
 
@@ -41,18 +41,18 @@
 	MaxTokens int       `json:"max_tokens,omitempty"`
 }
 
-// defaultTokens is the length of an answer to a request that asks for none.
-const defaultTokens = 16
+// defaultMaxTokens is the number of tokens in the answer to a request without max_tokens.
+const defaultMaxTokens = 16
 
-// AnswerTokens returns the number of tokens asked for.
+// AnswerTokens returns the number of tokens that the answer may have.
 func (r ChatRequest) AnswerTokens() int {
 	if r.MaxTokens <= 0 {
-		return defaultTokens
+		return defaultMaxTokens
 	}
 	return r.MaxTokens
 }
 
-// Prompt returns the text of all messages.
+// Prompt returns the concatenated text of all messages.
 func (r ChatRequest) Prompt() string {
 	var b strings.Builder
 	for _, m := range r.Messages {
@@ -61,7 +61,7 @@
 	return b.String()
 }
 
-// Delta is the new part of an answer.
+// Delta is the part of an answer that a chunk adds.
 type Delta struct {
 	Content string `json:"content,omitempty"`
 }
@@ -73,8 +73,8 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Chunk is one event of a streamed answer. Offset is the position of its token;
-// on the last chunk it is the number of tokens in the whole answer.
+// Chunk is one event of a streamed answer. Offset is the index of the chunk's token in the answer. In the
+// last chunk, which has no token, it is the number of tokens in the answer.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -83,7 +83,7 @@
 	Offset  int      `json:"offset"`
 }
 
-// NewChunk returns the chunk of one token.
+// NewChunk returns a chunk with the token at an offset.
 func NewChunk(id, model, content string, offset int) Chunk {
 	return Chunk{
 		ID: id, Object: "chat.completion.chunk", Model: model, Offset: offset,
@@ -91,7 +91,7 @@
 	}
 }
 
-// NewLastChunk returns the chunk that ends an answer of total tokens.
+// NewLastChunk returns the last chunk of an answer of total tokens.
 func NewLastChunk(id, model string, total int) Chunk {
 	stop := "stop"
 	return Chunk{
@@ -100,12 +100,12 @@
 	}
 }
 
-// IsLast reports whether the chunk ends the answer.
+// IsLast reports whether the chunk is the last one of the answer.
 func (c Chunk) IsLast() bool {
 	return len(c.Choices) > 0 && c.Choices[0].FinishReason != nil
 }
 
-// Content returns the chunk's text.
+// Content returns the text of the chunk.
 func (c Chunk) Content() string {
 	if len(c.Choices) == 0 {
 		return ""
@@ -113,7 +113,7 @@
 	return c.Choices[0].Delta.Content
 }
 
-// Completion is the body of an answer that is not streamed.
+// Completion is the body of a chat answer that is not streamed.
 type Completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -128,7 +128,7 @@
 	FinishReason string  `json:"finish_reason"`
 }
 
-// NewCompletion returns a whole answer.
+// NewCompletion returns a Completion with one choice.
 func NewCompletion(id, model, content string) Completion {
 	return Completion{
 		ID: id, Object: "chat.completion", Model: model,
@@ -136,12 +136,13 @@
 	}
 }
 
-// ErrorBody is the body of a refusal or failure.
+// ErrorBody is the body of an answer that refuses a request or reports a failure.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what happened and whether the request ran.
+// ErrorDetail describes an error by its result code. Ran is "yes", "no" or "unknown": whether the request
+// was executed. Field is the path of the invalid field, if there is one.
 type ErrorDetail struct {
 	Code    int    `json:"code"`
 	Name    string `json:"name"`
@@ -152,7 +153,7 @@
 
 const (
 	dataPrefix = "data: "
-	doneMarker = "[DONE]"
+	endMarker  = "[DONE]"
 )
 
 // WriteEvent writes v as one server-sent event.
@@ -165,32 +166,32 @@
 	return err
 }
 
-// WriteEndMarker writes the end marker.
+// WriteEndMarker writes the event that marks the end of a stream.
 func WriteEndMarker(w io.Writer) error {
-	_, err := io.WriteString(w, dataPrefix+doneMarker+"\n\n")
+	_, err := io.WriteString(w, dataPrefix+endMarker+"\n\n")
 	return err
 }
 
-// ErrStreamTruncated says that a stream ended before its end marker.
+// ErrStreamTruncated means that a stream ended before its end marker.
 var ErrStreamTruncated = errors.New("stream ended before its end marker")
 
-// maxEvent bounds the size of one event.
-const maxEvent = 1 << 20
+// maxEventBytes bounds the size of one event.
+const maxEventBytes = 1 << 20
 
-// ReadEvents calls each with the data of every event up to the end marker. It
-// returns nil only if the end marker arrived.
-func ReadEvents(r io.Reader, each func(data []byte) error) error {
+// ReadEvents calls handle with the data of each event until the end marker. It returns nil only if the
+// end marker arrived. An error of handle ends the reading and is returned.
+func ReadEvents(r io.Reader, handle func(data []byte) error) error {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, 4096), maxEvent)
+	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
 	for scanner.Scan() {
 		data, ok := strings.CutPrefix(scanner.Text(), dataPrefix)
 		if !ok {
 			continue
 		}
-		if data == doneMarker {
+		if data == endMarker {
 			return nil
 		}
-		if err := each([]byte(data)); err != nil {
+		if err := handle([]byte(data)); err != nil {
 			return err
 		}
 	}
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -7,7 +7,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// NewErrorBody returns the body of a refusal or failure.
+// NewErrorBody returns the body that describes e.
 func NewErrorBody(e *code.Error) ErrorBody {
 	info := e.Code.Lookup()
 	return ErrorBody{Error: ErrorDetail{
@@ -15,9 +15,9 @@
 	}}
 }
 
-// WriteError answers with a numbered code. Headers have to be set before.
+// WriteError answers with the status and the body of e. Other headers must be set before the call.
 func WriteError(w http.ResponseWriter, e *code.Error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.Code.Lookup().Status)
-	_ = json.NewEncoder(w).Encode(NewErrorBody(e)) // a caller that left reads no answer
+	_ = json.NewEncoder(w).Encode(NewErrorBody(e)) // fails only if the caller has disconnected
 }
