--- a/internal/cli/burn.go
+++ b/internal/cli/burn.go
@@ -16,28 +16,29 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// burn reports by a controller, or by the metrics of routers if their URLs are given.
-func (a *App) burn(page string, routers []string, objective float64) error {
-	report, err := a.burnReport(routers, objective)
+// burn prints the burn report. It comes from a controller, or from the metrics of routers if their
+// metrics URLs are given. If htmlPath is set, the report is also written there as a page.
+func (a *App) burn(htmlPath string, metricsURLs []string, objective float64) error {
+	report, err := a.burnReport(metricsURLs, objective)
 	if err != nil {
 		return err
 	}
-	if page != "" {
-		if err := writePage(page, report); err != nil {
+	if htmlPath != "" {
+		if err := writePage(htmlPath, report); err != nil {
 			return err
 		}
 	}
 	return a.print(report, func(w io.Writer) { printBurn(w, report) })
 }
 
-func (a *App) burnReport(routers []string, objective float64) (burn.Report, error) {
-	if len(routers) == 0 {
+func (a *App) burnReport(metricsURLs []string, objective float64) (burn.Report, error) {
+	if len(metricsURLs) == 0 {
 		return a.client.Burn()
 	}
 	if objective <= 0 || objective >= 100 {
 		return burn.Report{}, code.New(code.BadUsage, "--objective: %v is not above 0 and below 100", objective)
 	}
-	return a.scrapeBurn(routers, objective)
+	return a.scrapeBurn(metricsURLs, objective)
 }
 
 func printBurn(w io.Writer, report burn.Report) {
@@ -51,13 +52,13 @@
 	}
 }
 
-// pageTemplate is the page of the burn report. Names are escaped by the template.
+// pageTemplate is the HTML page of the burn report. The template escapes names.
 var pageTemplate = template.Must(template.New("burn").Parse(`<!doctype html>
 <meta charset="utf-8">
 <title>Service-level burn</title>
 <style>body{font-family:sans-serif;margin:2em}td,th{padding:.2em .8em;text-align:right}td.hot{background:#fcc}</style>
 <h1>Service-level burn</h1>
-<p>From {{.Report.Routers}} of {{.Report.Listed}} routers. A burn of 1 uses the error budget up exactly over its period.</p>
+<p>From {{.Report.Routers}} of {{.Report.Listed}} routers. At a burn of 1 the error budget lasts exactly for its period.</p>
 <table>
 <tr><th>pool<th>team<th>objective<th>window<th>good<th>bad<th>burn<th>p50<th>p95<th>p99</tr>
 {{range $l := .Report.Lines}}{{range .Windows}}<tr><td>{{$l.Pool}}<td>{{$l.Team}}<td>{{$l.ObjectivePercent}}%<td>{{.Window}}<td>{{.Good}}<td>{{.Bad}}<td{{if gt .Rate 1.0}} class="hot"{{end}}>{{printf "%.2f" .Rate}}<td>{{$l.FirstTokenP50}} ms<td>{{$l.FirstTokenP95}} ms<td>{{$l.FirstTokenP99}} ms</tr>
@@ -65,6 +66,7 @@
 {{range .Plots}}<div>{{.}}</div>
 {{end}}`))
 
+// writePage writes the burn report as an HTML page with plots.
 func writePage(path string, report burn.Report) error {
 	var plots []template.HTML
 	if len(report.Lines) > 0 {
@@ -75,7 +77,7 @@
 			{"Burn rate, short window", func(l burn.Row) float64 { return l.Windows[0].Rate }},
 			{"First token, 95th percentile, ms", func(l burn.Row) float64 { return float64(l.FirstTokenP95) }},
 		} {
-			svg, err := bars(p.title, report.Lines, p.value)
+			svg, err := drawBars(p.title, report.Lines, p.value)
 			if err != nil {
 				return err
 			}
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// bars draws one bar per pool and team as an SVG image.
-func bars(title string, lines []burn.Row, value func(burn.Row) float64) (template.HTML, error) {
+// drawBars draws an SVG image with one bar per pool and team.
+func drawBars(title string, lines []burn.Row, value func(burn.Row) float64) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
 	var values plotter.Values
@@ -121,6 +123,6 @@
 	if _, err := w.WriteTo(&out); err != nil {
 		return "", errors.Wrap(err, "draw plot")
 	}
-	// The library escapes text in its SVG output.
+	// The plot library escapes text in its SVG output.
 	return template.HTML(out.String()), nil
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -18,37 +18,37 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/resource"
 )
 
-// The exit codes.
+// Exit codes of hemlockctl.
 const (
 	ExitOK             = 0
 	ExitFailed         = 1
 	ExitUsage          = 2
 	ExitConflict       = 3
-	ExitOutcomeUnknown = 4 // the outcome of a change is not known
+	ExitOutcomeUnknown = 4 // it is not known whether a change was accepted
 )
 
 // App is one invocation of hemlockctl.
 type App struct {
 	out    io.Writer
-	errOut io.Writer // for what goes wrong beside the result
+	errOut io.Writer // for errors and warnings
 	client *Client
-	output string
+	output string // format: table, json or yaml
 }
 
-// Run parses the arguments, does what they say and returns the exit code.
+// Run executes the command in args and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
-	app := kingpin.New("hemlockctl", "Declares resources of a hemlockdyke fleet and shows what holds.")
-	// The library ends the process after a page of help; here it goes on parsing, and what it says
-	// after that is about a command that nobody wanted.
-	helped := false
-	app.UsageWriter(out).ErrorWriter(errOut).Terminate(func(int) { helped = true })
+	app := kingpin.New("hemlockctl", "Declares the resources of a hemlockdyke fleet and shows their state.")
+	// By default kingpin exits the process after it has printed help. With this Terminate function it goes
+	// on parsing. Its later errors must be ignored.
+	helpPrinted := false
+	app.UsageWriter(out).ErrorWriter(errOut).Terminate(func(int) { helpPrinted = true })
 	servers := app.Flag("server", "Base URL of a controller; may be repeated.").
 		Envar("HEMLOCKCTL_SERVER").Default("http://127.0.0.1:7301").Strings()
 	output := app.Flag("output", "table, json or yaml.").Short('o').Default("table").Enum("table", "json", "yaml")
 	a := &App{out: out, errOut: errOut}
 	commands := a.commands(app)
 	selected, err := app.Parse(args)
-	if helped {
+	if helpPrinted {
 		return ExitOK
 	}
 	if err != nil {
@@ -79,10 +79,11 @@
 	return ExitFailed
 }
 
+// commands declares the commands and returns the function that executes each, by full command name.
 func (a *App) commands(app *kingpin.Application) map[string]func() error {
 	apply := app.Command("apply", "Create or change the resources of a file.")
 	file := apply.Flag("file", "YAML file, - for standard input.").Short('f').Required().String()
-	operation := apply.Flag("operation", "Name of the operation; give the same one to repeat a change safely.").String()
+	operation := apply.Flag("operation", "Name of the operation. A retry with the same name does not apply the change twice.").String()
 
 	get := app.Command("get", "List the resources of a kind, or show one.")
 	getKind, getName := kindArg(get), get.Arg("name", "Name.").String()
@@ -104,16 +105,16 @@
 	opName := op.Arg("name", "Name.").Required().String()
 
 	report := app.Command("report", "Reports.")
-	burnReport := report.Command("burn", "How fast teams use up their error budgets.")
-	page := burnReport.Flag("html", "Also write a page with plots to this file.").String()
-	scrape := burnReport.Flag("metrics", "Metrics URL of a router on the platform, in place of a controller; may be repeated.").Strings()
-	objective := burnReport.Flag("objective", "Percent of requests that must meet the objective of their route; with --metrics.").
+	burnReport := report.Command("burn", "Show how fast teams use up their error budgets.")
+	htmlPath := burnReport.Flag("html", "Also write an HTML page with plots to this file.").String()
+	metricsURLs := burnReport.Flag("metrics", "Metrics URL of a router on the platform, used instead of a controller; may be repeated.").Strings()
+	objective := burnReport.Flag("objective", "Percentage of requests that must meet the objective of their route; only with --metrics.").
 		Default("99").Float64()
 
-	why := app.Command("explain", "Say how a request ended and why, from routers' logs; or why a chat goes where it goes.")
-	pool, team, chat := why.Flag("pool", "Pool.").String(), why.Flag("team", "Team.").String(), why.Flag("chat", "Chat.").String()
-	request := why.Arg("request", "Id of a request.").String()
-	logs := why.Arg("logs", "Log files of routers; standard input if there are none.").Strings()
+	explain := app.Command("explain", "Explain the outcome of a request from routers' logs, or show the ranking of a pool's targets for a chat.")
+	pool, team, chat := explain.Flag("pool", "Pool.").String(), explain.Flag("team", "Team.").String(), explain.Flag("chat", "Chat.").String()
+	request := explain.Arg("request", "Id of a request.").String()
+	logs := explain.Arg("logs", "Log files of routers; standard input if none are given.").Strings()
 
 	return map[string]func() error{
 		apply.FullCommand():      func() error { return a.apply(*file, *operation) },
@@ -123,8 +124,8 @@
 		drain.FullCommand():      func() error { return a.drain(*drainTarget) },
 		watch.FullCommand():      func() error { return a.watch(*after, *count) },
 		op.FullCommand():         func() error { return a.operation(*opName) },
-		burnReport.FullCommand(): func() error { return a.burn(*page, *scrape, *objective) },
-		why.FullCommand(): func() error {
+		burnReport.FullCommand(): func() error { return a.burn(*htmlPath, *metricsURLs, *objective) },
+		explain.FullCommand(): func() error {
 			if *request != "" {
 				return a.explainRequest(*request, *logs)
 			}
@@ -133,6 +134,7 @@
 	}
 }
 
+// kindArg declares the argument for the kind of a resource, in lower case.
 func kindArg(cmd *kingpin.CmdClause) *string {
 	names := make([]string, 0, len(resource.Kinds()))
 	for _, k := range resource.Kinds() {
@@ -141,17 +143,19 @@
 	return cmd.Arg("kind", strings.Join(names, ", ")+".").Required().Enum(names...)
 }
 
-func kindOf(word string) resource.Kind {
+// kindOf returns the kind with a name in any case.
+func kindOf(name string) resource.Kind {
 	for _, k := range resource.Kinds() {
-		if strings.EqualFold(string(k), word) {
+		if strings.EqualFold(string(k), name) {
 			return k
 		}
 	}
-	return resource.Kind(word)
+	return resource.Kind(name)
 }
 
-// apply fills in the versions of existing resources, so that a change that
-// another operator makes meanwhile is a conflict and is not overwritten unseen.
+// apply sends the resources of a file that differ from the existing ones. It fills in the versions of
+// existing resources. A concurrent change by another operator then causes a conflict and is not
+// overwritten.
 func (a *App) apply(file, operation string) error {
 	resources, err := ReadResourceFile(file)
 	if err != nil {
@@ -175,7 +179,7 @@
 	if len(changed) == 0 {
 		return nil
 	}
-	return a.send(operation, changed)
+	return a.applyResources(operation, changed)
 }
 
 func isCode(err error, c code.Code) bool {
@@ -188,7 +192,8 @@
 	return json.Unmarshal(x, &vx) == nil && json.Unmarshal(y, &vy) == nil && reflect.DeepEqual(vx, vy)
 }
 
-func (a *App) send(operation string, resources []resource.Resource) error {
+// applyResources sends a change and prints its outcome. An empty operation is replaced by a new name.
+func (a *App) applyResources(operation string, resources []resource.Resource) error {
 	if operation == "" {
 		operation = uuid.NewString()
 	}
@@ -205,7 +210,7 @@
 }
 
 func printAccepted(w io.Writer, accepted controller.Accepted) {
-	fmt.Fprintf(w, "revision %d\tin force at %d of %d routers\n",
+	fmt.Fprintf(w, "revision %d\tapplied at %d of %d routers\n",
 		accepted.Operation.Revision, accepted.InForce.Routers, accepted.InForce.Listed)
 	if len(accepted.InForce.Behind) > 0 {
 		fmt.Fprintf(w, "behind\trouters %v\n", accepted.InForce.Behind)
@@ -255,7 +260,7 @@
 		return err
 	}
 	old.Deleted = true
-	return a.send("", []resource.Resource{old.Resource})
+	return a.applyResources("", []resource.Resource{old.Resource})
 }
 
 func (a *App) drain(target string) error {
@@ -265,26 +270,27 @@
 	}
 	spec, err := json.Marshal(resource.PlannedChangeSpec{Target: target, Action: resource.ActionDrain})
 	if err != nil {
-		return errors.Wrap(err, "encode change")
+		return errors.Wrap(err, "encode planned change")
 	}
-	// The version in the name makes a second drain of the same target state the
-	// same change, and one of a changed target a new one.
+	// The name contains the target's version. A second drain of an unchanged target is then the same
+	// planned change, and a drain after a change of the target is a new one.
 	name := fmt.Sprintf("drain-%s-%d", target, old.Metadata.ResourceVersion)
-	return a.send("", []resource.Resource{{
+	return a.applyResources("", []resource.Resource{{
 		Kind: resource.KindPlannedChange, Metadata: resource.Metadata{Name: name}, Spec: spec,
 	}})
 }
 
+// watch prints changes after a revision until it has printed count changes, or forever if count is 0.
 func (a *App) watch(after uint64, count int) error {
-	seen := 0
-	for count == 0 || seen < count {
+	printed := 0
+	for count == 0 || printed < count {
 		changes, err := a.client.Watch(after)
 		if err != nil {
 			return err
 		}
 		for _, ch := range changes {
 			after = ch.Revision
-			seen++
+			printed++
 			err := a.print(ch, func(w io.Writer) {
 				for _, r := range ch.Resources {
 					fmt.Fprintf(w, "%d\t%s/%s\tdeleted=%t\t%s\n", ch.Revision, r.Kind, r.Metadata.Name, r.Deleted, r.Spec)
@@ -306,9 +312,10 @@
 	return a.print(accepted, func(w io.Writer) { printAccepted(w, accepted) })
 }
 
+// explain prints the ranking of a pool's targets for a chat.
 func (a *App) explain(pool, team, chat string) error {
 	if pool == "" || team == "" || chat == "" {
-		return code.New(code.BadUsage, "explain needs the id of a request, or --pool, --team and --chat")
+		return code.New(code.BadUsage, "explain requires the id of a request, or --pool, --team and --chat")
 	}
 	e, err := a.client.Explain(pool, team, chat)
 	if err != nil {
@@ -323,7 +330,7 @@
 	})
 }
 
-// print writes v in the chosen format; table writes it for a person.
+// print writes v as JSON or YAML, or calls table to write it as text.
 func (a *App) print(v any, table func(io.Writer)) error {
 	switch a.output {
 	case "json":
@@ -338,7 +345,7 @@
 	return w.Flush()
 }
 
-// printYAML goes through JSON, so that both formats have the same field names.
+// printYAML writes v as YAML. It converts v to JSON first, since the field names are JSON tags.
 func (a *App) printYAML(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -19,21 +19,21 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// api plays a controller that holds one team.
-type api struct {
+// fakeController serves the resource API with one team.
+type fakeController struct {
 	applied []operatorhttp.ApplyRequest
-	refuse  int // the code to refuse changes with
+	refuse  int // result code with which changes are refused; 0 accepts them
 }
 
-func (a *api) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	answer := func(v any) { _ = json.NewEncoder(w).Encode(v) }
+func (a *fakeController) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	reply := func(v any) { _ = json.NewEncoder(w).Encode(v) }
 	fail := func(status, number int) {
 		w.WriteHeader(status)
-		answer(wire.ErrorBody{Error: wire.ErrorDetail{Code: number, Message: "refused"}})
+		reply(wire.ErrorBody{Error: wire.ErrorDetail{Code: number, Message: "refused"}})
 	}
 	switch {
 	case r.URL.Path == "/v1/resources/Team/known":
-		answer(operatorhttp.DescribedResource{Resource: resource.Resource{
+		reply(operatorhttp.DescribedResource{Resource: resource.Resource{
 			Kind: resource.KindTeam, Spec: []byte(`{"weight":2}`),
 			Metadata: resource.Metadata{Name: "known", Generation: 3, ResourceVersion: 41},
 		}})
@@ -45,7 +45,7 @@
 		var req operatorhttp.ApplyRequest
 		_ = json.NewDecoder(r.Body).Decode(&req)
 		a.applied = append(a.applied, req)
-		answer(controller.Accepted{
+		reply(controller.Accepted{
 			Operation: resource.Operation{Name: req.Operation, Revision: 42},
 			InForce:   controller.InForce{Revision: 42, Routers: 2, Listed: 3, Behind: []uint32{3}},
 		})
@@ -55,27 +55,27 @@
 }
 
 var _ = Describe("hemlockctl", func() {
-	// Symptom: a page of help ends with "6002 bad_usage", and exits 2. Sequence: the library prints the page
-	// and goes on parsing, as nothing ended the process. Cause: nobody asked whether it had.
-	DescribeTable("prints help as a result, and nothing else",
+	// Guards against help that ends with "6002 bad_usage" and exit code 2, since kingpin goes on parsing
+	// after it has printed the help.
+	DescribeTable("prints only the help and succeeds",
 		func(args ...string) {
 			var out, errOut bytes.Buffer
 			Expect(cli.Run(args, &out, &errOut)).To(Equal(cli.ExitOK))
 			Expect(out.String()).To(HavePrefix("usage: hemlockctl"))
 			Expect(errOut.String()).To(BeEmpty())
 		},
-		Entry("of all commands", "--help"), Entry("of one", "explain", "--help"), Entry("by the command", "help", "explain"),
-		Entry("of one that needs arguments", "apply", "--help"), Entry("of a report", "report", "burn", "--help"),
+		Entry("of all commands", "--help"), Entry("of one command", "explain", "--help"), Entry("by the help command", "help", "explain"),
+		Entry("of a command that requires arguments", "apply", "--help"), Entry("of a report", "report", "burn", "--help"),
 	)
 
-	var played *api
+	var server *fakeController
 	var servers []string
 
 	BeforeEach(func() {
-		played = &api{}
-		s := httptest.NewServer(played)
+		server = &fakeController{}
+		s := httptest.NewServer(server)
 		DeferCleanup(s.Close)
-		// The first controller can't be reached; the next one is tried.
+		// The first controller can't be reached, so the client uses the second one.
 		servers = []string{"--server", "http://127.0.0.1:1", "--server", s.URL}
 	})
 
@@ -85,42 +85,42 @@
 		return exit, out.String(), errOut.String()
 	}
 
-	file := func(text string) string {
+	writeFile := func(text string) string {
 		path := filepath.Join(GinkgoT().TempDir(), "f.yaml")
 		Expect(os.WriteFile(path, []byte(text), 0o600)).To(Succeed())
 		return path
 	}
 
-	It("applies with the version that it read, and says where the change is in force", func() {
-		exit, out, _ := run("apply", "--operation", "op", "-f", file("kind: Team\nmetadata: {name: known}\nspec: {weight: 5}\n---\nkind: Team\nmetadata: {name: fresh}\nspec: {}\n"))
+	It("applies with the version that it read and prints how many routers have applied the change", func() {
+		exit, out, _ := run("apply", "--operation", "op", "-f", writeFile("kind: Team\nmetadata: {name: known}\nspec: {weight: 5}\n---\nkind: Team\nmetadata: {name: fresh}\nspec: {}\n"))
 		Expect(exit).To(Equal(cli.ExitOK))
-		Expect(out).To(ContainSubstring("in force at 2 of 3 routers"))
+		Expect(out).To(ContainSubstring("applied at 2 of 3 routers"))
 		Expect(out).To(ContainSubstring("[3]"))
-		Expect(played.applied).To(HaveLen(1))
-		Expect(played.applied[0].Operation).To(Equal("op"))
-		Expect(played.applied[0].Resources[0].Metadata.ResourceVersion).To(Equal(uint64(41)))
-		Expect(played.applied[0].Resources[1].Metadata.ResourceVersion).To(BeZero())
+		Expect(server.applied).To(HaveLen(1))
+		Expect(server.applied[0].Operation).To(Equal("op"))
+		Expect(server.applied[0].Resources[0].Metadata.ResourceVersion).To(Equal(uint64(41)))
+		Expect(server.applied[0].Resources[1].Metadata.ResourceVersion).To(BeZero())
 	})
 
-	It("sends nothing when nothing differs", func() {
-		exit, out, _ := run("apply", "-f", file("kind: Team\nmetadata: {name: known}\nspec: {weight: 2}\n"))
+	It("sends nothing if no resource differs", func() {
+		exit, out, _ := run("apply", "-f", writeFile("kind: Team\nmetadata: {name: known}\nspec: {weight: 2}\n"))
 		Expect(exit).To(Equal(cli.ExitOK))
 		Expect(out).To(ContainSubstring("unchanged"))
-		Expect(played.applied).To(BeEmpty())
+		Expect(server.applied).To(BeEmpty())
 	})
 
-	It("prints the same fields as JSON and YAML", func() {
+	It("prints the same field names as JSON and YAML", func() {
 		_, asJSON, _ := run("-o", "json", "get", "team", "known")
 		Expect(asJSON).To(ContainSubstring(`"resourceVersion": 41`))
 		_, asYAML, _ := run("-o", "yaml", "get", "team", "known")
 		Expect(asYAML).To(ContainSubstring("resourceVersion: 41"))
 	})
 
-	DescribeTable("exits with a code that scripts can tell apart",
-		func(refuse int, want int) {
-			played.refuse = refuse
-			exit, _, errOut := run("apply", "-f", file("kind: Team\nmetadata: {name: fresh}\nspec: {}\n"))
-			Expect(exit).To(Equal(want))
+	DescribeTable("exits with a different code for each kind of failure",
+		func(refuse int, wantExit int) {
+			server.refuse = refuse
+			exit, _, errOut := run("apply", "-f", writeFile("kind: Team\nmetadata: {name: fresh}\nspec: {}\n"))
+			Expect(exit).To(Equal(wantExit))
 			Expect(errOut).NotTo(BeEmpty())
 		},
 		Entry("conflict", 5002, cli.ExitConflict),
@@ -128,12 +128,12 @@
 		Entry("store down", 5004, cli.ExitFailed),
 	)
 
-	DescribeTable("refuses bad files before it sends anything",
+	DescribeTable("refuses invalid files without sending anything",
 		func(text string, want string) {
-			exit, _, errOut := run("apply", "-f", file(text))
+			exit, _, errOut := run("apply", "-f", writeFile(text))
 			Expect(exit).To(Equal(cli.ExitUsage))
 			Expect(errOut).To(ContainSubstring(want))
-			Expect(played.applied).To(BeEmpty())
+			Expect(server.applied).To(BeEmpty())
 		},
 		Entry("unknown field", "kind: Team\nmetadata: {name: a}\nspec: {wieght: 1}\n", "wieght"),
 		Entry("unknown kind", "kind: Tema\nmetadata: {name: a}\nspec: {}\n", "kind"),
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -20,23 +20,23 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// Client speaks the resource API of one or more controllers. Any of them will
-// do; one that can't be reached is passed over.
+// Client calls the resource API of controllers. All controllers are equivalent, so each call goes to the
+// first one that can be reached.
 type Client struct {
 	servers []string
 	http    *http.Client
 }
 
-// clientTimeout bounds one call; a watch waits up to ten seconds.
+// clientTimeout bounds one call. It must exceed the ten seconds that a watch waits for changes.
 const clientTimeout = 20 * time.Second
 
-// NewClient returns a Client for base URLs.
+// NewClient returns a Client for the controllers at the given base URLs.
 func NewClient(servers []string) *Client {
 	return &Client{servers: servers, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// Apply sends a change. The operation name makes a repeated send harmless, so
-// the next controller is tried when one does not answer.
+// Apply sends a change. A controller applies an operation name only once, so it is safe to send the
+// change to the next controller if one does not answer.
 func (c *Client) Apply(operation string, resources []resource.Resource) (controller.Accepted, error) {
 	var out controller.Accepted
 	body, err := json.Marshal(operatorhttp.ApplyRequest{Operation: operation, Resources: resources})
@@ -68,7 +68,7 @@
 	return out, err
 }
 
-// Watch waits for changes after a revision.
+// Watch waits for changes after a revision. It returns an empty list if there are none for some seconds.
 func (c *Client) Watch(after uint64) ([]resource.Change, error) {
 	var out []resource.Change
 	err := c.call(http.MethodGet, fmt.Sprintf("/v1/watch?after=%d", after), nil, &out)
@@ -82,7 +82,7 @@
 	return out, err
 }
 
-// Explain says why a chat goes where it goes.
+// Explain returns the ranking of a pool's targets for a chat.
 func (c *Client) Explain(pool, team, chat string) (operatorhttp.PlacementExplanation, error) {
 	var out operatorhttp.PlacementExplanation
 	q := url.Values{"pool": {pool}, "team": {team}, "chat": {chat}}
@@ -90,8 +90,9 @@
 	return out, err
 }
 
-func (c *Client) call(method, path string, body []byte, into any) error {
-	var last error
+// call sends a request to the first controller that can be reached, and decodes its reply into v.
+func (c *Client) call(method, path string, body []byte, v any) error {
+	var lastErr error
 	for _, server := range c.servers {
 		req, err := http.NewRequest(method, server+path, bytes.NewReader(body))
 		if err != nil {
@@ -99,26 +100,27 @@
 		}
 		resp, err := c.http.Do(req)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		return decode(resp, into)
+		return decode(resp, v)
 	}
-	return code.New(code.StoreDown, "no controller reached: %s", last)
+	return code.New(code.StoreDown, "no controller can be reached: %s", lastErr)
 }
 
-func decode(resp *http.Response, into any) error {
+// decode decodes a reply into v. A reply with a result code is returned as a *code.Error.
+func decode(resp *http.Response, v any) error {
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return errors.Wrap(err, "read reply")
 	}
 	if resp.StatusCode == http.StatusOK {
-		return errors.Wrap(json.Unmarshal(data, into), "decode reply")
+		return errors.Wrap(json.Unmarshal(data, v), "decode reply")
 	}
 	var body wire.ErrorBody
 	if err := json.Unmarshal(data, &body); err != nil || body.Error.Code == 0 {
-		return errors.Newf("controller answered %d", resp.StatusCode)
+		return errors.Newf("controller answered with status %d", resp.StatusCode)
 	}
 	return &code.Error{Code: code.Code(body.Error.Code), Field: body.Error.Field, Message: body.Error.Message}
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -9,7 +9,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/explain"
 )
 
-// explainRequest prints the chain of a request and its cause from log files, or from
+// explainRequest prints the log entries of a request and the cause of its outcome. It reads log files, or
 // standard input if there are none.
 func (a *App) explainRequest(request string, files []string) error {
 	readers, closeAll, err := openLogs(files)
@@ -25,6 +25,7 @@
 	return nil
 }
 
+// openLogs opens log files. closeAll closes those that were opened, also after an error.
 func openLogs(files []string) (readers []io.Reader, closeAll func(), err error) {
 	var open []*os.File
 	closeAll = func() {
@@ -38,7 +39,7 @@
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
-			return nil, closeAll, errors.Wrap(err, "open log")
+			return nil, closeAll, errors.Wrap(err, "open log file")
 		}
 		open = append(open, f)
 		readers = append(readers, f)
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -13,19 +13,19 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/resource"
 )
 
-// document is one resource in a YAML file.
+// document is one resource of a YAML file.
 type document struct {
-	Kind     string         `yaml:"kind"`
-	Metadata documentMeta   `yaml:"metadata"`
-	Spec     map[string]any `yaml:"spec"`
+	Kind     string           `yaml:"kind"`
+	Metadata documentMetadata `yaml:"metadata"`
+	Spec     map[string]any   `yaml:"spec"`
 }
 
-type documentMeta struct {
+type documentMetadata struct {
 	Name            string `yaml:"name"`
 	ResourceVersion uint64 `yaml:"resourceVersion"`
 }
 
-// ReadResourceFile reads the resources of a YAML file; "-" is standard input.
+// ReadResourceFile reads the resources of a YAML file. The path "-" means standard input.
 func ReadResourceFile(path string) ([]resource.Resource, error) {
 	if path == "-" {
 		return ReadResources(os.Stdin)
@@ -37,7 +37,7 @@
 	return ReadResources(bytes.NewReader(data))
 }
 
-// ReadResources reads YAML documents strictly.
+// ReadResources reads resources from YAML documents and validates them. Unknown fields are errors.
 func ReadResources(r io.Reader) ([]resource.Resource, error) {
 	dec := yaml.NewDecoder(r)
 	dec.KnownFields(true)
--- a/internal/cli/levels.go
+++ b/internal/cli/levels.go
@@ -18,47 +18,47 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// scrapeTimeout bounds the read of one router's metrics, which takes milliseconds.
+// scrapeTimeout bounds the read of one router's metrics, which takes a few milliseconds.
 const scrapeTimeout = 3 * time.Second
 
-// scrapeBurn adds up the service levels of routers by their metrics. One that can't be
-// read is named on errOut and missing from the report, which counts both.
-func (a *App) scrapeBurn(routers []string, objective float64) (burn.Report, error) {
+// scrapeBurn computes the burn report from the metrics of routers. A router whose metrics can't be read
+// is reported on errOut and left out. The report has the numbers of listed and of read routers.
+func (a *App) scrapeBurn(metricsURLs []string, objective float64) (burn.Report, error) {
 	client := &http.Client{Timeout: scrapeTimeout}
-	report := burn.Report{Listed: len(routers)}
-	sum := burn.NewSum()
-	for _, router := range routers {
-		samples, err := scrapeLevels(client, router)
+	report := burn.Report{Listed: len(metricsURLs)}
+	total := burn.NewSum()
+	for _, url := range metricsURLs {
+		samples, err := scrapeServiceLevels(client, url)
 		if err != nil {
-			fmt.Fprintln(a.errOut, code.New(code.RouterSilent, "%s: %s", router, err))
+			fmt.Fprintln(a.errOut, code.New(code.RouterSilent, "%s: %s", url, err))
 			continue
 		}
 		report.Routers++
 		for _, s := range samples {
-			sum.Add(s)
+			total.Add(s)
 		}
 	}
 	if report.Routers == 0 {
 		return report, code.New(code.RouterSilent, "no router's metrics can be read")
 	}
-	report.Lines = sum.Rows(func(string) float64 { return objective })
+	report.Lines = total.Rows(func(string) float64 { return objective })
 	return report, nil
 }
 
-func scrapeLevels(client *http.Client, router string) ([]burn.Sample, error) {
-	resp, err := client.Get(router)
+func scrapeServiceLevels(client *http.Client, url string) ([]burn.Sample, error) {
+	resp, err := client.Get(url)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = resp.Body.Close() }() // read whole or not at all
+	defer func() { _ = resp.Body.Close() }() // an error of Close loses no data
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Newf("status %d", resp.StatusCode)
+		return nil, errors.Newf("metrics answered with status %d", resp.StatusCode)
 	}
-	return readLevels(resp.Body)
+	return readServiceLevels(resp.Body)
 }
 
-// readLevels reads the service levels out of a router's metrics.
-func readLevels(r io.Reader) ([]burn.Sample, error) {
+// readServiceLevels extracts the service levels from a router's metrics.
+func readServiceLevels(r io.Reader) ([]burn.Sample, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(r)
 	if err != nil {
@@ -80,7 +80,7 @@
 		}
 	}
 	for _, m := range families[metrics.ServiceLevelFirstByte].GetMetric() {
-		if err := readFirst(sampleFor(samples, labelsOf(m)), m.GetHistogram()); err != nil {
+		if err := readFirstByte(sampleFor(samples, labelsOf(m)), m.GetHistogram()); err != nil {
 			return nil, err
 		}
 	}
@@ -99,6 +99,7 @@
 	return out
 }
 
+// sampleFor returns the sample of the labels' pool and team, and adds it if it is missing.
 func sampleFor(samples map[burn.Key]*burn.Sample, labels map[string]string) *burn.Sample {
 	key := burn.Key{Pool: labels["pool"], Team: labels["team"]}
 	s, ok := samples[key]
@@ -109,16 +110,18 @@
 	return s
 }
 
-func readFirst(s *burn.Sample, h *dto.Histogram) error {
-	before := uint64(0)
+// readFirstByte adds the buckets of a first-byte histogram to a sample. The bucket without an upper bound
+// is ignored.
+func readFirstByte(s *burn.Sample, h *dto.Histogram) error {
+	previous := uint64(0)
 	for _, b := range h.GetBucket() {
-		n := b.GetCumulativeCount() - before
-		before = b.GetCumulativeCount()
+		n := b.GetCumulativeCount() - previous
+		previous = b.GetCumulativeCount()
 		if n == 0 || math.IsInf(b.GetUpperBound(), 1) {
 			continue
 		}
 		if err := s.Histogram.RecordValues(int64(b.GetUpperBound()), int64(n)); err != nil {
-			return errors.Wrapf(err, "bucket %s of %s/%s", strconv.FormatFloat(b.GetUpperBound(), 'g', -1, 64), s.Key.Pool, s.Key.Team)
+			return errors.Wrapf(err, "record bucket %s of %s/%s", strconv.FormatFloat(b.GetUpperBound(), 'g', -1, 64), s.Key.Pool, s.Key.Team)
 		}
 	}
 	return nil
--- a/internal/cli/levels_test.go
+++ b/internal/cli/levels_test.go
@@ -37,7 +37,7 @@
 		return exit, out.String(), errOut.String()
 	}
 
-	It("adds up what all routers saw, and says who did not answer", func() {
+	It("adds up the metrics of all routers and names those that did not answer", func() {
 		one := serve(result(100*time.Millisecond, code.OK, 200), result(400*time.Millisecond, code.OK, 200))
 		two := serve(result(100*time.Millisecond, code.OK, 200), result(0, code.QueueFull, 0), result(0, code.CallerGone, 0))
 		exit, out, errOut := run("--metrics", one, "--metrics", two, "--metrics", "http://127.0.0.1:1/metrics")
@@ -47,13 +47,13 @@
 		Expect(errOut).To(ContainSubstring("7004"))
 	})
 
-	It("counts a target's own failure as bad, and takes the objective from the flag", func() {
+	It("counts an error answer of a target as bad and uses the objective of the flag", func() {
 		url := serve(result(10*time.Millisecond, code.OK, 500), result(10*time.Millisecond, code.OK, 200))
 		_, out, _ := run("--metrics", url, "--objective", "50")
 		Expect(out).To(MatchRegexp(`50% +5m +1 +1 +1\.00`))
 	})
 
-	It("refuses what makes no report", func() {
+	It("fails without readable metrics or with an invalid objective", func() {
 		exit, _, errOut := run("--metrics", "http://127.0.0.1:1/metrics")
 		Expect(exit).To(Equal(cli.ExitFailed))
 		Expect(errOut).To(ContainSubstring("7004"))
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,4 @@
-// Package explain joins the log lines of one request over many routers and names the
+// Package explain collects the log lines of one request from the logs of all routers and derives the
 // cause of its outcome.
 package explain
 
@@ -17,7 +17,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// Entry is one log line about a request. Durations are in milliseconds.
+// Entry is a log line about a request. Durations and ages are in milliseconds.
 type Entry struct {
 	Event   string    `json:"event"`
 	Router  string    `json:"router"`
@@ -54,41 +54,41 @@
 	Requests       float64 `json:"requests"`
 	Slack          float64 `json:"slack"`
 
-	order int
+	position int // in the input; orders entries with the same time
 }
 
-// maxLine is the longest log line that is read.
-const maxLine = 1 << 20
+// maxLineBytes is the longest log line that can be read.
+const maxLineBytes = 1 << 20
 
-// Read returns the entries of a request in the order of time. What stands before the
-// first brace of a line, such as a collector's own time and machine, is left out.
+// Read returns the entries of a request, sorted by time. It ignores the text before the first brace of a
+// line, such as the time and machine that a log collector adds.
 func Read(r io.Reader, request string) ([]Entry, error) {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, 64<<10), maxLine)
+	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var out []Entry
 	for lines.Scan() {
 		line := lines.Bytes()
-		at := bytes.IndexByte(line, '{')
-		if at < 0 || !bytes.Contains(line, []byte(request)) {
+		start := bytes.IndexByte(line, '{')
+		if start < 0 || !bytes.Contains(line, []byte(request)) {
 			continue
 		}
 		var e Entry
-		if json.Unmarshal(line[at:], &e) != nil || e.Request != request {
-			continue // a line of something else
+		if json.Unmarshal(line[start:], &e) != nil || e.Request != request {
+			continue // not an entry of this request
 		}
-		e.order = len(out)
+		e.position = len(out)
 		out = append(out, e)
 	}
 	sort.SliceStable(out, func(i, j int) bool {
 		if !out[i].Time.Equal(out[j].Time) {
 			return out[i].Time.Before(out[j].Time)
 		}
-		return out[i].order < out[j].order
+		return out[i].position < out[j].position
 	})
 	return out, lines.Err()
 }
 
-// Print writes the chain of a request and its cause.
+// Print writes the entries of a request as text, and the cause of its outcome.
 func Print(w io.Writer, request string, entries []Entry) {
 	for _, e := range entries {
 		fmt.Fprintf(w, "%s  %-16s %s\n", e.Time.Format("15:04:05.000"), e.Router, e.describe())
@@ -96,30 +96,31 @@
 	fmt.Fprintf(w, "cause: %s\n", Cause(request, entries))
 }
 
+// describe returns the entry in one sentence.
 func (e Entry) describe() string {
 	switch e.Event {
 	case eventlog.TicketRefused.Name:
-		return fmt.Sprintf("the pool's owner granted no ticket after %.0f ms: %d %s; come back after %.0f ms", e.Wait, e.Code, e.Name, e.RetryAfter)
+		return fmt.Sprintf("the pool's owner refused a ticket after %.0f ms: %d %s; retry after %.0f ms", e.Wait, e.Code, e.Name, e.RetryAfter)
 	case eventlog.Placed.Name:
 		if e.Rule == string(placement.RuleTicket) {
 			return fmt.Sprintf("attempt %d goes to %s by a ticket that took %.0f ms; configuration %d", e.Attempt, e.Target, e.Wait, e.Version)
 		}
-		text := fmt.Sprintf("attempt %d goes to %s by rule %s: %d open of at most %.1f, by loads %.0f ms old; desired state %d",
+		text := fmt.Sprintf("attempt %d goes to %s by rule %s: %d open requests of at most %.1f, load report age %.0f ms; desired state %d",
 			e.Attempt, e.Target, e.Rule, e.Open, e.Bound, e.LoadReportAge, e.Version)
 		if e.ResumeFrom != "" {
-			text += ", goes on after event " + e.ResumeFrom
+			text += ", resumes after event " + e.ResumeFrom
 		}
 		return text
 	case eventlog.AttemptFailed.Name:
-		return fmt.Sprintf("attempt %d failed after %.0f ms: %s", e.Attempt, e.After, e.why())
+		return fmt.Sprintf("attempt %d failed after %.0f ms: %s", e.Attempt, e.After, e.failure())
 	case eventlog.RetryDenied.Name:
-		return fmt.Sprintf("no repeat: %d made lately, %.1f allowed for %.0f requests and a slack of %.1f", e.Retries, e.AllowedRetries, e.Requests, e.Slack)
+		return fmt.Sprintf("retry denied: %d recent retries, %.1f allowed for %.0f requests and a slack of %.1f", e.Retries, e.AllowedRetries, e.Requests, e.Slack)
 	case eventlog.PoisonRefused.Name:
-		return fmt.Sprintf("not sent: targets have ended under requests with the fingerprint %s; come back after %.0f ms", e.Fingerprint, e.Wait)
+		return fmt.Sprintf("not sent: targets have exited while they executed requests with the fingerprint %s; retry after %.0f ms", e.Fingerprint, e.Wait)
 	case eventlog.NotAdmitted.Name:
-		return fmt.Sprintf("not sent to %s: a wait of %.0f ms expected behind %d open, %.0f ms left, rank %d", e.Target, e.Wait, e.Open, e.RemainingTime, e.Rank)
+		return fmt.Sprintf("not sent to %s: expected wait of %.0f ms behind %d open requests, %.0f ms remaining, rank %d", e.Target, e.Wait, e.Open, e.RemainingTime, e.Rank)
 	case eventlog.TargetSuspended.Name:
-		return fmt.Sprintf("%s gets no new work for a while: %s", e.Target, e.Reason)
+		return fmt.Sprintf("%s is suspended: %s", e.Target, e.Reason)
 	case eventlog.Finished.Name:
 		if e.Status == 0 {
 			return fmt.Sprintf("answered by %s, first byte after %.0f ms, end after %.0f of %.0f ms", e.Target, e.FirstByte, e.Total, e.Budget)
@@ -131,27 +132,28 @@
 	return e.Event
 }
 
-// reasons say what each reason of a failed attempt means.
-var reasons = map[string]string{
-	"not_sent":      "the target accepted no connection, so nothing ran",
+// failureTexts describes the values of Entry.Reason of failed attempts.
+var failureTexts = map[string]string{
+	"not_sent":      "the target accepted no connection, so the request was not executed",
 	"broken":        "the connection to the target broke after the request was sent",
-	"restarted":     "the target has started again since: nobody works on it any more",
-	"withdrawn":     "the target was to get nothing more by the time it was to be sent: it said so, it is cold, or its data centre is evacuated",
-	"suspected":     "targets have ended under this request, so it was taken back",
-	"silent":        "the target stayed silent for longer than its answers take",
-	"truncated":     "the target's answer was cut off",
-	"stream_cut":    "the target broke the stream off",
-	"not_sealed":    "the answer was not the target's own",
-	"false_promise": "the target answered with a status that promises what it does not know",
+	"restarted":     "the target has restarted since, so the request is no longer executed",
+	"withdrawn":     "the target became unavailable before the request was sent: it announced a pause or its shutdown, is cold, or its data centre is evacuated",
+	"suspected":     "targets have exited while they executed this request, so the attempt was cancelled",
+	"silent":        "the target was silent for longer than its answers usually take",
+	"truncated":     "the target's answer was truncated",
+	"stream_cut":    "the target broke off the stream",
+	"not_sealed":    "the answer has no seal of the target",
+	"false_promise": "the target answered with a status that wrongly guarantees that the request was not executed",
 	"too_large":     "the answer was too large",
-	"target_error":  "the target answered with a failure of its own",
-	"turned_away":   "the target turned it away without running it",
-	"wrong_target":  "another target has the address",
+	"target_error":  "the target answered with an error of its own",
+	"turned_away":   "the target refused the request without executing it",
+	"wrong_target":  "the address belongs to a different target",
 	"deadline":      "the target did not answer before the deadline",
 }
 
-func (e Entry) why() string {
-	text, ok := reasons[e.Reason]
+// failure returns the target and the reason of a failed attempt.
+func (e Entry) failure() string {
+	text, ok := failureTexts[e.Reason]
 	if !ok {
 		text = e.Reason
 	}
@@ -162,54 +164,56 @@
 	return text
 }
 
-// Cause names the cause of a request's outcome in one sentence.
+// Cause returns the cause of a request's outcome in one sentence.
 func Cause(request string, entries []Entry) string {
 	if len(entries) == 0 {
-		return fmt.Sprintf("no router logged %s: no router read it whole, or its route or key was refused before it had a route", request)
+		return fmt.Sprintf("no router logged %s: no router read it completely, or it was refused before it had a route", request)
 	}
-	var last, failure, end *Entry
+	var placed, failure, outcome *Entry
 	for i := range entries {
 		switch e := &entries[i]; e.Event {
 		case eventlog.Placed.Name:
-			last = e
+			placed = e
 		case eventlog.AttemptFailed.Name, eventlog.NotAdmitted.Name, eventlog.PoisonRefused.Name, eventlog.RetryDenied.Name, eventlog.TicketRefused.Name:
 			failure = e
 		case eventlog.Finished.Name, eventlog.Failed.Name:
-			end = e
+			outcome = e
 		}
 	}
 	switch {
-	case end == nil && last != nil:
-		return fmt.Sprintf("router %s ended while attempt %d was at %s: it was killed, lost power or is frozen", last.Router, last.Attempt, last.Target)
-	case end == nil:
-		return fmt.Sprintf("router %s ended before the request did", entries[len(entries)-1].Router)
-	case end.Event == eventlog.Finished.Name:
-		return finished(end, last, failure)
-	case code.Code(end.Code) == code.CallerGone:
-		return fmt.Sprintf("the caller's connection ended after %.0f ms%s: it left, or the connection was reset", end.Total, at(last))
+	case outcome == nil && placed != nil:
+		return fmt.Sprintf("router %s stopped logging while attempt %d was at %s: it was killed, lost power or is stalled", placed.Router, placed.Attempt, placed.Target)
+	case outcome == nil:
+		return fmt.Sprintf("router %s stopped logging before the request ended", entries[len(entries)-1].Router)
+	case outcome.Event == eventlog.Finished.Name:
+		return answerCause(outcome, placed, failure)
+	case code.Code(outcome.Code) == code.CallerGone:
+		return fmt.Sprintf("the caller's connection ended after %.0f ms%s: the caller disconnected, or the connection was reset", outcome.Total, atTarget(placed))
 	case failure != nil:
-		return fmt.Sprintf("%s; ended as %s", strings.TrimSpace(failure.describe()), end.Name)
+		return fmt.Sprintf("%s; ended as %s", strings.TrimSpace(failure.describe()), outcome.Name)
 	}
-	return fmt.Sprintf("ended as %s%s", end.Name, at(last))
+	return fmt.Sprintf("ended as %s%s", outcome.Name, atTarget(placed))
 }
 
-func at(placed *Entry) string {
+// atTarget returns the part of a sentence that names the target of the last attempt, if there is one.
+func atTarget(placed *Entry) string {
 	if placed == nil {
 		return ""
 	}
-	return ", while it was at " + placed.Target
+	return ", while the request was at " + placed.Target
 }
 
-func finished(end, last, failure *Entry) string {
-	if end.Status >= 400 {
-		return fmt.Sprintf("the answer with status %d is the target's own%s", end.Status, at(last))
+// answerCause returns the cause of an outcome in which the caller got a target's answer.
+func answerCause(outcome, placed, failure *Entry) string {
+	if outcome.Status >= 400 {
+		return fmt.Sprintf("the answer with status %d is the target's own%s", outcome.Status, atTarget(placed))
 	}
 	if failure != nil {
-		return fmt.Sprintf("answered after %.0f ms, because %s", end.FirstByte, failure.describe())
+		return fmt.Sprintf("answered after %.0f ms, because %s", outcome.FirstByte, failure.describe())
 	}
-	text := fmt.Sprintf("answered; the first byte came after %.0f ms%s", end.FirstByte, at(last))
-	if last == nil || last.Rule == string(placement.RuleTicket) {
-		return text // a ticket does not tell what the target has open
+	text := fmt.Sprintf("answered; the first byte came after %.0f ms%s", outcome.FirstByte, atTarget(placed))
+	if placed == nil || placed.Rule == string(placement.RuleTicket) {
+		return text // a ticket doesn't carry the target's open requests
 	}
-	return fmt.Sprintf("%s with %d open there", text, last.Open)
+	return fmt.Sprintf("%s with %d open requests there", text, placed.Open)
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -14,7 +14,7 @@
 
 func TestSuite(t *testing.T) { testkit.Run(t, "explain") }
 
-const lines = `
+const logLines = `
   8.0010 front-a-1 {"level":"info","router":"front-a-1","event":"placed","request":"r1","route":"x","attempt":1,"target":"i-1","rule":"home","open":3,"bound":8.5,"loads_age":41.2,"version":7,"time":"2026-04-21T22:03:05Z"}
   8.0020 front-a-1 {"level":"warn","router":"front-a-1","event":"attempt_failed","request":"r1","route":"x","attempt":1,"target":"i-1","why":"not_sent","error":"refused","after":2.5,"time":"2026-04-21T22:03:05Z"}
 {"level":"info","router":"front-a-1","event":"placed","request":"r1","route":"x","attempt":2,"target":"i-2","rule":"spill","time":"2026-04-21T22:03:06Z"}
@@ -32,23 +32,23 @@
 `
 
 var _ = Describe("the explanation of a request", func() {
-	DescribeTable("names the cause",
+	DescribeTable("names the cause of its outcome",
 		func(request, want string) {
-			entries, err := explain.Read(strings.NewReader(lines), request)
+			entries, err := explain.Read(strings.NewReader(logLines), request)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(explain.Cause(request, entries)).To(ContainSubstring(want))
 		},
-		Entry("late", "r1", "answered after 812 ms, because attempt 1 failed after 2 ms: i-1: the target accepted no connection"),
-		Entry("the router was lost", "r2", "front-b-1 ended while attempt 1 was at i-9"),
-		Entry("refused", "r3", "a wait of 700 ms expected behind 80 open"),
-		Entry("the caller left", "r4", "the caller's connection ended after 300 ms, while it was at i-9"),
-		Entry("a target's own failure", "r5", "status 500 is the target's own"),
-		Entry("targets ended under it", "r7", "targets have ended under requests with the fingerprint c0ffee; come back after 9000 ms; ended as poison"),
-		Entry("never logged", "r6", "no router logged r6"),
+		Entry("a failed attempt delayed the answer", "r1", "answered after 812 ms, because attempt 1 failed after 2 ms: i-1: the target accepted no connection"),
+		Entry("the router crashed", "r2", "front-b-1 stopped logging while attempt 1 was at i-9"),
+		Entry("the request was not admitted", "r3", "expected wait of 700 ms behind 80 open"),
+		Entry("the caller disconnected", "r4", "the caller's connection ended after 300 ms, while the request was at i-9"),
+		Entry("the target answered with an error", "r5", "status 500 is the target's own"),
+		Entry("targets exited while they executed it", "r7", "targets have exited while they executed requests with the fingerprint c0ffee; retry after 9000 ms; ended as poison"),
+		Entry("no router logged it", "r6", "no router logged r6"),
 	)
 
-	It("prints the chain in order, over collectors' prefixes and foreign lines", func() {
-		entries, err := explain.Read(strings.NewReader(lines), "r1")
+	It("prints the entries in order and ignores prefixes of log collectors and other lines", func() {
+		entries, err := explain.Read(strings.NewReader(logLines), "r1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(entries).To(HaveLen(4))
 		var out bytes.Buffer
