--- a/cmd/hemlockctl/main.go
+++ b/cmd/hemlockctl/main.go
@@ -1,4 +1,4 @@
-// Command hemlockctl is the operators' command line.
+// Command hemlockctl is the command line interface for operators.
 package main
 
 import (
--- a/cmd/hemlockdyke-controller/main.go
+++ b/cmd/hemlockdyke-controller/main.go
@@ -1,5 +1,4 @@
-// Command hemlockdyke-controller serves the resource API and carries out
-// planned changes.
+// Command hemlockdyke-controller serves the resource API to operators and executes planned changes.
 package main
 
 import (
@@ -15,8 +14,8 @@
 )
 
 func main() {
-	app := kingpin.New("hemlockdyke-controller", "Serves the resource API and carries out planned changes.")
-	path := app.Flag("settings", "Settings file.").Required().String()
+	app := kingpin.New("hemlockdyke-controller", "Serves the resource API and executes planned changes.")
+	path := app.Flag("settings", "Path of the settings file.").Required().String()
 	check := app.Flag("check-settings", "Print the effective settings and exit.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
--- a/cmd/hemlockdyke-router/main.go
+++ b/cmd/hemlockdyke-router/main.go
@@ -1,4 +1,4 @@
-// Command hemlockdyke-router carries callers' requests to targets.
+// Command hemlockdyke-router relays callers' requests to targets.
 package main
 
 import (
@@ -16,10 +16,10 @@
 )
 
 func main() {
-	app := kingpin.New("hemlockdyke-router", "Carries callers' requests to targets.")
-	path := app.Flag("settings", "Settings file.").String()
+	app := kingpin.New("hemlockdyke-router", "Relays callers' requests to targets.")
+	path := app.Flag("settings", "Path of the settings file; required without --platform.").String()
 	check := app.Flag("check-settings", "Print the effective settings and exit.").Bool()
-	onPlatform := app.Flag("platform", "Run on the users' platform, by the settings file that it names.").Bool()
+	onPlatform := app.Flag("platform", "Run on the users' platform, with the settings file that the platform provides.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if *onPlatform {
 		runOnPlatform(app)
@@ -43,6 +43,7 @@
 	daemon.RunUntilStopped(router, log)
 }
 
+// runOnPlatform runs the router on the users' platform until it is stopped.
 func runOnPlatform(app *kingpin.Application) {
 	s, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
 	app.FatalIfError(err, "settings")
@@ -50,8 +51,8 @@
 	defer out.Close()
 	log := eventlog.New(logging.NewGateway(out, s.Gateway.Gateway.Name), time.Now)
 	reload := func() (daemon.GatewaySettings, error) {
-		again, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
-		return again.Gateway, err
+		reloaded, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
+		return reloaded.Gateway, err
 	}
 	m := metrics.NewGateway(time.Now)
 	gateway, err := daemon.StartGateway(s.Gateway, daemon.Platform{
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -1,5 +1,5 @@
-// Package settings reads the YAML settings of the binaries. Unknown keys,
-// duplicate keys and values out of range are errors that name the line.
+// Package settings reads the YAML settings files of the router and the controller. Unknown keys, duplicate
+// keys and values out of range are errors that name the line.
 package settings
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// Duration is a time span written with its unit, such as 250ms.
+// Duration is a time.Duration that YAML writes with its unit, such as 250ms.
 type Duration time.Duration
 
-// UnmarshalYAML refuses a bare number, since its unit would be a guess.
+// UnmarshalYAML parses a duration. It refuses a number without a unit.
 func (d *Duration) UnmarshalYAML(node *yaml.Node) error {
 	parsed, err := time.ParseDuration(node.Value)
 	if err != nil {
@@ -29,43 +29,44 @@
 	return nil
 }
 
-// MarshalYAML writes the span with its unit.
+// MarshalYAML returns the duration with its unit.
 func (d Duration) MarshalYAML() (any, error) { return time.Duration(d).String(), nil }
 
 // Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// Problem is a value out of range. Path is the dotted path of its key.
+// Problem describes an invalid value. Path is the dotted path of its key.
 type Problem struct {
 	Path    string
 	Message string
 }
 
-// Validator is a settings struct that can check its own ranges.
+// Validator is a settings struct that can validate its values. Validate returns nil if they are valid.
 type Validator interface {
 	Validate() []Problem
 }
 
-// LoadFile reads path over the defaults already in into.
-func LoadFile(path string, into Validator) error {
+// LoadFile loads the settings file at path, like Load.
+func LoadFile(path string, settings Validator) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return code.New(code.BadSettings, "%s", err)
 	}
-	return Load(data, into)
+	return Load(data, settings)
 }
 
-// Load decodes data strictly over the defaults already in into, then checks ranges.
-func Load(data []byte, into Validator) error {
+// Load decodes data into settings, which holds the defaults, and validates the result. Its errors have the
+// code BadSettings and name all invalid values with their lines.
+func Load(data []byte, settings Validator) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
-	if err := dec.Decode(into); err != nil && !errors.Is(err, io.EOF) {
+	if err := dec.Decode(settings); err != nil && !errors.Is(err, io.EOF) {
 		return code.New(code.BadSettings, "%s", err)
 	}
 	if err := dec.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
 		return code.New(code.BadSettings, "more than one YAML document")
 	}
-	problems := into.Validate()
+	problems := settings.Validate()
 	if len(problems) == 0 {
 		return nil
 	}
@@ -80,7 +81,7 @@
 	return code.New(code.BadSettings, "%s", strings.Join(lines, "; "))
 }
 
-// lineOf returns the line of the deepest key on the path that the file has, or 1.
+// lineOf returns the line of the deepest key on the path that is present in the file, or 1 if there is none.
 func lineOf(node *yaml.Node, path []string) int {
 	if node.Kind == yaml.DocumentNode && len(node.Content) > 0 {
 		node = node.Content[0]
@@ -101,7 +102,7 @@
 	return line
 }
 
-// Print writes the effective settings as YAML.
+// Print writes settings as YAML.
 func Print(w io.Writer, settings any) error {
 	enc := yaml.NewEncoder(w)
 	enc.SetIndent(2)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,45 +9,45 @@
 
 // Peer is one router of the fleet.
 type Peer struct {
-	// ID is the router's number, unique in the fleet.
+	// ID is the number of the router, unique in the fleet.
 	ID uint32 `yaml:"id"`
-	// Address is the IP number and port on which the router serves peers.
+	// Address is the IP address and port on which the router serves other routers and controllers.
 	Address string `yaml:"address"`
-	// DataCentre is where the router runs.
+	// DataCentre is the data centre of the router.
 	DataCentre string `yaml:"dataCentre"`
 }
 
-// Platform says where the platform's services are.
+// Platform configures the access to the platform's services.
 type Platform struct {
 	// URL is the base URL of the table service, object store and VM list.
 	URL string `yaml:"url"`
-	// Timeout bounds one call.
+	// Timeout bounds one call to a service.
 	Timeout Duration `yaml:"timeout"`
 }
 
-// Log configures the JSON lines log on standard error.
+// Log configures the event log, which the process writes to standard output.
 type Log struct {
-	// Level is trace, debug, info, warn or error.
+	// Level is the lowest level that is written: trace, debug, info, warn or error.
 	Level string `yaml:"level"`
 }
 
 // Router is the settings file of hemlockdyke-router.
 type Router struct {
-	// ID is this router's number; it must be listed in peers.
+	// ID is the number of this router. It must be listed in Peers.
 	ID uint32 `yaml:"id"`
-	// DataCentre is where this router runs.
+	// DataCentre is the data centre of this router.
 	DataCentre string `yaml:"dataCentre"`
-	// Listen holds the addresses to serve on.
+	// Listen holds the addresses on which the router listens.
 	Listen RouterListen `yaml:"listen"`
 	// Peers lists every router of the fleet, this one included.
 	Peers []Peer `yaml:"peers"`
-	// Platform is the platform's service.
+	// Platform configures the access to the platform's services.
 	Platform Platform `yaml:"platform"`
-	// Limits bounds what callers may send.
+	// Limits limits requests and the attempts that serve them.
 	Limits Limits `yaml:"limits"`
-	// Control paces the control traffic.
+	// Control configures the control traffic.
 	Control Control `yaml:"control"`
-	// Shutdown paces a graceful shutdown.
+	// Shutdown configures a graceful shutdown.
 	Shutdown Shutdown `yaml:"shutdown"`
 	// Log configures logging.
 	Log Log `yaml:"log"`
@@ -55,53 +55,53 @@
 
 // RouterListen holds a router's listen addresses.
 type RouterListen struct {
-	// Callers is the address behind the platform's balancer.
+	// Callers is the address to which the platform's balancer forwards callers.
 	Callers string `yaml:"callers"`
-	// Peers is the address for other routers and controllers.
+	// Peers is the address that serves other routers and controllers.
 	Peers string `yaml:"peers"`
-	// Admin serves /metrics and /debug/status.
+	// Admin is the address that serves /metrics and /debug/status.
 	Admin string `yaml:"admin"`
 }
 
-// Limits bounds what callers may send.
+// Limits limits callers' requests and the attempts that serve them.
 type Limits struct {
-	// MaxBodyBytes is the largest request body.
+	// MaxBodyBytes is the size limit of a request body.
 	MaxBodyBytes int64 `yaml:"maxBodyBytes"`
-	// MaxHeaderBytes is the largest request header.
+	// MaxHeaderBytes is the size limit of a request header.
 	MaxHeaderBytes int `yaml:"maxHeaderBytes"`
-	// ReadTimeout bounds reading one request.
+	// ReadTimeout bounds the time to read a request.
 	ReadTimeout Duration `yaml:"readTimeout"`
-	// DefaultDeadline applies to requests that name none.
+	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline Duration `yaml:"defaultDeadline"`
-	// StreamSilence is how long a target may send nothing before the attempt is given up.
+	// StreamSilence is how long a target may send nothing before its attempt fails.
 	StreamSilence Duration `yaml:"streamSilence"`
-	// MaxQueued is the number of requests that may wait for a target.
+	// MaxQueued is the largest number of requests that may wait for a target.
 	MaxQueued int `yaml:"maxQueued"`
 }
 
-// Control paces the control traffic.
+// Control configures the intervals and timeouts of the control traffic.
 type Control struct {
-	// GossipInterval is the mean time between gossip rounds.
+	// GossipInterval is the mean time between two gossip rounds.
 	GossipInterval Duration `yaml:"gossipInterval"`
-	// PollInterval is the mean time between reads of the configuration head.
+	// PollInterval is the mean time between two reads of the configuration's latest revision.
 	PollInterval Duration `yaml:"pollInterval"`
-	// SuspectAfter is how long a silent router is still considered live. Heartbeats
-	// come by way of others: at 9 routers they are up to four gossip intervals old.
+	// SuspectAfter is how long a silent router is still considered live. Heartbeats are passed on by other
+	// routers. In a fleet of 9 routers they are up to four gossip intervals old.
 	SuspectAfter Duration `yaml:"suspectAfter"`
-	// FreshFor is how long a router serves without the table service and without
-	// a majority of the listed routers.
+	// FreshFor is how long a router goes on serving when it reaches neither the table service nor a majority
+	// of the listed routers.
 	FreshFor Duration `yaml:"freshFor"`
 }
 
-// Shutdown paces a graceful shutdown.
+// Shutdown configures the times of a graceful shutdown.
 type Shutdown struct {
-	// BalancerLag is how long the balancer may keep sending after /readyz fails.
+	// BalancerLag is how long the balancer may go on sending requests after /readyz has begun to fail.
 	BalancerLag Duration `yaml:"balancerLag"`
-	// Grace bounds the wait for open requests.
+	// Grace is how long the router waits for open requests to end.
 	Grace Duration `yaml:"grace"`
 }
 
-// DefaultRouter returns the settings that apply where the file is silent.
+// DefaultRouter returns the defaults for keys that the settings file omits.
 func DefaultRouter() Router {
 	return Router{
 		Platform: defaultPlatform(),
@@ -131,7 +131,7 @@
 	return Platform{Timeout: Duration(2 * time.Second)}
 }
 
-// Check reports values out of range.
+// Validate returns the invalid values.
 func (r *Router) Validate() []Problem {
 	var c checker
 	c.positive("id", int64(r.ID))
@@ -144,38 +144,38 @@
 	c.positive("limits.maxBodyBytes", r.Limits.MaxBodyBytes)
 	c.positive("limits.maxHeaderBytes", int64(r.Limits.MaxHeaderBytes))
 	c.positive("limits.maxQueued", int64(r.Limits.MaxQueued))
-	c.span("limits.readTimeout", r.Limits.ReadTimeout, time.Millisecond, time.Hour)
-	c.span("limits.defaultDeadline", r.Limits.DefaultDeadline, time.Millisecond, time.Hour)
-	c.span("limits.streamSilence", r.Limits.StreamSilence, 10*time.Millisecond, 10*time.Minute)
-	c.span("control.gossipInterval", r.Control.GossipInterval, 10*time.Millisecond, time.Minute)
-	c.span("control.pollInterval", r.Control.PollInterval, 10*time.Millisecond, time.Minute)
-	c.span("control.suspectAfter", r.Control.SuspectAfter, 4*r.Control.GossipInterval.Std(), 5*time.Minute)
-	c.span("control.freshFor", r.Control.FreshFor, r.Control.PollInterval.Std(), 5*time.Minute)
-	c.span("shutdown.balancerLag", r.Shutdown.BalancerLag, 0, time.Minute)
-	c.span("shutdown.grace", r.Shutdown.Grace, 0, time.Hour)
+	c.inRange("limits.readTimeout", r.Limits.ReadTimeout, time.Millisecond, time.Hour)
+	c.inRange("limits.defaultDeadline", r.Limits.DefaultDeadline, time.Millisecond, time.Hour)
+	c.inRange("limits.streamSilence", r.Limits.StreamSilence, 10*time.Millisecond, 10*time.Minute)
+	c.inRange("control.gossipInterval", r.Control.GossipInterval, 10*time.Millisecond, time.Minute)
+	c.inRange("control.pollInterval", r.Control.PollInterval, 10*time.Millisecond, time.Minute)
+	c.inRange("control.suspectAfter", r.Control.SuspectAfter, 4*r.Control.GossipInterval.Std(), 5*time.Minute)
+	c.inRange("control.freshFor", r.Control.FreshFor, r.Control.PollInterval.Std(), 5*time.Minute)
+	c.inRange("shutdown.balancerLag", r.Shutdown.BalancerLag, 0, time.Minute)
+	c.inRange("shutdown.grace", r.Shutdown.Grace, 0, time.Hour)
 	c.level(r.Log)
 	return c.problems
 }
 
 // Controller is the settings file of hemlockdyke-controller.
 type Controller struct {
-	// ID is this controller's number; by habit that of the router on the same VM.
+	// ID is the number of this controller, by convention that of the router on the same VM.
 	ID uint32 `yaml:"id"`
-	// DataCentre is where this controller runs.
+	// DataCentre is the data centre of this controller.
 	DataCentre string `yaml:"dataCentre"`
-	// Listen is the address of the resource API.
+	// Listen is the address that serves the resource API.
 	Listen string `yaml:"listen"`
 	// Peers lists every router of the fleet.
 	Peers []Peer `yaml:"peers"`
-	// Platform is the platform's service.
+	// Platform configures the access to the platform's services.
 	Platform Platform `yaml:"platform"`
-	// Lease is how long a lease on a planned change lasts.
+	// Lease is the duration of a lease on a planned change.
 	Lease Duration `yaml:"lease"`
 	// Log configures logging.
 	Log Log `yaml:"log"`
 }
 
-// DefaultController returns the settings that apply where the file is silent.
+// DefaultController returns the defaults for keys that the settings file omits.
 func DefaultController() Controller {
 	return Controller{
 		Platform: defaultPlatform(),
@@ -184,19 +184,19 @@
 	}
 }
 
-// Check reports values out of range.
+// Validate returns the invalid values.
 func (s *Controller) Validate() []Problem {
 	var c checker
 	c.positive("id", int64(s.ID))
 	c.address("listen", s.Listen)
 	c.peers(s.Peers)
 	c.platform(s.Platform)
-	c.span("lease", s.Lease, 100*time.Millisecond, 10*time.Minute)
+	c.inRange("lease", s.Lease, 100*time.Millisecond, 10*time.Minute)
 	c.level(s.Log)
 	return c.problems
 }
 
-// checker collects problems.
+// checker checks values and collects the invalid ones. Its methods take the path of the value's key.
 type checker struct{ problems []Problem }
 
 func (c *checker) add(path, format string, args ...any) {
@@ -211,13 +211,13 @@
 
 func (c *checker) address(path, v string) {
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		c.add(path, "%q is not an IP number and port", v)
+		c.add(path, "%q is not an IP address and port", v)
 	}
 }
 
-func (c *checker) span(path string, v Duration, low, high time.Duration) {
-	if v.Std() < low || v.Std() > high {
-		c.add(path, "%s is not between %s and %s", v.Std(), low, high)
+func (c *checker) inRange(path string, v Duration, minimum, maximum time.Duration) {
+	if v.Std() < minimum || v.Std() > maximum {
+		c.add(path, "%s is not between %s and %s", v.Std(), minimum, maximum)
 	}
 }
 
@@ -226,7 +226,7 @@
 	if err != nil || u.Scheme == "" || u.Host == "" {
 		c.add("platform.url", "%q is not a URL", p.URL)
 	}
-	c.span("platform.timeout", p.Timeout, time.Millisecond, time.Minute)
+	c.inRange("platform.timeout", p.Timeout, time.Millisecond, time.Minute)
 }
 
 func (c *checker) peers(peers []Peer) {
@@ -243,6 +243,7 @@
 	}
 }
 
+// listed checks that a router is one of the peers.
 func (c *checker) listed(id uint32, peers []Peer) {
 	for _, p := range peers {
 		if p.ID == id {
