--- a/cmd/hemlockdyke-controller/main.go
+++ b/cmd/hemlockdyke-controller/main.go
@@ -1,4 +1,5 @@
-// Command hemlockdyke-controller serves the resource API to operators and executes planned changes.
+// Command hemlockdyke-controller serves the resource API to operators and executes planned
+// changes.
 package main
 
 import (
--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -1,5 +1,5 @@
-// Package callerhttp is the router's HTTP interface for callers. It serves chat completions of model
-// pools, requests to service pools, and the health checks of the platform's balancer.
+// Package callerhttp is the router's HTTP interface for callers. It serves chat completions of
+// model pools, requests to service pools, and the health checks of the platform's balancer.
 package callerhttp
 
 import (
@@ -66,9 +66,9 @@
 	return s.closeWhenStopping(r)
 }
 
-// closeWhenStopping closes each connection with its next answer while the router is shutting down. If
-// the server closed all idle connections at once, some would be closed while a request is on its way,
-// and the caller couldn't know whether that request was executed.
+// closeWhenStopping closes each connection with its next answer while the router is shutting
+// down. If the server closed all idle connections at once, some would be closed while a request
+// is on its way, and the caller couldn't know whether that request was executed.
 func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.control.Ready().Reason == code.ShuttingDown {
@@ -99,8 +99,8 @@
 	return id
 }
 
-// parseRequest reads the headers and the body that chat and service requests have in common. On an
-// error the returned request still has its ID.
+// parseRequest reads the headers and the body that chat and service requests have in common. On
+// an error the returned request still has its ID.
 func (s *Server) parseRequest(r *http.Request) (router.Request, error) {
 	req := router.Request{ID: requestID(r), Team: r.Header.Get(wire.HeaderTeam), Method: r.Method}
 	if len(req.ID) > maxIDBytes {
@@ -202,8 +202,8 @@
 	return h
 }
 
-// callerWriteTimeout bounds each write to a caller. If a middlebox has dropped the connection, writes
-// neither fail nor complete, and the request would occupy its place at a target forever.
+// callerWriteTimeout bounds each write to a caller. If a middlebox has dropped the connection,
+// writes neither fail nor complete, and the request would occupy its place at a target forever.
 const callerWriteTimeout = 30 * time.Second
 
 func (s *Server) streamChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
@@ -232,8 +232,8 @@
 	case parts == 0:
 		s.fail(w, req.ID, code.New(result.Code, "request %s failed", req.ID), result.RetryAfter)
 	default:
-		// The status has been sent. An error event instead of the end marker tells the caller that the
-		// answer is incomplete.
+		// The status has been sent. An error event instead of the end marker tells the caller
+		// that the answer is incomplete.
 		_ = wire.WriteEvent(w, wire.NewErrorBody(code.New(result.Code, "request %s failed", req.ID)))
 	}
 }
@@ -329,8 +329,8 @@
 // defaultRetryAfter is sent with status 503 if the failure has no delay of its own.
 const defaultRetryAfter = time.Second
 
-// fail answers with the result code of err and, unless retryAfter is 0, with a Retry-After header. An
-// error without a code is answered as code.OutcomeUnknown.
+// fail answers with the result code of err and, unless retryAfter is 0, with a Retry-After
+// header. An error without a code is answered as code.OutcomeUnknown.
 func (s *Server) fail(w http.ResponseWriter, id string, err error, retryAfter time.Duration) {
 	var coded *code.Error
 	if !errors.As(err, &coded) {
--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -102,8 +102,8 @@
 	return resp
 }
 
-// post sends a request of the team "dealers" and returns the response and its body. headers are pairs
-// of name and value.
+// post sends a request of the team "dealers" and returns the response and its body. headers are
+// pairs of name and value.
 func (r *testRouter) post(path, body string, headers ...string) (*http.Response, string) {
 	req, err := http.NewRequest(http.MethodPost, r.callers.URL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -178,24 +178,24 @@
 		Expect(body).To(HaveSuffix("data: [DONE]\n\n"))
 	})
 
-	// Guards against missing or repeated tokens when an engine closes the connection after two tokens and
-	// another engine resumes the stream.
+	// Guards against missing or repeated tokens when an engine closes the connection after two
+	// tokens and another engine resumes the stream.
 	It("resume at the next token after a truncated stream", func() {
 		r := startTestRouter()
 		r.setEngineFaults(`{"cutAfter":2}`)
 		Expect(chatContent(r)).To(Equal(fullAnswer()))
 	})
 
-	// Guards against a caller that gets the answer to another request, when an engine answers with the id
-	// of another attempt.
+	// Guards against a caller that gets the answer to another request, when an engine answers
+	// with the id of another attempt.
 	It("never return an answer to another attempt", func() {
 		r := startTestRouter()
 		r.setEngineFaults(`{"crossOnce":true}`)
 		Expect(chatContent(r)).To(Equal(fullAnswer()))
 	})
 
-	// Guards against a stream that hangs forever, when a middlebox drops the connection and no error is
-	// ever reported.
+	// Guards against a stream that hangs forever, when a middlebox drops the connection and no
+	// error is ever reported.
 	It("continue on a new connection after a connection goes silent", func() {
 		r := startTestRouter()
 		put(r.engines[0], "/faults", `{"silent":true}`)
@@ -234,14 +234,14 @@
 		Expect(errorCode(body)).To(Equal(1006))
 	})
 
-	// Guards against a request that is executed twice. The service executes the request and drops the
-	// connection, and then the router retries it, or the HTTP transport does so on its own because of
-	// the Idempotency-Key header.
+	// Guards against a request that is executed twice. The service executes the request and drops
+	// the connection, and then the router retries it, or the HTTP transport does so on its own
+	// because of the Idempotency-Key header.
 	It("are never retried after the service may have executed them", func() {
 		r := startTestRouter()
 		for _, body := range []string{"x", ""} {
-			// A successful request leaves an idle connection. The transport retries only requests that it
-			// sent over a reused connection.
+			// A successful request leaves an idle connection. The transport retries only requests
+			// that it sent over a reused connection.
 			put(r.serviceHTTP, "/faults", `{}`)
 			r.post("/services/notices/send", body, wire.HeaderIdempotencyKey, "first"+body)
 			put(r.serviceHTTP, "/faults", `{"dropAfterRead":true}`)
@@ -255,8 +255,8 @@
 		Expect(errorCode(text)).To(Equal(4001), "a later request with the same key is not executed either")
 	})
 
-	// Guards against a caller that waits until its deadline, when the service reads the request and the
-	// connection goes silent.
+	// Guards against a caller that waits until its deadline, when the service reads the request
+	// and the connection goes silent.
 	It("end as outcome unknown if the service goes silent", func() {
 		r := startTestRouter()
 		put(r.serviceHTTP, "/faults", `{"silent":true}`)
--- a/internal/adapter/callerhttp/keyed.go
+++ b/internal/adapter/callerhttp/keyed.go
@@ -10,9 +10,9 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// serveKeyed serves a request that is not idempotent and has an Idempotency-Key. The claim on the key
-// makes sure that the request is executed at most once. A request with a recorded answer gets that
-// answer again.
+// serveKeyed serves a request that is not idempotent and has an Idempotency-Key. The claim on the
+// key makes sure that the request is executed at most once. A request with a recorded answer gets
+// that answer again.
 func (s *Server) serveKeyed(w http.ResponseWriter, r *http.Request, req router.Request, key string) {
 	if len(key) > maxIDBytes {
 		s.fail(w, req.ID, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderIdempotencyKey, maxIDBytes), 0)
@@ -27,8 +27,8 @@
 		s.fail(w, req.ID, code.New(decision.Code, "%s %q", wire.HeaderIdempotencyKey, key), router.ClaimRetryAfter)
 		return
 	}
-	// The request goes on if the caller disconnects, so that the answer is recorded for the caller's
-	// retry.
+	// The request goes on if the caller disconnects, so that the answer is recorded for the
+	// caller's retry.
 	r = r.WithContext(context.WithoutCancel(r.Context()))
 	answer, result := s.runService(r, req)
 	s.claims.Settle(taken, answer, result)
--- a/internal/adapter/gatewayhttp/connections.go
+++ b/internal/adapter/gatewayhttp/connections.go
@@ -12,10 +12,10 @@
 )
 
 // ConnTracker closes the callers' connections of a server on a graceful shutdown without losing
-// requests. http.Server.Shutdown alone considers a connection idle until it has read the whole header
-// of a request. On a VM that is short of processor time it closes connections whose next request has
-// been read in part. The caller gets no answer and can't know whether the request was executed.
-// ConnTracker is safe for concurrent use.
+// requests. http.Server.Shutdown alone considers a connection idle until it has read the whole
+// header of a request. On a VM that is short of processor time it closes connections whose next
+// request has been read in part. The caller gets no answer and can't know whether the request was
+// executed. ConnTracker is safe for concurrent use.
 type ConnTracker struct {
 	mu   sync.Mutex
 	open map[*connection]struct{}
@@ -33,7 +33,7 @@
 	idle             bool      // the last answer is complete and nothing has been read since
 	readsInterrupted bool      // a read deadline in the past interrupts reads
 	drainingRead     bool      // an interrupted read is taking the bytes that had arrived
-	requestBegunAt   time.Time // first bytes of a request that the server has not reported as active; zero if none
+	requestBegunAt   time.Time // of the request that the server has not reported as active; zero if none
 }
 
 // Wrap returns a listener whose connections are tracked.
@@ -72,9 +72,10 @@
 	}
 }
 
-// Read reads from the connection. If closeIfIdle has interrupted the read, Read still takes the bytes
-// that have arrived: the server reads a byte ahead while a handler runs, so a connection may become idle
-// after the first byte of its next request. Without the rest, that request would get no answer.
+// Read reads from the connection. If closeIfIdle has interrupted the read, Read still takes the
+// bytes that have arrived: the server reads a byte ahead while a handler runs, so a connection
+// may become idle after the first byte of its next request. Without the rest, that request would
+// get no answer.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.setDrainingRead(true) {
@@ -96,8 +97,8 @@
 	}
 }
 
-// setDrainingRead sets or clears drainingRead and returns its new value. It can only be set while reads
-// are interrupted.
+// setDrainingRead sets or clears drainingRead and returns its new value. It can only be set while
+// reads are interrupted.
 func (c *connection) setDrainingRead(draining bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,9 +106,9 @@
 	return c.drainingRead
 }
 
-// arrivedReadTimeout is how long an interrupted read waits for bytes that have arrived. A read whose
-// deadline has passed returns nothing, even if bytes are there. A short wait is enough, since callers
-// send a request in one piece.
+// arrivedReadTimeout is how long an interrupted read waits for bytes that have arrived. A read
+// whose deadline has passed returns nothing, even if bytes are there. A short wait is enough,
+// since callers send a request in one piece.
 const arrivedReadTimeout = 5 * time.Millisecond
 
 // readArrived reads the bytes that have arrived and lifts the read deadline if there are any.
@@ -122,8 +123,8 @@
 	return n, err
 }
 
-// CloseWrite closes the writing half. The server calls it before Close while a caller may still be
-// sending. A connection that is closed with unread bytes is reset, which can lose the answer.
+// CloseWrite closes the writing half. The server calls it before Close while a caller may still
+// be sending. A connection that is closed with unread bytes is reset, which can lose the answer.
 func (c *connection) CloseWrite() error {
 	writer, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
@@ -139,9 +140,9 @@
 	return c.Conn.Close()
 }
 
-// closeIfIdle interrupts the reads of an idle connection, so that the server closes it. A read that has
-// received bytes continues, and its request is answered. closeIfIdle reports whether the connection has
-// to be checked again.
+// closeIfIdle interrupts the reads of an idle connection, so that the server closes it. A read
+// that has received bytes continues, and its request is answered. closeIfIdle reports whether the
+// connection has to be checked again.
 func (c *connection) closeIfIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,24 +153,25 @@
 	return c.idle || now.Sub(c.requestBegunAt) < requestBeginTimeout
 }
 
-// shutdownPollInterval is the time between two checks of the connections. They are checked repeatedly,
-// since the server may set another read deadline when a connection becomes idle.
+// shutdownPollInterval is the time between two checks of the connections. They are checked
+// repeatedly, since the server may set another read deadline when a connection becomes idle.
 const shutdownPollInterval = 20 * time.Millisecond
 
 const (
-	// minShutdownPolling is how long connections are at least closed one by one as they become idle. After
-	// it http.Server.Shutdown closes each connection whose answer ends, even if its caller has begun another
-	// request. A process may get no processor time for a tenth of a second between the last byte of an
-	// answer and the end of its handler.
+	// minShutdownPolling is how long connections are at least closed one by one as they become
+	// idle. After it http.Server.Shutdown closes each connection whose answer ends, even if its
+	// caller has begun another request. A process may get no processor time for a tenth of a
+	// second between the last byte of an answer and the end of its handler.
 	minShutdownPolling = 200 * time.Millisecond
-	// requestBeginTimeout is how long the server may take to report a connection as active after the first
-	// bytes of a request. Until then http.Server.Shutdown would close it. The limit keeps a caller that
-	// sends half a header from delaying the shutdown.
+	// requestBeginTimeout is how long the server may take to report a connection as active after
+	// the first bytes of a request. Until then http.Server.Shutdown would close it. The limit
+	// keeps a caller that sends half a header from delaying the shutdown.
 	requestBeginTimeout = 500 * time.Millisecond
 )
 
-// Shutdown shuts a server down gracefully. It closes connections as they become idle, then the listener
-// and the connections that never had a request. It returns when no request is open or ctx ends.
+// Shutdown shuts a server down gracefully. It closes connections as they become idle, then the
+// listener and the connections that never had a request. It returns when no request is open or
+// ctx ends.
 func (c *ConnTracker) Shutdown(ctx context.Context, s *http.Server) error {
 	startedAt := time.Now()
 	for ctx.Err() == nil && (c.closeIdle(time.Now()) || time.Since(startedAt) < minShutdownPolling) {
--- a/internal/adapter/gatewayhttp/connections_test.go
+++ b/internal/adapter/gatewayhttp/connections_test.go
@@ -20,8 +20,8 @@
 
 func TestSuite(t *testing.T) { testkit.Run(t, "gatewayhttp") }
 
-// slowListener delays the result of each read by its connections, like a process that gets no processor
-// time right after the read.
+// slowListener delays the result of each read by its connections, like a process that gets no
+// processor time right after the read.
 type slowListener struct {
 	net.Listener
 	delay time.Duration
@@ -45,12 +45,12 @@
 	return n, err
 }
 
-// gatedListener stops a server between two requests of a connection. After armed is set, the server's
-// next SetReadDeadline(time.Time{}), with which it waits for the next request, blocks until release is
-// closed.
+// gatedListener stops a server between two requests of a connection. After armed is set, the
+// server's next SetReadDeadline(time.Time{}), with which it waits for the next request, blocks
+// until release is closed.
 type gatedListener struct {
 	net.Listener
-	reads, lifted chan struct{} // one value for each read that returned bytes; closed when the call blocks
+	reads, lifted chan struct{} // one value per read with bytes; closed when the call blocks
 	armed         *atomic.Bool
 	release       chan struct{}
 	once          *sync.Once
@@ -103,9 +103,10 @@
 		return err == nil && resp.StatusCode == http.StatusOK && resp.ContentLength == 5
 	}
 
-	// Guards against a request that gets no answer on a keep-alive connection of a stopping router. The
-	// router reads the request, gets no processor time for a moment, and then closes its idle connections.
-	// The connection must not count as idle before the whole header has been parsed.
+	// Guards against a request that gets no answer on a keep-alive connection of a stopping
+	// router. The router reads the request, gets no processor time for a moment, and then closes
+	// its idle connections. The connection must not count as idle before the whole header has
+	// been parsed.
 	It("answers a request that was read before its idle connection was closed", func() {
 		address, shutDown := serve(100 * time.Millisecond)
 		c, err := net.Dial("tcp", address)
@@ -121,9 +122,10 @@
 		Eventually(done, 3*time.Second).Should(Receive(BeNil()))
 	})
 
-	// Guards against the same failure when the server has read one byte of the next request ahead, while a
-	// handler was still running. The server then reports the connection as idle and waits for the rest,
-	// and the router begins to stop. The read of the rest, which has arrived, must not be interrupted.
+	// Guards against the same failure when the server has read one byte of the next request
+	// ahead, while a handler was still running. The server then reports the connection as idle
+	// and waits for the rest, and the router begins to stop. The read of the rest, which has
+	// arrived, must not be interrupted.
 	It("answers a request whose first byte was read before its connection became idle", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/adapter/gatewayhttp/gatewayhttp.go
+++ b/internal/adapter/gatewayhttp/gatewayhttp.go
@@ -1,5 +1,5 @@
-// Package gatewayhttp is the HTTP interface of a router on the users' platform. It serves callers and
-// the balancer's readiness checks.
+// Package gatewayhttp is the HTTP interface of a router on the users' platform. It serves callers
+// and the balancer's readiness checks.
 package gatewayhttp
 
 import (
@@ -38,12 +38,12 @@
 // defaultMaxBodyBytes applies if the desired state sets no limit.
 const defaultMaxBodyBytes = 4 << 20
 
-// ServeHTTP relays one request. It does not use a mux, since targets get the path unchanged and a mux
-// would redirect paths that are not in canonical form.
+// ServeHTTP relays one request. It does not use a mux, since targets get the path unchanged and a
+// mux would redirect paths that are not in canonical form.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.control.Leaving() {
-		// Each connection is closed with its next answer. If all idle connections were closed at once,
-		// requests that are on their way would be lost.
+		// Each connection is closed with its next answer. If all idle connections were closed at
+		// once, requests that are on their way would be lost.
 		w.Header().Set("Connection", "close")
 	}
 	out := &responder{w: w, control: http.NewResponseController(w), now: s.now}
@@ -99,12 +99,12 @@
 	aborted   bool // the connection is closed without completing the answer
 }
 
-// callerWriteTimeout bounds each write to a caller, after which the caller counts as disconnected. If a
-// middlebox has dropped the connection, writes neither fail nor complete.
+// callerWriteTimeout bounds each write to a caller, after which the caller counts as
+// disconnected. If a middlebox has dropped the connection, writes neither fail nor complete.
 const callerWriteTimeout = 5 * time.Second
 
-// unforwardedHeaders are the headers of a target's answer that are not sent to the caller: hop-by-hop
-// headers, and those that the router sets itself.
+// unforwardedHeaders are the headers of a target's answer that are not sent to the caller:
+// hop-by-hop headers, and those that the router sets itself.
 var unforwardedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
 	"Te": true, "Trailer": true, "Upgrade": true, "Content-Length": true,
@@ -140,7 +140,8 @@
 	return nil
 }
 
-// Refuse answers with a result code. If the caller has disconnected, it aborts the connection instead.
+// Refuse answers with a result code. If the caller has disconnected, it aborts the connection
+// instead.
 func (o *responder) Refuse(c code.Code, retryAfter time.Duration) {
 	if c == code.CallerGone {
 		o.aborted = true
--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -95,11 +95,12 @@
 // CountDial counts a new connection to a target.
 func (g *Gateway) CountDial() { g.add("dials_total", "", "", 1) }
 
-// AddPeerBytes counts n bytes of messages between routers. kind names the message and its direction.
+// AddPeerBytes counts n bytes of messages between routers. kind names the message and its
+// direction.
 func (g *Gateway) AddPeerBytes(kind string, n int64) { g.add("peer_bytes_total", "kind", kind, int(n)) }
 
-// CountStoreCall counts a call to the platform's store and whether it failed. kind is the path of the
-// call.
+// CountStoreCall counts a call to the platform's store and whether it failed. kind is the path of
+// the call.
 func (g *Gateway) CountStoreCall(kind string, err error) {
 	outcome := "ok"
 	if err != nil {
@@ -108,8 +109,8 @@
 	g.add("store_calls_total", "call", strings.TrimPrefix(kind, "/")+"_"+outcome, 1)
 }
 
-// add adds n to a counter. Once there are maxSeries counters, new label values are counted under the
-// metric's name without a label.
+// add adds n to a counter. Once there are maxSeries counters, new label values are counted under
+// the metric's name without a label.
 func (g *Gateway) add(name, label, value string, n int) {
 	key := seriesName(name, label, value)
 	g.mu.Lock()
@@ -130,8 +131,8 @@
 	return fmt.Sprintf("%s{%s=%q}", name, label, value)
 }
 
-// Handler returns a handler that serves the metrics as text. It calls status for the current state of
-// the router.
+// Handler returns a handler that serves the metrics as text. It calls status for the current
+// state of the router.
 func (g *Gateway) Handler(status func() gateway.Status) http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/metrics", func(w http.ResponseWriter, _ *http.Request) {
@@ -167,8 +168,8 @@
 	return 0
 }
 
-// write prints counters, latencies and service levels. Lines of the same metric are adjacent, as the
-// text format requires.
+// write prints counters, latencies and service levels. Lines of the same metric are adjacent, as
+// the text format requires.
 func (g *Gateway) write(w io.Writer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/adapter/metrics/latency.go
+++ b/internal/adapter/metrics/latency.go
@@ -9,11 +9,12 @@
 	gometrics "github.com/rcrowley/go-metrics"
 )
 
-// latencyBounds are the upper bounds of the buckets in milliseconds. They are dense from 100 to 600 ms,
-// where the objectives of routes lie.
+// latencyBounds are the upper bounds of the buckets in milliseconds. They are dense from 100 to
+// 600 ms, where the objectives of routes lie.
 var latencyBounds = [...]int64{10, 25, 50, 100, 150, 200, 300, 400, 600, 1000, 2000, 5000, 10000}
 
-// latency is a histogram of latencies. The buckets of several routers can be added up, unlike quantiles.
+// latency is a histogram of latencies. The buckets of several routers can be added up, unlike
+// quantiles.
 type latency struct {
 	buckets [len(latencyBounds) + 1]gometrics.Counter // the last bucket has no upper bound
 	sum     gometrics.Counter                         // milliseconds
--- a/internal/adapter/metrics/levels.go
+++ b/internal/adapter/metrics/levels.go
@@ -7,8 +7,9 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/burn"
 )
 
-// The metrics from which hemlockctl computes the burn report of the fleet. Both have the labels pool and
-// team. ServiceLevelRequests also has the labels window and outcome (OutcomeGood, OutcomeBad).
+// The metrics from which hemlockctl computes the burn report of the fleet. Both have the labels
+// pool and team. ServiceLevelRequests also has the labels window and outcome (OutcomeGood,
+// OutcomeBad).
 const (
 	ServiceLevelRequests  = prefix + "service_level_requests"
 	ServiceLevelFirstByte = prefix + "service_level_first_byte_ms"
@@ -16,8 +17,8 @@
 	OutcomeBad            = "bad"
 )
 
-// writeServiceLevels prints, for each pool and team, how many requests met their service level in each
-// window, and the histogram of their first-byte times since the router's start.
+// writeServiceLevels prints, for each pool and team, how many requests met their service level in
+// each window, and the histogram of their first-byte times since the router's start.
 func writeServiceLevels(w io.Writer, samples []burn.Sample) {
 	for _, s := range samples {
 		for i, window := range burn.Windows() {
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -14,8 +14,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// maxSeries bounds the number of counters and timers in a registry. With 31,000 teams an unbounded
-// registry would exceed the memory of a small VM.
+// maxSeries bounds the number of counters and timers in a registry. With 31,000 teams an
+// unbounded registry would exceed the memory of a small VM.
 const maxSeries = 2000
 
 // RequestCounts counts requests by pool and result. It is safe for concurrent use.
@@ -57,7 +57,8 @@
 	return gometrics.GetOrRegisterTimer(name, m.registry)
 }
 
-// reserve reports whether the registry has the named metric or has room for it. It counts a new one.
+// reserve reports whether the registry has the named metric or has room for it. It counts a new
+// one.
 func (m *RequestCounts) reserve(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -20,13 +20,14 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// maxBodyBytes bounds the body of one request. A change of 31,000 teams of 200 bytes has about 6 MB.
+// maxBodyBytes bounds the body of one request. A change of 31,000 teams of 200 bytes has about 6
+// MB.
 const maxBodyBytes = 16 << 20
 
 // ApplyRequest is the body of a request that changes resources.
 type ApplyRequest struct {
-	// Operation is a name that the client chooses. A second request with the same name changes nothing
-	// and returns the outcome of the first.
+	// Operation is a name that the client chooses. A second request with the same name changes
+	// nothing and returns the outcome of the first.
 	Operation string              `json:"operation"`
 	Resources []resource.Resource `json:"resources"`
 }
@@ -39,8 +40,9 @@
 
 // Status is the observed state of a resource.
 type Status struct {
-	// ObservedGeneration is 0 until all listed routers have applied the resource's generation, then that
-	// generation. For a planned change it is the generation that the reconciler has last acted on.
+	// ObservedGeneration is 0 until all listed routers have applied the resource's generation,
+	// then that generation. For a planned change it is the generation that the reconciler has
+	// last acted on.
 	ObservedGeneration uint64                `json:"observedGeneration"`
 	Applied            *controller.InForce   `json:"inForce,omitempty"`
 	Change             *plannedchange.Status `json:"change,omitempty"`
@@ -185,8 +187,8 @@
 	watchPollInterval = 250 * time.Millisecond
 )
 
-// watch waits for changes after a revision and returns them. If the store no longer has all of these
-// changes, it returns the whole configuration as one change.
+// watch waits for changes after a revision and returns them. If the store no longer has all of
+// these changes, it returns the whole configuration as one change.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
--- a/internal/adapter/peer/coalesce.go
+++ b/internal/adapter/peer/coalesce.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// coalescingConn joins small writes that follow each other immediately. HTTP/2 writes the headers and
-// the data of a short message separately. In two packets, the packet headers of the second would cost
-// more than the message. A goroutine does the writing, which gives the second write enough time to join
-// the first. A timer would delay messages by about a millisecond.
+// coalescingConn joins small writes that follow each other immediately. HTTP/2 writes the headers
+// and the data of a short message separately. In two packets, the packet headers of the second
+// would cost more than the message. A goroutine does the writing, which gives the second write
+// enough time to join the first. A timer would delay messages by about a millisecond.
 type coalescingConn struct {
 	net.Conn
 	wake    chan struct{} // receives a value after each Write; closed by Close
@@ -73,7 +73,8 @@
 	return w.Conn.Close()
 }
 
-// WrapListener returns a listener of the peer service whose connections coalesce the writes of replies.
+// WrapListener returns a listener of the peer service whose connections coalesce the writes of
+// replies.
 func WrapListener(l net.Listener) net.Listener { return coalescingListener{l} }
 
 type coalescingListener struct{ net.Listener }
--- a/internal/adapter/peer/copier.go
+++ b/internal/adapter/peer/copier.go
@@ -12,8 +12,8 @@
 	"github.com/hemlockdyke/hemlockdyke/gen/hemlockdyke/peer/v1/peerv1connect"
 )
 
-// copyIdleTimeout is how long an idle connection for table copies is kept. Copies are rare, and pings on
-// idle connections between all routers would cost more than new connections.
+// copyIdleTimeout is how long an idle connection for table copies is kept. Copies are rare, and
+// pings on idle connections between all routers would cost more than new connections.
 const copyIdleTimeout = 3 * time.Second
 
 // CopyClient requests table copies from other routers. It is safe for concurrent use.
@@ -22,8 +22,8 @@
 	timeout time.Duration
 }
 
-// NewCopyClient returns a CopyClient whose calls are bounded by timeout. wrap is called for each new
-// connection, to count its traffic.
+// NewCopyClient returns a CopyClient whose calls are bounded by timeout. wrap is called for each
+// new connection, to count its traffic.
 func NewCopyClient(timeout time.Duration, wrap func(net.Conn) net.Conn) *CopyClient {
 	return &CopyClient{client: newHTTPClient(timeout, copyIdleTimeout, wrap), timeout: timeout}
 }
--- a/internal/adapter/peer/datagram.go
+++ b/internal/adapter/peer/datagram.go
@@ -17,13 +17,14 @@
 const maxDatagramBytes = 64 << 10
 
 const (
-	// burstSize is the number of digests that are sent without a pause, and burstInterval the pause between
-	// two bursts. The queue of a small link holds about 40 datagrams. It drops the rest of a larger burst,
-	// always those to the same routers. 100 digests, as sent every 100 ms, take 30 ms.
+	// burstSize is the number of digests that are sent without a pause, and burstInterval the
+	// pause between two bursts. The queue of a small link holds about 40 datagrams. It drops the
+	// rest of a larger burst, always those to the same routers. 100 digests, as sent every 100
+	// ms, take 30 ms.
 	burstSize     = 16
 	burstInterval = 5 * time.Millisecond
-	// maxQueuedMessages bounds the messages that wait to be sent. A full queue means that the processor is
-	// overloaded. Further digests are dropped, and the next ones replace them.
+	// maxQueuedMessages bounds the messages that wait to be sent. A full queue means that the
+	// processor is overloaded. Further digests are dropped, and the next ones replace them.
 	maxQueuedMessages = 64
 )
 
@@ -34,8 +35,8 @@
 	recipientReports []*peerv1.Report // added to the digest for the address at the same index
 }
 
-// DigestSocket sends and receives digests as UDP datagrams. It never resends a digest, since the next
-// one replaces it. Without connections, none can go silent. It is safe for concurrent use.
+// DigestSocket sends and receives digests as UDP datagrams. It never resends a digest, since the
+// next one replaces it. Without connections, none can go silent. It is safe for concurrent use.
 type DigestSocket struct {
 	conn    *net.UDPConn
 	in, out atomic.Int64 // bytes with headers
@@ -81,9 +82,9 @@
 	}
 }
 
-// Send queues a digest to each address and returns immediately. If recipientReports is not empty, its
-// reports are added to the digest, each for the address at the same index. The arguments must not be
-// changed afterwards.
+// Send queues a digest to each address and returns immediately. If recipientReports is not empty,
+// its reports are added to the digest, each for the address at the same index. The arguments must
+// not be changed afterwards.
 func (d *DigestSocket) Send(to []string, m *peerv1.Digest, recipientReports []*peerv1.Report) {
 	select {
 	case d.queue <- message{to, m, recipientReports}:
@@ -125,8 +126,8 @@
 	return true
 }
 
-// Receive calls handle with each digest and its sender's address until the socket is closed. It ignores
-// datagrams that can't be decoded.
+// Receive calls handle with each digest and its sender's address until the socket is closed. It
+// ignores datagrams that can't be decoded.
 func (d *DigestSocket) Receive(handle func(from string, m *peerv1.Digest)) error {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
--- a/internal/adapter/peer/datagram_test.go
+++ b/internal/adapter/peer/datagram_test.go
@@ -31,8 +31,8 @@
 		return out
 	}
 
-	// A relay encodes the fleet's report once for all routers that it feeds, and adds a report of its own for
-	// each of them.
+	// A relay encodes the fleet's report once for all routers that it feeds, and adds a report of
+	// its own for each of them.
 	It("adds to each digest the report of its recipient", func() {
 		sender := listen("127.0.0.1:0")
 		a, b := receive(listen("127.0.0.2:17341")), receive(listen("127.0.0.3:17341"))
@@ -49,8 +49,8 @@
 		Expect(second.GetSequence()).To(BeEquivalentTo(7))
 	})
 
-	// Guards against routers that miss every digest, when one burst to all routers overflows the queue of a
-	// small link and the queue drops the end of it.
+	// Guards against routers that miss every digest, when one burst to all routers overflows the
+	// queue of a small link and the queue drops the end of it.
 	It("sends digests in bursts with pauses between them", func() {
 		sender := listen("127.0.0.1:0")
 		got := receive(listen("127.0.0.4:17341"))
--- a/internal/adapter/peer/peer.go
+++ b/internal/adapter/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer implements the protocol between routers, and between controllers and routers: calls over
-// connect-go, and digests as UDP datagrams.
+// Package peer implements the protocol between routers, and between controllers and routers:
+// calls over connect-go, and digests as UDP datagrams.
 package peer
 
 import (
@@ -20,8 +20,9 @@
 // maxMessageBytes bounds one message. A snapshot of 31,000 teams has about 6 MB.
 const maxMessageBytes = 32 << 20
 
-// HTTP/2 pings detect connections that have gone silent. Without them each call to a peer would run into
-// its timeout if a middlebox has dropped the connection, although a new connection would work.
+// HTTP/2 pings detect connections that have gone silent. Without them each call to a peer would
+// run into its timeout if a middlebox has dropped the connection, although a new connection would
+// work.
 const (
 	sendPingTimeout = time.Second
 	pingTimeout     = 500 * time.Millisecond
@@ -37,12 +38,12 @@
 	return peerv1connect.NewPeerServiceHandler(&server{h}, append(options, connect.WithReadMaxBytes(maxMessageBytes))...)
 }
 
-// WithoutCompression returns an option for a handler whose large replies are compressed already. It
-// avoids a second compression.
+// WithoutCompression returns an option for a handler whose large replies are compressed already.
+// It avoids a second compression.
 func WithoutCompression() connect.HandlerOption { return connect.WithCompressMinBytes(maxMessageBytes) }
 
-// Protocols returns the HTTP versions that a server of the peer service accepts: HTTP/1 and HTTP/2
-// without TLS.
+// Protocols returns the HTTP versions that a server of the peer service accepts: HTTP/1 and
+// HTTP/2 without TLS.
 func Protocols() *http.Protocols {
 	p := new(http.Protocols)
 	p.SetHTTP1(true)
@@ -110,8 +111,8 @@
 	timeout time.Duration
 }
 
-// NewClient returns a Client for the routers at the given addresses, by id. Each call is bounded by
-// timeout. wrap is called for each new connection, to count its traffic.
+// NewClient returns a Client for the routers at the given addresses, by id. Each call is bounded
+// by timeout. wrap is called for each new connection, to count its traffic.
 func NewClient(addresses map[uint32]string, timeout time.Duration, wrap func(net.Conn) net.Conn) *Client {
 	client := newHTTPClient(timeout, 0, wrap)
 	c := &Client{clients: make(map[uint32]peerv1connect.PeerServiceClient), timeout: timeout}
--- a/internal/adapter/storecall/storecall.go
+++ b/internal/adapter/storecall/storecall.go
@@ -1,6 +1,6 @@
-// Package storecall makes single HTTP calls to the platform's store. It never retries a call, and its
-// errors say whether a call without a reply may have taken effect. Paths and encodings are left to the
-// packages that use it.
+// Package storecall makes single HTTP calls to the platform's store. It never retries a call, and
+// its errors say whether a call without a reply may have taken effect. Paths and encodings are
+// left to the packages that use it.
 package storecall
 
 import (
@@ -23,9 +23,10 @@
 	HTTPClient *http.Client
 }
 
-// Call sends one request and returns its status and reply. A nil body marks a read. If no complete
-// reply arrives, the error is marked as port.ErrUnavailable for a read and as port.ErrOutcomeUnknown
-// for a write: the write may have taken effect, and a blind retry could apply it twice.
+// Call sends one request and returns its status and reply. A nil body marks a read. If no
+// complete reply arrives, the error is marked as port.ErrUnavailable for a read and as
+// port.ErrOutcomeUnknown for a write: the write may have taken effect, and a blind retry could
+// apply it twice.
 func (c StoreClient) Call(ctx context.Context, method, path string, body []byte) (status int, reply []byte, err error) {
 	noReply := port.ErrUnavailable
 	if body != nil {
@@ -35,8 +36,8 @@
 	if err != nil {
 		return 0, nil, errors.Wrap(err, "create request")
 	}
-	// Without GetBody the transport can't retry a write after a broken connection. Only the code that
-	// makes the call can decide on a retry.
+	// Without GetBody the transport can't retry a write after a broken connection. Only the code
+	// that makes the call can decide on a retry.
 	if body != nil {
 		req.GetBody = nil
 		req.Header.Set("Content-Type", "application/json")
--- a/internal/adapter/tableservice/tableservice.go
+++ b/internal/adapter/tableservice/tableservice.go
@@ -1,5 +1,5 @@
-// Package tableservice is an HTTP client of the platform's table service, object store and VM list, in
-// the protocol of the stand-in servers.
+// Package tableservice is an HTTP client of the platform's table service, object store and VM
+// list, in the protocol of the stand-in servers.
 package tableservice
 
 import (
@@ -43,8 +43,8 @@
 	return rows, err
 }
 
-// Commit applies txn. If the reply is lost, the error is port.ErrOutcomeUnknown and the write may have
-// taken effect. If a precondition fails, the error is port.ErrConflict.
+// Commit applies txn. If the reply is lost, the error is port.ErrOutcomeUnknown and the write may
+// have taken effect. If a precondition fails, the error is port.ErrConflict.
 func (c *Client) Commit(ctx context.Context, txn port.Txn) error {
 	body, err := json.Marshal(txn)
 	if err != nil {
--- a/internal/adapter/target/orders.go
+++ b/internal/adapter/target/orders.go
@@ -19,12 +19,12 @@
 	return &OrderClient{client: &http.Client{Timeout: timeout}}
 }
 
-// ErrStaleFencing means that a target refused an order because it has seen a newer fencing number, or
-// because the order had expired.
+// ErrStaleFencing means that a target refused an order because it has seen a newer fencing
+// number, or because the order had expired.
 var ErrStaleFencing = errors.New("target refused the order: stale fencing number or expired")
 
-// Observe returns the number of a target's open requests and the state that its last orders set. The
-// keys of the state are actions, its values their arguments.
+// Observe returns the number of a target's open requests and the state that its last orders set.
+// The keys of the state are actions, its values their arguments.
 func (o *OrderClient) Observe(ctx context.Context, address string) (int, map[string]string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
--- a/internal/adapter/target/target.go
+++ b/internal/adapter/target/target.go
@@ -1,5 +1,5 @@
-// Package target sends attempts to targets and reports their progress as events of the attempt state
-// machine.
+// Package target sends attempts to targets and reports their progress as events of the attempt
+// state machine.
 package target
 
 import (
@@ -30,8 +30,8 @@
 	// RequestID and Number together identify the attempt.
 	RequestID string
 	Number    int
-	// ReceivedParts is the number of parts that the caller already has. A target resumes the stream
-	// after them.
+	// ReceivedParts is the number of parts that the caller already has. A target resumes the
+	// stream after them.
 	ReceivedParts int
 	// Stream reports whether the answer is a stream of chunks.
 	Stream bool
@@ -89,20 +89,20 @@
 	return &Client{settings: s, pooled: pooled, fresh: fresh}
 }
 
-// Suspect closes all idle connections. The router calls it after a connection has gone silent, since
-// others may be dead as well.
+// Suspect closes all idle connections. The router calls it after a connection has gone silent,
+// since others may be dead as well.
 func (c *Client) Suspect() { c.pooled.CloseIdleConnections() }
 
 // AttemptID returns the id of an attempt, which a target's answer must echo.
 func AttemptID(requestID string, number int) string { return fmt.Sprintf("%s.%d", requestID, number) }
 
-// Run sends an attempt and calls emit for each of its events. The last event ends the attempt. Run
-// returns after it, or when ctx ends.
+// Run sends an attempt and calls emit for each of its events. The last event ends the attempt.
+// Run returns after it, or when ctx ends.
 func (c *Client) Run(ctx context.Context, d AttemptRequest, emit func(Answer)) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
-		// The transport may write bytes from here on. The event precedes the first byte, so an attempt
-		// that fails in between counts as possibly executed.
+		// The transport may write bytes from here on. The event precedes the first byte, so an
+		// attempt that fails in between counts as possibly executed.
 		connected = true
 		emit(Answer{Event: attempt.WriteStarted{Attempt: d.Number}})
 	}}
@@ -162,7 +162,8 @@
 	c.readStream(d, resp.Body, emit)
 }
 
-// errNoLastChunk means that a stream had its end marker, but no chunk with the number of its tokens.
+// errNoLastChunk means that a stream had its end marker, but no chunk with the number of its
+// tokens.
 var errNoLastChunk = errors.New("stream has an end marker, but no last chunk")
 
 // readStream emits an event for each chunk of a stream and one for its end.
@@ -201,8 +202,8 @@
 	return -1
 }
 
-// readService reads the whole answer of a service target before it emits any of it. A truncated body
-// must not reach the caller as a complete one.
+// readService reads the whole answer of a service target before it emits any of it. A truncated
+// body must not reach the caller as a complete one.
 func (c *Client) readService(d AttemptRequest, resp *http.Response, emit func(Answer)) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.settings.MaxAnswerBytes+1))
 	if err != nil || int64(len(body)) > c.settings.MaxAnswerBytes {
--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -21,9 +21,9 @@
 
 // Limits after which the kernel breaks a dead connection. A connection can go silent without a
 // reset while new ones still work, and a VM that loses power sends nothing at all. Keep-alive
-// probes detect this while a request waits for its answer. The user timeout detects a request that
-// is never acknowledged. Without them only the request's deadline would end the wait.
-// The kernel takes the probe times in whole seconds.
+// probes detect this while a request waits for its answer. The user timeout detects a request
+// that is never acknowledged. Without them only the request's deadline would end the wait. The
+// kernel takes the probe times in whole seconds.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
@@ -63,9 +63,9 @@
 // readBufferBytes is enough for the header and the first events of an answer.
 const readBufferBytes = 4 << 10
 
-// isReusable reports whether an idle connection is open and has no unread bytes. Bytes that arrive
-// between two requests are a second answer to the earlier request or the end of the connection.
-// The next request must not read them as its own answer.
+// isReusable reports whether an idle connection is open and has no unread bytes. Bytes that
+// arrive between two requests are a second answer to the earlier request or the end of the
+// connection. The next request must not read them as its own answer.
 func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/adapter/upstream/upstream.go
+++ b/internal/adapter/upstream/upstream.go
@@ -1,6 +1,6 @@
-// Package upstream sends requests to targets over HTTP/1.1 and pools their connections.
-// It does not use http.Client, which retries some requests on its own and silently drops an answer
-// to another request. The router must know of both to decide whether a request may be retried.
+// Package upstream sends requests to targets over HTTP/1.1 and pools their connections. It does
+// not use http.Client, which retries some requests on its own and silently drops an answer to
+// another request. The router must know of both to decide whether a request may be retried.
 package upstream
 
 import (
@@ -21,19 +21,21 @@
 var (
 	// ErrNotSent means that no byte was sent to the target.
 	ErrNotSent = errors.New("request not sent")
-	// ErrWithdrawn means that Request.ConfirmSend returned false. The error is an ErrNotSent as well.
+	// ErrWithdrawn means that Request.ConfirmSend returned false. The error is an ErrNotSent as
+	// well.
 	ErrWithdrawn = errors.New("request withdrawn")
-	// ErrConnectionBroken means that the connection failed after a byte may have reached the target.
+	// ErrConnectionBroken means that the connection failed after a byte may have reached the
+	// target.
 	ErrConnectionBroken = errors.New("connection broken")
-	// ErrAnswerMismatch means that the target answered another request on this connection, and that
-	// the answer to this request could not be read after it.
+	// ErrAnswerMismatch means that the target answered another request on this connection, and
+	// that the answer to this request could not be read after it.
 	ErrAnswerMismatch = errors.New("answer belongs to another request")
 )
 
 // Settings limits the connections to targets.
 type Settings struct {
-	// DialTimeout bounds the TCP handshake. A handshake takes about a millisecond. The kernel resends
-	// a lost SYN only after a second, which is too late for most requests.
+	// DialTimeout bounds the TCP handshake. A handshake takes about a millisecond. The kernel
+	// resends a lost SYN only after a second, which is too late for most requests.
 	DialTimeout time.Duration
 	// MaxIdlePerTarget is the number of idle connections that are kept to one target.
 	MaxIdlePerTarget int
@@ -59,13 +61,14 @@
 	Host    string
 	Header  http.Header
 	Body    []byte
-	// IsAnswer reports whether an answer with this header belongs to this request. Nil accepts any.
+	// IsAnswer reports whether an answer with this header belongs to this request. Nil accepts
+	// any.
 	IsAnswer func(http.Header) bool
 	// ConfirmSend, if set, is called right before the first byte is written. If it returns false,
 	// nothing is written and Do fails with ErrWithdrawn.
 	ConfirmSend func() bool
-	// OnHeader, if set, is called for each final answer on the connection, including answers to other
-	// requests.
+	// OnHeader, if set, is called for each final answer on the connection, including answers to
+	// other requests.
 	OnHeader func(status int, h http.Header)
 }
 
@@ -90,8 +93,9 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	// Framed reports whether a Content-Length or chunked encoding marks the end of the body. Otherwise
-	// the end of the connection ends the body, and a truncated body can't be recognised.
+	// Framed reports whether a Content-Length or chunked encoding marks the end of the body.
+	// Otherwise the end of the connection ends the body, and a truncated body can't be
+	// recognised.
 	Framed bool
 
 	body    io.ReadCloser
@@ -104,9 +108,9 @@
 	closing bool        // the connection can't carry another request
 }
 
-// Do sends a request and returns the answer as soon as its header has arrived. Until the answer is
-// closed, the end of ctx closes the connection. Errors are marked as ErrNotSent, ErrConnectionBroken
-// or ErrAnswerMismatch.
+// Do sends a request and returns the answer as soon as its header has arrived. Until the answer
+// is closed, the end of ctx closes the connection. Errors are marked as ErrNotSent,
+// ErrConnectionBroken or ErrAnswerMismatch.
 func (c *Client) Do(ctx context.Context, r Request) (*Answer, error) {
 	cn, err := c.connect(ctx, r)
 	if err != nil {
@@ -169,8 +173,8 @@
 	return true
 }
 
-// Prune closes idle connections whose idle timeout has passed, and those to targets that were removed
-// from the target list.
+// Prune closes idle connections whose idle timeout has passed, and those to targets that were
+// removed from the target list.
 func (c *Client) Prune(listed func(target uint64) bool) {
 	now := c.now()
 	c.mu.Lock()
@@ -191,9 +195,9 @@
 	}
 }
 
-// backgroundWriteBytes is the body size from which a request is written in the background while its
-// answer is read. A target may answer before it has read a long body. If the router read the answer
-// only after the write, both sides could block on each other.
+// backgroundWriteBytes is the body size from which a request is written in the background while
+// its answer is read. A target may answer before it has read a long body. If the router read the
+// answer only after the write, both sides could block on each other.
 const backgroundWriteBytes = 2 << 10
 
 func (a *Answer) write(r Request) error {
@@ -219,8 +223,8 @@
 	return nil
 }
 
-// maxMismatches is how many answers to other requests are skipped before the connection is closed.
-// A target sends at most one surplus answer.
+// maxMismatches is how many answers to other requests are skipped before the connection is
+// closed. A target sends at most one surplus answer.
 const maxMismatches = 2
 
 func (a *Answer) readHeader(r Request) error {
@@ -268,8 +272,8 @@
 	return n, err
 }
 
-// Close releases the answer. It keeps the connection for reuse only if the request was written and
-// the answer read completely.
+// Close releases the answer. It keeps the connection for reuse only if the request was written
+// and the answer read completely.
 func (a *Answer) Close() {
 	if !a.unwatch() || !a.eof || a.closing || !a.isWritten() || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
@@ -300,12 +304,13 @@
 	}
 }
 
-// idleTimeoutMargin is subtracted from the idle timeout that a target announces. Without it a request
-// could be sent while the target closes the connection, and it would be unknown whether it was
-// executed.
+// idleTimeoutMargin is subtracted from the idle timeout that a target announces. Without it a
+// request could be sent while the target closes the connection, and it would be unknown whether
+// it was executed.
 const idleTimeoutMargin = 500 * time.Millisecond
 
-// idleTimeout returns how long a connection may idle, by the Keep-Alive header of its last answer.
+// idleTimeout returns how long a connection may idle, by the Keep-Alive header of its last
+// answer.
 func (c *Client) idleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/internal/cli/burn.go
+++ b/internal/cli/burn.go
@@ -16,8 +16,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// burn prints the burn report. It comes from a controller, or from the metrics of routers if their
-// metrics URLs are given. If htmlPath is set, the report is also written there as a page.
+// burn prints the burn report. It comes from a controller, or from the metrics of routers if
+// their metrics URLs are given. If htmlPath is set, the report is also written there as a page.
 func (a *App) burn(htmlPath string, metricsURLs []string, objective float64) error {
 	report, err := a.burnReport(metricsURLs, objective)
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -38,8 +38,8 @@
 // Run executes the command in args and returns the exit code.
 func Run(args []string, out, errOut io.Writer) int {
 	app := kingpin.New("hemlockctl", "Declares the resources of a hemlockdyke fleet and shows their state.")
-	// By default kingpin exits the process after it has printed help. With this Terminate function it goes
-	// on parsing. Its later errors must be ignored.
+	// By default kingpin exits the process after it has printed help. With this Terminate
+	// function it goes on parsing. Its later errors must be ignored.
 	helpPrinted := false
 	app.UsageWriter(out).ErrorWriter(errOut).Terminate(func(int) { helpPrinted = true })
 	servers := app.Flag("server", "Base URL of a controller; may be repeated.").
@@ -79,7 +79,8 @@
 	return ExitFailed
 }
 
-// commands declares the commands and returns the function that executes each, by full command name.
+// commands declares the commands and returns the function that executes each, by full command
+// name.
 func (a *App) commands(app *kingpin.Application) map[string]func() error {
 	apply := app.Command("apply", "Create or change the resources of a file.")
 	file := apply.Flag("file", "YAML file, - for standard input.").Short('f').Required().String()
@@ -153,9 +154,9 @@
 	return resource.Kind(name)
 }
 
-// apply sends the resources of a file that differ from the existing ones. It fills in the versions of
-// existing resources. A concurrent change by another operator then causes a conflict and is not
-// overwritten.
+// apply sends the resources of a file that differ from the existing ones. It fills in the
+// versions of existing resources. A concurrent change by another operator then causes a conflict
+// and is not overwritten.
 func (a *App) apply(file, operation string) error {
 	resources, err := ReadResourceFile(file)
 	if err != nil {
@@ -192,7 +193,8 @@
 	return json.Unmarshal(x, &vx) == nil && json.Unmarshal(y, &vy) == nil && reflect.DeepEqual(vx, vy)
 }
 
-// applyResources sends a change and prints its outcome. An empty operation is replaced by a new name.
+// applyResources sends a change and prints its outcome. An empty operation is replaced by a new
+// name.
 func (a *App) applyResources(operation string, resources []resource.Resource) error {
 	if operation == "" {
 		operation = uuid.NewString()
@@ -272,15 +274,16 @@
 	if err != nil {
 		return errors.Wrap(err, "encode planned change")
 	}
-	// The name contains the target's version. A second drain of an unchanged target is then the same
-	// planned change, and a drain after a change of the target is a new one.
+	// The name contains the target's version. A second drain of an unchanged target is then the
+	// same planned change, and a drain after a change of the target is a new one.
 	name := fmt.Sprintf("drain-%s-%d", target, old.Metadata.ResourceVersion)
 	return a.applyResources("", []resource.Resource{{
 		Kind: resource.KindPlannedChange, Metadata: resource.Metadata{Name: name}, Spec: spec,
 	}})
 }
 
-// watch prints changes after a revision until it has printed count changes, or forever if count is 0.
+// watch prints changes after a revision until it has printed count changes, or forever if count
+// is 0.
 func (a *App) watch(after uint64, count int) error {
 	printed := 0
 	for count == 0 || printed < count {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -55,8 +55,8 @@
 }
 
 var _ = Describe("hemlockctl", func() {
-	// Guards against help that ends with "6002 bad_usage" and exit code 2, since kingpin goes on parsing
-	// after it has printed the help.
+	// Guards against help that ends with "6002 bad_usage" and exit code 2, since kingpin goes on
+	// parsing after it has printed the help.
 	DescribeTable("prints only the help and succeeds",
 		func(args ...string) {
 			var out, errOut bytes.Buffer
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -20,8 +20,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/wire"
 )
 
-// Client calls the resource API of controllers. All controllers are equivalent, so each call goes to the
-// first one that can be reached.
+// Client calls the resource API of controllers. All controllers are equivalent, so each call goes
+// to the first one that can be reached.
 type Client struct {
 	servers []string
 	http    *http.Client
@@ -35,8 +35,8 @@
 	return &Client{servers: servers, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// Apply sends a change. A controller applies an operation name only once, so it is safe to send the
-// change to the next controller if one does not answer.
+// Apply sends a change. A controller applies an operation name only once, so it is safe to send
+// the change to the next controller if one does not answer.
 func (c *Client) Apply(operation string, resources []resource.Resource) (controller.Accepted, error) {
 	var out controller.Accepted
 	body, err := json.Marshal(operatorhttp.ApplyRequest{Operation: operation, Resources: resources})
@@ -68,7 +68,8 @@
 	return out, err
 }
 
-// Watch waits for changes after a revision. It returns an empty list if there are none for some seconds.
+// Watch waits for changes after a revision. It returns an empty list if there are none for some
+// seconds.
 func (c *Client) Watch(after uint64) ([]resource.Change, error) {
 	var out []resource.Change
 	err := c.call(http.MethodGet, fmt.Sprintf("/v1/watch?after=%d", after), nil, &out)
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -9,8 +9,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/explain"
 )
 
-// explainRequest prints the log entries of a request and the cause of its outcome. It reads log files, or
-// standard input if there are none.
+// explainRequest prints the log entries of a request and the cause of its outcome. It reads log
+// files, or standard input if there are none.
 func (a *App) explainRequest(request string, files []string) error {
 	readers, closeAll, err := openLogs(files)
 	defer closeAll()
--- a/internal/cli/files.go
+++ b/internal/cli/files.go
@@ -37,7 +37,8 @@
 	return ReadResources(bytes.NewReader(data))
 }
 
-// ReadResources reads resources from YAML documents and validates them. Unknown fields are errors.
+// ReadResources reads resources from YAML documents and validates them. Unknown fields are
+// errors.
 func ReadResources(r io.Reader) ([]resource.Resource, error) {
 	dec := yaml.NewDecoder(r)
 	dec.KnownFields(true)
--- a/internal/cli/levels.go
+++ b/internal/cli/levels.go
@@ -21,8 +21,9 @@
 // scrapeTimeout bounds the read of one router's metrics, which takes a few milliseconds.
 const scrapeTimeout = 3 * time.Second
 
-// scrapeBurn computes the burn report from the metrics of routers. A router whose metrics can't be read
-// is reported on errOut and left out. The report has the numbers of listed and of read routers.
+// scrapeBurn computes the burn report from the metrics of routers. A router whose metrics can't
+// be read is reported on errOut and left out. The report has the numbers of listed and of read
+// routers.
 func (a *App) scrapeBurn(metricsURLs []string, objective float64) (burn.Report, error) {
 	client := &http.Client{Timeout: scrapeTimeout}
 	report := burn.Report{Listed: len(metricsURLs)}
@@ -110,8 +111,8 @@
 	return s
 }
 
-// readFirstByte adds the buckets of a first-byte histogram to a sample. The bucket without an upper bound
-// is ignored.
+// readFirstByte adds the buckets of a first-byte histogram to a sample. The bucket without an
+// upper bound is ignored.
 func readFirstByte(s *burn.Sample, h *dto.Histogram) error {
 	previous := uint64(0)
 	for _, b := range h.GetBucket() {
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -31,9 +31,9 @@
 // Nop returns a Log that discards all lines.
 func Nop() *Log { return New(zerolog.Nop(), time.Now) }
 
-// Line begins a line of a kind. It returns nil, which accepts fields and writes nothing, if the kind has
-// reached its limit in the current second. The first line of a kind after that second also reports how
-// many lines were dropped.
+// Line begins a line of a kind. It returns nil, which accepts fields and writes nothing, if the
+// kind has reached its limit in the current second. The first line of a kind after that second
+// also reports how many lines were dropped.
 func (l *Log) Line(k Kind) *zerolog.Event {
 	dropped, write := l.countLine(k)
 	if dropped > 0 {
@@ -47,8 +47,8 @@
 
 func (l *Log) newEvent(k Kind) *zerolog.Event { return l.out.WithLevel(k.Level).Str("event", k.Name) }
 
-// countLine counts a line of a kind. It returns whether the line may be written, and how many lines were
-// dropped in the previous second if this line begins a new one.
+// countLine counts a line of a kind. It returns whether the line may be written, and how many
+// lines were dropped in the previous second if this line begins a new one.
 func (l *Log) countLine(k Kind) (dropped int, write bool) {
 	now := l.now()
 	l.mu.Lock()
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -58,8 +58,8 @@
 		Expect(out.String()).To(ContainSubstring(`"event":"left_out","kind":"placed","count":7`))
 	})
 
-	// Guards against requests that block on a log line, when the reader of standard output stops reading and
-	// the pipe fills up.
+	// Guards against requests that block on a log line, when the reader of standard output stops
+	// reading and the pipe fills up.
 	It("never blocks on a stalled writer and reports the number of dropped lines", func() {
 		out := &stalledWriter{release: make(chan bool)}
 		w := eventlog.NewWriter(out)
@@ -74,8 +74,8 @@
 		Expect(out.buf.String()).To(MatchRegexp(`"event":"left_out","kind":"any","count":\d{4}`))
 	})
 
-	// Guards against a panic at the end of a graceful shutdown ("send on closed channel"), when a call to
-	// another router fails and its goroutine logs that after the log was closed.
+	// Guards against a panic at the end of a graceful shutdown ("send on closed channel"), when a
+	// call to another router fails and its goroutine logs that after the log was closed.
 	It("accepts lines during and after Close and writes all lines from before", func() {
 		for range 50 {
 			out := &recordingWriter{}
@@ -98,8 +98,9 @@
 		}
 	})
 
-	// Guards against lines that are lost although the router wrote them. When a target exits, many requests
-	// end at the same time. If their lines went into one write, the reader of the pipe could get a part.
+	// Guards against lines that are lost although the router wrote them. When a target exits,
+	// many requests end at the same time. If their lines went into one write, the reader of the
+	// pipe could get a part.
 	It("writes complete lines, and at most as many bytes at once as a pipe accepts atomically", func() {
 		out := &recordingWriter{}
 		w := eventlog.NewWriter(out)
--- a/internal/eventlog/kinds.go
+++ b/internal/eventlog/kinds.go
@@ -1,6 +1,6 @@
-// Package eventlog writes JSON log lines from which a failure can be explained afterwards: one line for
-// each decision about a request and for each change of a router's state. The number of lines per kind
-// and second is limited, and a stalled writer blocks no request.
+// Package eventlog writes JSON log lines from which a failure can be explained afterwards: one
+// line for each decision about a request and for each change of a router's state. The number of
+// lines per kind and second is limited, and a stalled writer blocks no request.
 package eventlog
 
 import "github.com/rs/zerolog"
@@ -9,15 +9,16 @@
 type Kind struct {
 	Name  string
 	Level zerolog.Level
-	// MaxPerSecond limits the lines per second. Kinds that occur with each request have a limit above the
-	// rate of requests that a router carries. Lines beyond the limit are dropped and counted.
+	// MaxPerSecond limits the lines per second. Kinds that occur with each request have a limit
+	// above the rate of requests that a router carries. Lines beyond the limit are dropped and
+	// counted.
 	MaxPerSecond int
 	// Meaning describes the event. docs/LOGS.md repeats it.
 	Meaning string
 }
 
-// Kinds of decisions about a request. Failures and refusals have kinds of their own, since a flood of
-// lines about successful requests must not use up their limits.
+// Kinds of decisions about a request. Failures and refusals have kinds of their own, since a
+// flood of lines about successful requests must not use up their limits.
 var (
 	TicketRefused = Kind{"ticket_refused", zerolog.WarnLevel, 400, "the pool's owner refused a ticket: the result code, how long it took and when to retry"}
 	Placed        = Kind{"placed", zerolog.InfoLevel, 400, "an attempt is sent to a target: by which rule, how many requests the fleet has open there, and how old that figure is"}
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that wait for a slow writer. A busy router writes that many in about
-	// two seconds. They take about 300 KB.
+	// maxQueuedLines bounds the lines that wait for a slow writer. A busy router writes that many
+	// in about two seconds. They take about 300 KB.
 	maxQueuedLines = 1024
-	// maxBatchBytes bounds one write, except for a longer single line. Pipes accept up to this size
-	// atomically. The reader of a pipe may get only a part of a larger write and lose the rest of a line.
+	// maxBatchBytes bounds one write, except for a longer single line. Pipes accept up to this
+	// size atomically. The reader of a pipe may get only a part of a larger write and lose the
+	// rest of a line.
 	maxBatchBytes = 4 << 10
 )
 
-// Writer writes lines to an underlying writer in the background. It never blocks: while its queue is
-// full, lines are dropped and counted. Otherwise a pipe whose reader has stopped would block every
-// request at its next log line. Writer is safe for concurrent use.
+// Writer writes lines to an underlying writer in the background. It never blocks: while its queue
+// is full, lines are dropped and counted. Otherwise a pipe whose reader has stopped would block
+// every request at its next log line. Writer is safe for concurrent use.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte   // never closed, since late goroutines may write lines after Close
@@ -44,8 +45,8 @@
 	return len(p), nil
 }
 
-// Close writes the queued lines and stops the Writer. It must be called only once. Later lines are
-// dropped.
+// Close writes the queued lines and stops the Writer. It must be called only once. Later lines
+// are dropped.
 func (w *Writer) Close() {
 	close(w.closing)
 	<-w.done
@@ -65,11 +66,11 @@
 	}
 }
 
-// writeQueued writes the buffer, the lines that are queued at the time of the call, and the number of
-// dropped lines. It returns the emptied buffer.
+// writeQueued writes the buffer, the lines that are queued at the time of the call, and the
+// number of dropped lines. It returns the emptied buffer.
 func (w *Writer) writeQueued(buffer []byte) []byte {
 	for remaining := len(w.lines); remaining > 0; remaining-- {
-		buffer = w.append(buffer, <-w.lines) // does not block, since only this goroutine receives lines
+		buffer = w.append(buffer, <-w.lines) // does not block: only this goroutine receives
 	}
 	if n := w.dropped.Swap(0); n > 0 {
 		buffer = w.append(buffer, fmt.Appendf(nil, "{\"level\":\"warn\",\"event\":%q,\"kind\":\"any\",\"count\":%d}\n", LinesDropped.Name, n))
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain collects the log lines of one request from the logs of all routers and derives the
-// cause of its outcome.
+// Package explain collects the log lines of one request from the logs of all routers and derives
+// the cause of its outcome.
 package explain
 
 import (
@@ -60,8 +60,8 @@
 // maxLineBytes is the longest log line that can be read.
 const maxLineBytes = 1 << 20
 
-// Read returns the entries of a request, sorted by time. It ignores the text before the first brace of a
-// line, such as the time and machine that a log collector adds.
+// Read returns the entries of a request, sorted by time. It ignores the text before the first
+// brace of a line, such as the time and machine that a log collector adds.
 func Read(r io.Reader, request string) ([]Entry, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -195,7 +195,8 @@
 	return fmt.Sprintf("ended as %s%s", outcome.Name, atTarget(placed))
 }
 
-// atTarget returns the part of a sentence that names the target of the last attempt, if there is one.
+// atTarget returns the part of a sentence that names the target of the last attempt, if there is
+// one.
 func atTarget(placed *Entry) string {
 	if placed == nil {
 		return ""
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -1,5 +1,5 @@
-// Package settings reads the YAML settings files of the router and the controller. Unknown keys, duplicate
-// keys and values out of range are errors that name the line.
+// Package settings reads the YAML settings files of the router and the controller. Unknown keys,
+// duplicate keys and values out of range are errors that name the line.
 package settings
 
 import (
@@ -41,7 +41,8 @@
 	Message string
 }
 
-// Validator is a settings struct that can validate its values. Validate returns nil if they are valid.
+// Validator is a settings struct that can validate its values. Validate returns nil if they are
+// valid.
 type Validator interface {
 	Validate() []Problem
 }
@@ -55,8 +56,8 @@
 	return Load(data, settings)
 }
 
-// Load decodes data into settings, which holds the defaults, and validates the result. Its errors have the
-// code BadSettings and name all invalid values with their lines.
+// Load decodes data into settings, which holds the defaults, and validates the result. Its errors
+// have the code BadSettings and name all invalid values with their lines.
 func Load(data []byte, settings Validator) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
@@ -81,7 +82,8 @@
 	return code.New(code.BadSettings, "%s", strings.Join(lines, "; "))
 }
 
-// lineOf returns the line of the deepest key on the path that is present in the file, or 1 if there is none.
+// lineOf returns the line of the deepest key on the path that is present in the file, or 1 if
+// there is none.
 func lineOf(node *yaml.Node, path []string) int {
 	if node.Kind == yaml.DocumentNode && len(node.Content) > 0 {
 		node = node.Content[0]
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,7 +11,8 @@
 type Peer struct {
 	// ID is the number of the router, unique in the fleet.
 	ID uint32 `yaml:"id"`
-	// Address is the IP address and port on which the router serves other routers and controllers.
+	// Address is the IP address and port on which the router serves other routers and
+	// controllers.
 	Address string `yaml:"address"`
 	// DataCentre is the data centre of the router.
 	DataCentre string `yaml:"dataCentre"`
@@ -85,17 +86,18 @@
 	GossipInterval Duration `yaml:"gossipInterval"`
 	// PollInterval is the mean time between two reads of the configuration's latest revision.
 	PollInterval Duration `yaml:"pollInterval"`
-	// SuspectAfter is how long a silent router is still considered live. Heartbeats are passed on by other
-	// routers. In a fleet of 9 routers they are up to four gossip intervals old.
+	// SuspectAfter is how long a silent router is still considered live. Heartbeats are passed on
+	// by other routers. In a fleet of 9 routers they are up to four gossip intervals old.
 	SuspectAfter Duration `yaml:"suspectAfter"`
-	// FreshFor is how long a router goes on serving when it reaches neither the table service nor a majority
-	// of the listed routers.
+	// FreshFor is how long a router goes on serving when it reaches neither the table service nor
+	// a majority of the listed routers.
 	FreshFor Duration `yaml:"freshFor"`
 }
 
 // Shutdown configures the times of a graceful shutdown.
 type Shutdown struct {
-	// BalancerLag is how long the balancer may go on sending requests after /readyz has begun to fail.
+	// BalancerLag is how long the balancer may go on sending requests after /readyz has begun to
+	// fail.
 	BalancerLag Duration `yaml:"balancerLag"`
 	// Grace is how long the router waits for open requests to end.
 	Grace Duration `yaml:"grace"`
@@ -196,7 +198,8 @@
 	return c.problems
 }
 
-// checker checks values and collects the invalid ones. Its methods take the path of the value's key.
+// checker checks values and collects the invalid ones. Its methods take the path of the value's
+// key.
 type checker struct{ problems []Problem }
 
 func (c *checker) add(path, format string, args ...any) {
--- a/internal/wire/chat.go
+++ b/internal/wire/chat.go
@@ -1,5 +1,5 @@
-// Package wire defines the HTTP messages that callers, routers and targets exchange: header names, chat
-// completions, server-sent events and error bodies.
+// Package wire defines the HTTP messages that callers, routers and targets exchange: header
+// names, chat completions, server-sent events and error bodies.
 package wire
 
 import (
@@ -73,8 +73,8 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Chunk is one event of a streamed answer. Offset is the index of the chunk's token in the answer. In the
-// last chunk, which has no token, it is the number of tokens in the answer.
+// Chunk is one event of a streamed answer. Offset is the index of the chunk's token in the
+// answer. In the last chunk, which has no token, it is the number of tokens in the answer.
 type Chunk struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -141,8 +141,8 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes an error by its result code. Ran is "yes", "no" or "unknown": whether the request
-// was executed. Field is the path of the invalid field, if there is one.
+// ErrorDetail describes an error by its result code. Ran is "yes", "no" or "unknown": whether the
+// request was executed. Field is the path of the invalid field, if there is one.
 type ErrorDetail struct {
 	Code    int    `json:"code"`
 	Name    string `json:"name"`
@@ -178,8 +178,8 @@
 // maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-// ReadEvents calls handle with the data of each event until the end marker. It returns nil only if the
-// end marker arrived. An error of handle ends the reading and is returned.
+// ReadEvents calls handle with the data of each event until the end marker. It returns nil only
+// if the end marker arrived. An error of handle ends the reading and is returned.
 func ReadEvents(r io.Reader, handle func(data []byte) error) error {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, 4096), maxEventBytes)
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -15,7 +15,8 @@
 	}}
 }
 
-// WriteError answers with the status and the body of e. Other headers must be set before the call.
+// WriteError answers with the status and the body of e. Other headers must be set before the
+// call.
 func WriteError(w http.ResponseWriter, e *code.Error) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(e.Code.Lookup().Status)
