--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -78,6 +78,7 @@
 	})
 }
 
+// readyz serves the readiness check of the balancer.
 func (s *Server) readyz(w http.ResponseWriter, _ *http.Request) {
 	ready := s.control.Ready()
 	if !ready.Ready {
@@ -165,6 +166,7 @@
 	return body, nil
 }
 
+// chat serves requests to model pools.
 func (s *Server) chat(w http.ResponseWriter, r *http.Request) {
 	req, err := s.parseRequest(r)
 	if err != nil {
@@ -206,6 +208,7 @@
 // writes neither fail nor complete, and the request would occupy its place at a target forever.
 const callerWriteTimeout = 30 * time.Second
 
+// streamChat answers with server-sent events, one for each token as it arrives.
 func (s *Server) streamChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	controller := http.NewResponseController(w)
 	parts := 0
@@ -238,6 +241,7 @@
 	}
 }
 
+// unstreamedChat answers with a single JSON body when all tokens have arrived.
 func (s *Server) unstreamedChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	var text strings.Builder
 	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
@@ -254,6 +258,7 @@
 	_ = json.NewEncoder(w).Encode(wire.NewCompletion(req.ID, model, text.String()))
 }
 
+// service serves requests to service pools.
 func (s *Server) service(w http.ResponseWriter, r *http.Request) {
 	req, err := s.parseRequest(r)
 	if err != nil {
@@ -287,6 +292,7 @@
 	return method == http.MethodGet || method == http.MethodHead || pool.Spec.IdempotentWrites
 }
 
+// runService sends a request to a service pool and returns the target's answer.
 func (s *Server) runService(r *http.Request, req router.Request) (target.Answer, router.Result) {
 	var answer target.Answer
 	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
@@ -297,6 +303,7 @@
 	return answer, result
 }
 
+// writeResult answers with the target's answer, or with the result code if there is none.
 func (s *Server) writeResult(w http.ResponseWriter, req router.Request, answer target.Answer, result router.Result) {
 	if result.Code != code.OK {
 		s.fail(w, req.ID, code.New(result.Code, "request %s failed", req.ID), result.RetryAfter)
@@ -314,6 +321,7 @@
 	_, _ = w.Write(body)
 }
 
+// recordResult reports the result of a request to the observer and logs it.
 func (s *Server) recordResult(req router.Request, result router.Result) {
 	s.observer.Observe(req, result)
 	kind, info := eventlog.Finished, result.Code.Lookup()
@@ -329,8 +337,8 @@
 // defaultRetryAfter is sent with status 503 if the failure has no delay of its own.
 const defaultRetryAfter = time.Second
 
-// fail answers with the result code of err and, unless retryAfter is 0, with a Retry-After
-// header. An error without a code is answered as code.OutcomeUnknown.
+// fail answers with the result code of err. It sets a Retry-After header if retryAfter is not 0
+// or the status is 503. An error without a code is answered as code.OutcomeUnknown.
 func (s *Server) fail(w http.ResponseWriter, id string, err error, retryAfter time.Duration) {
 	var coded *code.Error
 	if !errors.As(err, &coded) {
--- a/internal/adapter/callerhttp/keyed.go
+++ b/internal/adapter/callerhttp/keyed.go
@@ -11,14 +11,14 @@
 )
 
 // serveKeyed serves a request that is not idempotent and has an Idempotency-Key. The claim on the
-// key makes sure that the request is executed at most once. A request with a recorded answer gets
-// that answer again.
+// key makes sure that the request is executed at most once. A repeated request gets the
+// recorded answer.
 func (s *Server) serveKeyed(w http.ResponseWriter, r *http.Request, req router.Request, key string) {
 	if len(key) > maxIDBytes {
 		s.fail(w, req.ID, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderIdempotencyKey, maxIDBytes), 0)
 		return
 	}
-	taken, decision := s.claims.Take(r.Context(), req, key)
+	heldClaim, decision := s.claims.Take(r.Context(), req, key)
 	switch decision.Kind {
 	case claim.Replay:
 		writeAnswer(w, req.ID, decision.Record.Status, decision.Record.ContentType, decision.Record.Body)
@@ -31,6 +31,6 @@
 	// caller's retry.
 	r = r.WithContext(context.WithoutCancel(r.Context()))
 	answer, result := s.runService(r, req)
-	s.claims.Settle(taken, answer, result)
+	s.claims.Settle(heldClaim, answer, result)
 	s.writeResult(w, req, answer, result)
 }
--- a/internal/adapter/gatewayhttp/connections.go
+++ b/internal/adapter/gatewayhttp/connections.go
@@ -33,7 +33,7 @@
 	idle             bool      // the last answer is complete and nothing has been read since
 	readsInterrupted bool      // a read deadline in the past interrupts reads
 	drainingRead     bool      // an interrupted read is taking the bytes that had arrived
-	requestBegunAt   time.Time // of the request that the server has not reported as active; zero if none
+	requestBegunAt   time.Time // of a request not yet reported as active; zero if none
 }
 
 // Wrap returns a listener whose connections are tracked.
@@ -158,10 +158,10 @@
 const shutdownPollInterval = 20 * time.Millisecond
 
 const (
-	// minShutdownPolling is how long connections are at least closed one by one as they become
-	// idle. After it http.Server.Shutdown closes each connection whose answer ends, even if its
-	// caller has begun another request. A process may get no processor time for a tenth of a
-	// second between the last byte of an answer and the end of its handler.
+	// minShutdownPolling is the minimum time for which Shutdown closes connections one by one as
+	// they become idle. After it http.Server.Shutdown closes each connection whose answer ends,
+	// even if its caller has begun another request. A process may get no processor time for a
+	// tenth of a second between the last byte of an answer and the end of its handler.
 	minShutdownPolling = 200 * time.Millisecond
 	// requestBeginTimeout is how long the server may take to report a connection as active after
 	// the first bytes of a request. Until then http.Server.Shutdown would close it. The limit
--- a/internal/adapter/gatewayhttp/connections_test.go
+++ b/internal/adapter/gatewayhttp/connections_test.go
@@ -105,8 +105,8 @@
 
 	// Guards against a request that gets no answer on a keep-alive connection of a stopping
 	// router. The router reads the request, gets no processor time for a moment, and then closes
-	// its idle connections. The connection must not count as idle before the whole header has
-	// been parsed.
+	// its idle connections. A connection must not count as idle after bytes of a request have
+	// been read from it, even if the header is not complete.
 	It("answers a request that was read before its idle connection was closed", func() {
 		address, shutDown := serve(100 * time.Millisecond)
 		c, err := net.Dial("tcp", address)
--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -18,7 +18,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// prefix is the prefix of all metric names.
+// prefix begins the names of all metrics.
 const prefix = "hemlockdyke_"
 
 // The limits bound the memory for metrics, since the smallest VM has 184 MB.
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -81,12 +81,12 @@
 	BytesIn, BytesOut, Reads, Writes atomic.Int64
 }
 
-// WrapListener returns a listener whose connections are counted.
+// WrapListener returns a listener that counts the traffic of its connections.
 func (t *ConnectionTraffic) WrapListener(l net.Listener) net.Listener {
 	return &countingListener{Listener: l, traffic: t}
 }
 
-// WrapConn returns a connection that is counted.
+// WrapConn returns a connection that counts its traffic.
 func (t *ConnectionTraffic) WrapConn(c net.Conn) net.Conn { return &countingConn{Conn: c, traffic: t} }
 
 type countingListener struct {
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -230,7 +230,8 @@
 	writeJSON(w, report)
 }
 
-// explain ranks a pool's targets for a chat, as a router does that knows only the configuration.
+// explain ranks a pool's targets for a chat by the configuration alone, without the state of
+// routers and targets.
 func (s *Server) explain(w http.ResponseWriter, r *http.Request) {
 	conf, err := s.controller.Store().Load(r.Context())
 	if err != nil {
--- a/internal/adapter/peer/datagram.go
+++ b/internal/adapter/peer/datagram.go
@@ -36,7 +36,8 @@
 }
 
 // DigestSocket sends and receives digests as UDP datagrams. It never resends a digest, since the
-// next one replaces it. Without connections, none can go silent. It is safe for concurrent use.
+// next one replaces it. Since UDP has no connections, none can go silent. It is safe for
+// concurrent use.
 type DigestSocket struct {
 	conn    *net.UDPConn
 	in, out atomic.Int64 // bytes with headers
@@ -52,7 +53,7 @@
 // TrafficBytes returns the bytes received and sent since the start, including IP and UDP headers.
 func (d *DigestSocket) TrafficBytes() (in, out int64) { return d.in.Load(), d.out.Load() }
 
-// ListenDigests opens a socket at an address of IP number and port.
+// ListenDigests opens a socket at an IP address and port.
 func ListenDigests(address string) (*DigestSocket, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/adapter/peer/datagram_test.go
+++ b/internal/adapter/peer/datagram_test.go
@@ -31,8 +31,8 @@
 		return out
 	}
 
-	// A relay encodes the fleet's report once for all routers that it feeds, and adds a report of
-	// its own for each of them.
+	// A relay encodes the fleet's report once for all routers that it feeds. To the digest of
+	// each router it adds the report for that router.
 	It("adds to each digest the report of its recipient", func() {
 		sender := listen("127.0.0.1:0")
 		a, b := receive(listen("127.0.0.2:17341")), receive(listen("127.0.0.3:17341"))
--- a/internal/adapter/target/orders.go
+++ b/internal/adapter/target/orders.go
@@ -46,8 +46,8 @@
 	return status.Open, status.State, errors.Wrap(err, "decode status")
 }
 
-// Order sends an order to a target. The target ignores it after expires. It fails with
-// ErrStaleFencing if the target has accepted a newer fencing number.
+// Order sends an order to a target. The target refuses it after expires, or if it has accepted a
+// newer fencing number. Order then returns ErrStaleFencing.
 func (o *OrderClient) Order(ctx context.Context, address string, fencing uint64, action, argument string, expires time.Time) error {
 	body, err := json.Marshal(struct {
 		Fencing  uint64    `json:"fencing"`
--- a/internal/adapter/upstream/upstream.go
+++ b/internal/adapter/upstream/upstream.go
@@ -54,13 +54,13 @@
 
 // Request is one attempt of a caller's request.
 type Request struct {
-	Target  uint64 // UID of the target's lifetime; only its connections are reused
-	Address string
-	Method  string
-	URI     string // as the caller sent it
-	Host    string
-	Header  http.Header
-	Body    []byte
+	TargetUID uint64 // UID of the target's lifetime; only its connections are reused
+	Address   string
+	Method    string
+	URI       string // as the caller sent it
+	Host      string
+	Header    http.Header
+	Body      []byte
 	// IsAnswer reports whether an answer with this header belongs to this request. Nil accepts
 	// any.
 	IsAnswer func(http.Header) bool
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, errors.Mark(err, ErrNotSent)
 	}
-	a := &Answer{client: c, target: r.Target, conn: cn}
+	a := &Answer{client: c, target: r.TargetUID, conn: cn}
 	a.unwatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
 	if r.ConfirmSend != nil && !r.ConfirmSend() {
 		a.abort()
@@ -136,7 +136,7 @@
 // connect returns a reusable idle connection to the target, or dials a new one.
 func (c *Client) connect(ctx context.Context, r Request) (*conn, error) {
 	for {
-		cn := c.popIdle(r.Target)
+		cn := c.popIdle(r.TargetUID)
 		if cn == nil {
 			break
 		}
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -172,7 +172,7 @@
 func (r *recorder) Do(_ context.Context, q upstream.Request) (*upstream.Answer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent[q.Target]++
+	r.sent[q.TargetUID]++
 	return nil, errors.New("no answer")
 }
 
--- a/internal/app/gateway/said_test.go
+++ b/internal/app/gateway/said_test.go
@@ -36,7 +36,7 @@
 	if !q.ConfirmSend() {
 		return nil, upstream.ErrWithdrawn
 	}
-	s.sent[q.Target]++
+	s.sent[q.TargetUID]++
 	return nil, upstream.ErrConnectionBroken
 }
 
@@ -64,7 +64,7 @@
 		relay := gateway.NewRelay(c, sayingWire{}, up, nobody{}, eventlog.Nop(), time.Now)
 		var leaver uint64
 		up.meanwhile = func(q upstream.Request) {
-			leaver = q.Target
+			leaver = q.TargetUID
 			q.OnHeader(http.StatusOK, http.Header{"Leaving": []string{"1"}})
 		}
 		for i := range 10 {
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -108,7 +108,7 @@
 		Source: t.choice.CacheSource, Team: x.match.teamName(), Priority: x.match.rank(),
 	}
 	return upstream.Request{
-		Target: t.choice.Target.UID, Address: t.choice.Target.Address,
+		TargetUID: t.choice.Target.UID, Address: t.choice.Target.Address,
 		Method: call.Method, URI: call.URI, Host: call.Host, Header: x.relay.wire.Prepare(call, a), Body: x.body,
 		IsAnswer:    func(h http.Header) bool { return x.relay.wire.Echoes(call, h) },
 		OnHeader:    t.hear,
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -193,7 +193,7 @@
 	return json.Unmarshal(x, &vx) == nil && json.Unmarshal(y, &vy) == nil && reflect.DeepEqual(vx, vy)
 }
 
-// applyResources sends a change and prints its outcome. An empty operation is replaced by a new
+// applyResources sends a change and prints its outcome. If operation is empty, it generates a
 // name.
 func (a *App) applyResources(operation string, resources []resource.Resource) error {
 	if operation == "" {
@@ -348,7 +348,8 @@
 	return w.Flush()
 }
 
-// printYAML writes v as YAML. It converts v to JSON first, since the field names are JSON tags.
+// printYAML writes v as YAML. It converts v to JSON first, which gives both formats the same
+// field names.
 func (a *App) printYAML(v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -30,7 +30,7 @@
 	var open []*os.File
 	closeAll = func() {
 		for _, f := range open {
-			_ = f.Close() // nothing was written
+			_ = f.Close() // opened for reading only
 		}
 	}
 	if len(files) == 0 {
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -49,7 +49,7 @@
 	peers := peer.NewClient(addresses(s.Peers), peerTimeout, func(c net.Conn) net.Conn { return c })
 	ctl := controller.New(configstore.New(store, time.Now), peers, ids, log)
 	reconciler := controller.NewReconciler(
-		ctl, store, target.NewOrderClient(orderTimeout), s.ID, uuid.NewString(), s.Lease.Std(), log, time.Now)
+		ctl, store, target.NewOrderClient(orderTimeout), s.ID, uuid.NewString(), s.LeaseDuration.Std(), log, time.Now)
 	l, err := listen(s.Listen)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -58,7 +58,7 @@
 		configstore.New(store, time.Now), target.NewOrderClient(probeTimeout), log, time.Now,
 	)
 	targets := target.New(target.DefaultSettings())
-	r.traffic = router.NewTraffic(r.control, targets, log, time.Now, s.Limits.StreamSilence.Std())
+	r.traffic = router.NewTraffic(r.control, targets, log, time.Now, s.Limits.StreamSilenceTimeout.Std())
 	burn := router.NewBurn(r.control, s.ID, log, time.Now)
 	claims := router.NewClaims(store, r.control, s.ID, incarnation, log, time.Now)
 	caller := callerhttp.New(callerhttp.Settings{
@@ -101,9 +101,9 @@
 	c.Seed = incarnation
 	c.GossipInterval = s.Control.GossipInterval.Std()
 	c.PollInterval = s.Control.PollInterval.Std()
-	c.SuspectAfter = s.Control.SuspectAfter.Std()
-	c.FreshFor = s.Control.FreshFor.Std()
-	c.Ledger.MaxQueued = s.Limits.MaxQueued
+	c.SuspectAfter = s.Control.SuspectTimeout.Std()
+	c.FreshFor = s.Control.FreshnessTimeout.Std()
+	c.Ledger.MaxQueued = s.Limits.MaxQueuedRequests
 	return c
 }
 
@@ -165,7 +165,7 @@
 	r.log.Line(eventlog.Stopping).Msg("")
 	r.control.Leave()
 	sleep(ctx, r.settings.Shutdown.BalancerLag.Std())
-	graceful, cancel := context.WithTimeout(ctx, r.settings.Shutdown.Grace.Std())
+	graceful, cancel := context.WithTimeout(ctx, r.settings.Shutdown.GracePeriod.Std())
 	defer cancel()
 	if err := r.callers.Shutdown(graceful); err != nil {
 		r.log.Line(eventlog.RequestsCut).Int64("open", r.traffic.Open()).Err(err).Msg("")
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -17,7 +17,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// Entry is a log line about a request. Durations and ages are in milliseconds.
+// Entry is a log line about a request. Event, a kind of package eventlog, determines which of the
+// other fields are set. Durations and ages are in milliseconds.
 type Entry struct {
 	Event   string    `json:"event"`
 	Router  string    `json:"router"`
@@ -28,7 +29,7 @@
 	Attempt        int     `json:"attempt"`
 	Target         string  `json:"target"`
 	Rule           string  `json:"rule"`
-	Open           int     `json:"open"`
+	OpenRequests   int     `json:"open"`
 	Bound          float64 `json:"bound"`
 	LoadReportAge  float64 `json:"loads_age"`
 	Version        uint64  `json:"version"`
@@ -36,7 +37,7 @@
 	ResumeFrom     string  `json:"resume_from"`
 	Reason         string  `json:"why"`
 	Error          string  `json:"error"`
-	After          float64 `json:"after"`
+	FailedAfter    float64 `json:"after"`
 	Wait           float64 `json:"wait"`
 	RetryAfter     float64 `json:"retry_after"`
 	RemainingTime  float64 `json:"left"`
@@ -48,7 +49,7 @@
 	Attempts       int     `json:"attempts"`
 	FirstByte      float64 `json:"first"`
 	Total          float64 `json:"total"`
-	Budget         float64 `json:"budget"`
+	TimeBudget     float64 `json:"budget"`
 	Retries        int     `json:"repeats"`
 	AllowedRetries float64 `json:"allowed"`
 	Requests       float64 `json:"requests"`
@@ -106,28 +107,28 @@
 			return fmt.Sprintf("attempt %d goes to %s by a ticket that took %.0f ms; configuration %d", e.Attempt, e.Target, e.Wait, e.Version)
 		}
 		text := fmt.Sprintf("attempt %d goes to %s by rule %s: %d open requests of at most %.1f, load report age %.0f ms; desired state %d",
-			e.Attempt, e.Target, e.Rule, e.Open, e.Bound, e.LoadReportAge, e.Version)
+			e.Attempt, e.Target, e.Rule, e.OpenRequests, e.Bound, e.LoadReportAge, e.Version)
 		if e.ResumeFrom != "" {
 			text += ", resumes after event " + e.ResumeFrom
 		}
 		return text
 	case eventlog.AttemptFailed.Name:
-		return fmt.Sprintf("attempt %d failed after %.0f ms: %s", e.Attempt, e.After, e.failure())
+		return fmt.Sprintf("attempt %d failed after %.0f ms: %s", e.Attempt, e.FailedAfter, e.failure())
 	case eventlog.RetryDenied.Name:
 		return fmt.Sprintf("retry denied: %d recent retries, %.1f allowed for %.0f requests and a slack of %.1f", e.Retries, e.AllowedRetries, e.Requests, e.Slack)
 	case eventlog.PoisonRefused.Name:
 		return fmt.Sprintf("not sent: targets have exited while they executed requests with the fingerprint %s; retry after %.0f ms", e.Fingerprint, e.Wait)
 	case eventlog.NotAdmitted.Name:
-		return fmt.Sprintf("not sent to %s: expected wait of %.0f ms behind %d open requests, %.0f ms remaining, rank %d", e.Target, e.Wait, e.Open, e.RemainingTime, e.Rank)
+		return fmt.Sprintf("not sent to %s: expected wait of %.0f ms behind %d open requests, %.0f ms remaining, rank %d", e.Target, e.Wait, e.OpenRequests, e.RemainingTime, e.Rank)
 	case eventlog.TargetSuspended.Name:
 		return fmt.Sprintf("%s is suspended: %s", e.Target, e.Reason)
 	case eventlog.Finished.Name:
 		if e.Status == 0 {
-			return fmt.Sprintf("answered by %s, first byte after %.0f ms, end after %.0f of %.0f ms", e.Target, e.FirstByte, e.Total, e.Budget)
+			return fmt.Sprintf("answered by %s, first byte after %.0f ms, end after %.0f of %.0f ms", e.Target, e.FirstByte, e.Total, e.TimeBudget)
 		}
-		return fmt.Sprintf("answered with status %d, first byte after %.0f ms, end after %.0f of %.0f ms", e.Status, e.FirstByte, e.Total, e.Budget)
+		return fmt.Sprintf("answered with status %d, first byte after %.0f ms, end after %.0f of %.0f ms", e.Status, e.FirstByte, e.Total, e.TimeBudget)
 	case eventlog.Failed.Name:
-		return fmt.Sprintf("ended as %d %s (ran: %s) after %.0f of %.0f ms", e.Code, e.Name, e.Executed, e.Total, e.Budget)
+		return fmt.Sprintf("ended as %d %s (ran: %s) after %.0f of %.0f ms", e.Code, e.Name, e.Executed, e.Total, e.TimeBudget)
 	}
 	return e.Event
 }
@@ -216,5 +217,5 @@
 	if placed == nil || placed.Rule == string(placement.RuleTicket) {
 		return text // a ticket doesn't carry the target's open requests
 	}
-	return fmt.Sprintf("%s with %d open requests there", text, placed.Open)
+	return fmt.Sprintf("%s with %d open requests there", text, placed.OpenRequests)
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -47,7 +47,7 @@
 	Validate() []Problem
 }
 
-// LoadFile loads the settings file at path, like Load.
+// LoadFile loads the settings file at path with Load.
 func LoadFile(path string, settings Validator) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,10 +74,10 @@
 	ReadTimeout Duration `yaml:"readTimeout"`
 	// DefaultDeadline applies to requests without a deadline.
 	DefaultDeadline Duration `yaml:"defaultDeadline"`
-	// StreamSilence is how long a target may send nothing before its attempt fails.
-	StreamSilence Duration `yaml:"streamSilence"`
-	// MaxQueued is the largest number of requests that may wait for a target.
-	MaxQueued int `yaml:"maxQueued"`
+	// StreamSilenceTimeout is how long a target may send nothing before its attempt fails.
+	StreamSilenceTimeout Duration `yaml:"streamSilence"`
+	// MaxQueuedRequests is the largest number of requests that may wait for a target.
+	MaxQueuedRequests int `yaml:"maxQueued"`
 }
 
 // Control configures the intervals and timeouts of the control traffic.
@@ -86,12 +86,12 @@
 	GossipInterval Duration `yaml:"gossipInterval"`
 	// PollInterval is the mean time between two reads of the configuration's latest revision.
 	PollInterval Duration `yaml:"pollInterval"`
-	// SuspectAfter is how long a silent router is still considered live. Heartbeats are passed on
-	// by other routers. In a fleet of 9 routers they are up to four gossip intervals old.
-	SuspectAfter Duration `yaml:"suspectAfter"`
-	// FreshFor is how long a router goes on serving when it reaches neither the table service nor
-	// a majority of the listed routers.
-	FreshFor Duration `yaml:"freshFor"`
+	// SuspectTimeout is how long a silent router is still considered live. Heartbeats are passed
+	// on by other routers. In a fleet of 9 routers they are up to four gossip intervals old.
+	SuspectTimeout Duration `yaml:"suspectAfter"`
+	// FreshnessTimeout is how long a router goes on serving when it reaches neither the table
+	// service nor a majority of the listed routers.
+	FreshnessTimeout Duration `yaml:"freshFor"`
 }
 
 // Shutdown configures the times of a graceful shutdown.
@@ -99,8 +99,8 @@
 	// BalancerLag is how long the balancer may go on sending requests after /readyz has begun to
 	// fail.
 	BalancerLag Duration `yaml:"balancerLag"`
-	// Grace is how long the router waits for open requests to end.
-	Grace Duration `yaml:"grace"`
+	// GracePeriod is how long the router waits for open requests to end.
+	GracePeriod Duration `yaml:"grace"`
 }
 
 // DefaultRouter returns the defaults for keys that the settings file omits.
@@ -108,22 +108,22 @@
 	return Router{
 		Platform: defaultPlatform(),
 		Limits: Limits{
-			MaxBodyBytes:    4 << 20,
-			MaxHeaderBytes:  32 << 10,
-			ReadTimeout:     Duration(15 * time.Second),
-			DefaultDeadline: Duration(60 * time.Second),
-			StreamSilence:   Duration(3 * time.Second),
-			MaxQueued:       1000,
+			MaxBodyBytes:         4 << 20,
+			MaxHeaderBytes:       32 << 10,
+			ReadTimeout:          Duration(15 * time.Second),
+			DefaultDeadline:      Duration(60 * time.Second),
+			StreamSilenceTimeout: Duration(3 * time.Second),
+			MaxQueuedRequests:    1000,
 		},
 		Control: Control{
-			GossipInterval: Duration(time.Second),
-			PollInterval:   Duration(2 * time.Second),
-			SuspectAfter:   Duration(5 * time.Second),
-			FreshFor:       Duration(5 * time.Second),
+			GossipInterval:   Duration(time.Second),
+			PollInterval:     Duration(2 * time.Second),
+			SuspectTimeout:   Duration(5 * time.Second),
+			FreshnessTimeout: Duration(5 * time.Second),
 		},
 		Shutdown: Shutdown{
 			BalancerLag: Duration(3 * time.Second),
-			Grace:       Duration(2 * time.Minute),
+			GracePeriod: Duration(2 * time.Minute),
 		},
 		Log: Log{Level: "info"},
 	}
@@ -145,16 +145,16 @@
 	c.platform(r.Platform)
 	c.positive("limits.maxBodyBytes", r.Limits.MaxBodyBytes)
 	c.positive("limits.maxHeaderBytes", int64(r.Limits.MaxHeaderBytes))
-	c.positive("limits.maxQueued", int64(r.Limits.MaxQueued))
+	c.positive("limits.maxQueued", int64(r.Limits.MaxQueuedRequests))
 	c.inRange("limits.readTimeout", r.Limits.ReadTimeout, time.Millisecond, time.Hour)
 	c.inRange("limits.defaultDeadline", r.Limits.DefaultDeadline, time.Millisecond, time.Hour)
-	c.inRange("limits.streamSilence", r.Limits.StreamSilence, 10*time.Millisecond, 10*time.Minute)
+	c.inRange("limits.streamSilence", r.Limits.StreamSilenceTimeout, 10*time.Millisecond, 10*time.Minute)
 	c.inRange("control.gossipInterval", r.Control.GossipInterval, 10*time.Millisecond, time.Minute)
 	c.inRange("control.pollInterval", r.Control.PollInterval, 10*time.Millisecond, time.Minute)
-	c.inRange("control.suspectAfter", r.Control.SuspectAfter, 4*r.Control.GossipInterval.Std(), 5*time.Minute)
-	c.inRange("control.freshFor", r.Control.FreshFor, r.Control.PollInterval.Std(), 5*time.Minute)
+	c.inRange("control.suspectAfter", r.Control.SuspectTimeout, 4*r.Control.GossipInterval.Std(), 5*time.Minute)
+	c.inRange("control.freshFor", r.Control.FreshnessTimeout, r.Control.PollInterval.Std(), 5*time.Minute)
 	c.inRange("shutdown.balancerLag", r.Shutdown.BalancerLag, 0, time.Minute)
-	c.inRange("shutdown.grace", r.Shutdown.Grace, 0, time.Hour)
+	c.inRange("shutdown.grace", r.Shutdown.GracePeriod, 0, time.Hour)
 	c.level(r.Log)
 	return c.problems
 }
@@ -171,8 +171,8 @@
 	Peers []Peer `yaml:"peers"`
 	// Platform configures the access to the platform's services.
 	Platform Platform `yaml:"platform"`
-	// Lease is the duration of a lease on a planned change.
-	Lease Duration `yaml:"lease"`
+	// LeaseDuration is the duration of a lease on a planned change.
+	LeaseDuration Duration `yaml:"lease"`
 	// Log configures logging.
 	Log Log `yaml:"log"`
 }
@@ -180,9 +180,9 @@
 // DefaultController returns the defaults for keys that the settings file omits.
 func DefaultController() Controller {
 	return Controller{
-		Platform: defaultPlatform(),
-		Lease:    Duration(10 * time.Second),
-		Log:      Log{Level: "info"},
+		Platform:      defaultPlatform(),
+		LeaseDuration: Duration(10 * time.Second),
+		Log:           Log{Level: "info"},
 	}
 }
 
@@ -193,7 +193,7 @@
 	c.address("listen", s.Listen)
 	c.peers(s.Peers)
 	c.platform(s.Platform)
-	c.inRange("lease", s.Lease, 100*time.Millisecond, 10*time.Minute)
+	c.inRange("lease", s.LeaseDuration, 100*time.Millisecond, 10*time.Minute)
 	c.level(s.Log)
 	return c.problems
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -29,7 +29,7 @@
 	It("override the defaults", func() {
 		s := settings.DefaultRouter()
 		Expect(settings.Load([]byte(validSettings), &s)).To(Succeed())
-		Expect(s.Limits.MaxQueued).To(Equal(5))
+		Expect(s.Limits.MaxQueuedRequests).To(Equal(5))
 		Expect(s.Limits.MaxBodyBytes).To(Equal(int64(4 << 20)))
 	})
 
--- a/internal/wire/chat.go
+++ b/internal/wire/chat.go
@@ -44,7 +44,7 @@
 // defaultMaxTokens is the number of tokens in the answer to a request without max_tokens.
 const defaultMaxTokens = 16
 
-// AnswerTokens returns the number of tokens that the answer may have.
+// AnswerTokens returns the requested length of the answer in tokens.
 func (r ChatRequest) AnswerTokens() int {
 	if r.MaxTokens <= 0 {
 		return defaultMaxTokens
