--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -168,7 +168,7 @@
 // Cause returns the cause of a request's outcome in one sentence.
 func Cause(request string, entries []Entry) string {
 	if len(entries) == 0 {
-		return fmt.Sprintf("no router logged %s: no router read it completely, or it was refused before it had a route", request)
+		return fmt.Sprintf("no router logged %s: no router read it completely, or it was refused for its route or key", request)
 	}
 	var placed, failure, outcome *Entry
 	for i := range entries {
