--- a/internal/adapter/target/orders.go
+++ b/internal/adapter/target/orders.go
@@ -11,7 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// OrderClient reads the state of model engines and sends them operators' orders, such as a drain.
+// OrderClient reads the state of model engines and sends them the orders of planned changes, such as
+// a drain.
 type OrderClient struct{ client *http.Client }
 
 // NewOrderClient returns an OrderClient whose calls are bounded by timeout.
--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -14,8 +14,8 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// usableUntil is the local time after which the idle connection is no longer used. It comes
-	// from the idle timeout that the target announced.
+	// usableUntil is the time after which the idle connection is no longer reused, since the target
+	// may close it then. Answer.Close sets it.
 	usableUntil time.Time
 }
 
