--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a router does, in registries of its own.
+// Package metrics holds the metrics of routers. Each metrics object has its own registry.
 package metrics
 
 import (
@@ -14,25 +14,25 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// maxSeries bounds the number of team and pool series: with 31,000 teams an
-// unbounded registry would outgrow the memory of a small VM.
+// maxSeries bounds the number of counters and timers in a registry. With 31,000 teams an
+// unbounded registry would exceed the memory of a small VM.
 const maxSeries = 2000
 
-// Requests counts requests by pool and result. It is safe for concurrent use.
-type Requests struct {
+// RequestCounts counts requests by pool and result. It is safe for concurrent use.
+type RequestCounts struct {
 	mu       sync.Mutex
 	registry gometrics.Registry
-	series   int
+	series   int // metrics in registry, up to maxSeries
 }
 
-// NewRequests returns empty counters.
-func NewRequests() *Requests { return &Requests{registry: gometrics.NewRegistry()} }
+// NewRequestCounts returns a RequestCounts without any counts.
+func NewRequestCounts() *RequestCounts { return &RequestCounts{registry: gometrics.NewRegistry()} }
 
-// Observe records how a request ended.
-func (m *Requests) Observe(req router.Request, result router.Result) {
+// Observe records the result of a request.
+func (m *RequestCounts) Observe(req router.Request, result router.Result) {
 	pool := req.Pool.Name
 	m.counter("pool." + pool + ".code." + result.Code.Lookup().Name).Inc(1)
-	m.counter("pool." + pool + ".tickets").Inc(int64(result.Attempts)) // one for each attempt
+	m.counter("pool." + pool + ".tickets").Inc(int64(result.Attempts)) // each attempt takes a ticket
 	if result.Code == code.OK {
 		m.timer("pool." + pool + ".first_part").Update(result.FirstPartLatency)
 	}
@@ -41,21 +41,25 @@
 	}
 }
 
-func (m *Requests) counter(name string) gometrics.Counter {
-	if !m.admit(name) {
+// counter returns the named counter, or a shared one if the registry is full.
+func (m *RequestCounts) counter(name string) gometrics.Counter {
+	if !m.reserve(name) {
 		name = "other"
 	}
 	return gometrics.GetOrRegisterCounter(name, m.registry)
 }
 
-func (m *Requests) timer(name string) gometrics.Timer {
-	if !m.admit(name) {
+// timer returns the named timer, or a shared one if the registry is full.
+func (m *RequestCounts) timer(name string) gometrics.Timer {
+	if !m.reserve(name) {
 		name = "other_timer"
 	}
 	return gometrics.GetOrRegisterTimer(name, m.registry)
 }
 
-func (m *Requests) admit(name string) bool {
+// reserve reports whether the registry has the named metric or has room for it. It counts a new
+// one.
+func (m *RequestCounts) reserve(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.registry.Get(name) != nil {
@@ -68,25 +72,26 @@
 	return true
 }
 
-// WriteJSON writes every metric.
-func (m *Requests) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(m.registry) }
+// WriteJSON writes all metrics as JSON.
+func (m *RequestCounts) WriteJSON(w io.Writer) error { return json.NewEncoder(w).Encode(m.registry) }
 
-// Traffic counts the bytes and writes of control connections.
-type Traffic struct {
+// ConnectionTraffic counts the bytes, reads and writes of the connections between routers and
+// controllers. It is safe for concurrent use.
+type ConnectionTraffic struct {
 	BytesIn, BytesOut, Reads, Writes atomic.Int64
 }
 
-// Listen wraps a listener so that its connections are counted.
-func (t *Traffic) Listen(l net.Listener) net.Listener {
+// WrapListener returns a listener that counts the traffic of its connections.
+func (t *ConnectionTraffic) WrapListener(l net.Listener) net.Listener {
 	return &countingListener{Listener: l, traffic: t}
 }
 
-// Wrap counts one connection.
-func (t *Traffic) Wrap(c net.Conn) net.Conn { return &countingConn{Conn: c, traffic: t} }
+// WrapConn returns a connection that counts its traffic.
+func (t *ConnectionTraffic) WrapConn(c net.Conn) net.Conn { return &countingConn{Conn: c, traffic: t} }
 
 type countingListener struct {
 	net.Listener
-	traffic *Traffic
+	traffic *ConnectionTraffic
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -94,12 +99,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.traffic.Wrap(c), nil
+	return l.traffic.WrapConn(c), nil
 }
 
 type countingConn struct {
 	net.Conn
-	traffic *Traffic
+	traffic *ConnectionTraffic
 }
 
 func (c *countingConn) Read(p []byte) (int, error) {
@@ -116,15 +121,15 @@
 	return n, err
 }
 
-// ControlBytes is the control traffic of one process since its start.
-type ControlBytes struct {
-	In     int64 `json:"in"`
-	Out    int64 `json:"out"`
+// TrafficCounts is the traffic of one process since its start.
+type TrafficCounts struct {
+	In     int64 `json:"in"`  // bytes
+	Out    int64 `json:"out"` // bytes
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
 }
 
-// Snapshot returns the counts.
-func (t *Traffic) Snapshot() ControlBytes {
-	return ControlBytes{In: t.BytesIn.Load(), Out: t.BytesOut.Load(), Reads: t.Reads.Load(), Writes: t.Writes.Load()}
+// Snapshot returns the current counts.
+func (t *ConnectionTraffic) Snapshot() TrafficCounts {
+	return TrafficCounts{In: t.BytesIn.Load(), Out: t.BytesOut.Load(), Reads: t.Reads.Load(), Writes: t.Writes.Load()}
 }
--- a/internal/app/controller/reconciler.go
+++ b/internal/app/controller/reconciler.go
@@ -273,7 +273,7 @@
 // writeStatus logs and stores a status. version is the version of the status that was read. The
 // status is not stored if another process has stored one since then.
 func (r *Reconciler) writeStatus(ctx context.Context, name string, s plannedchange.Status, version uint64) error {
-	r.log.Line(eventlog.PlannedChange).Str("change", name).Str("phase", string(s.Phase)).Str("why", s.Message).Msg("")
+	r.log.Line(eventlog.PlannedChangeProgress).Str("change", name).Str("phase", string(s.Phase)).Str("why", s.Message).Msg("")
 	return r.putJSON(ctx, statusPrefix+name, s, version)
 }
 
--- a/internal/app/gateway/departures.go
+++ b/internal/app/gateway/departures.go
@@ -66,7 +66,7 @@
 	for _, d := range reported {
 		if (d.Announced && c.traffic.markLeaving(now, d.Target)) || (d.Exited && c.traffic.markExited(now, d.Target)) {
 			newDepartures = append(newDepartures, d)
-			c.log.Line(eventlog.TargetLeft).Str("target", c.traffic.targetID(d.Target)).Bool("said", d.Announced).Bool("ended", d.Exited).Msg("")
+			c.log.Line(eventlog.TargetDeparted).Str("target", c.traffic.targetID(d.Target)).Bool("said", d.Announced).Bool("ended", d.Exited).Msg("")
 		}
 	}
 	if len(newDepartures) == 0 {
@@ -77,6 +77,6 @@
 		c.publishTargets(now)
 	}
 	for _, id := range departedIDs {
-		c.log.Line(eventlog.TargetLeft).Str("target", id).Msg("")
+		c.log.Line(eventlog.TargetDeparted).Str("target", id).Msg("")
 	}
 }
--- a/internal/app/gateway/keep.go
+++ b/internal/app/gateway/keep.go
@@ -76,7 +76,7 @@
 		err = st.saveSuspects(ctx, now)
 	}
 	if err != nil {
-		c.log.Line(eventlog.KeepFailed).Err(err).Msg("")
+		c.log.Line(eventlog.SuspectStoreFailed).Err(err).Msg("")
 		st.retryAt = now.Add(st.retryInterval)
 		st.retryInterval = min(2*st.retryInterval, maxStoreRetryInterval)
 		return
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -174,7 +174,7 @@
 func (r *attemptRecorder) Do(_ context.Context, q upstream.Request) (*upstream.Answer, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sent[q.Target]++
+	r.sent[q.TargetUID]++
 	return nil, errors.New("no answer")
 }
 
--- a/internal/app/gateway/listing.go
+++ b/internal/app/gateway/listing.go
@@ -83,7 +83,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, storeCallTimeout)
 	defer cancel()
 	if err := c.store.RegisterRouters(callCtx, addressStrings(missing)); err != nil {
-		c.log.Line(eventlog.ListFailed).Int("routers", len(missing)).Err(err).Msg("")
+		c.log.Line(eventlog.RouterListFailed).Int("routers", len(missing)).Err(err).Msg("")
 		r.retryAt = now.Add(r.retryInterval)
 		r.retryInterval = min(2*r.retryInterval, maxStoreRetryInterval)
 		return
@@ -101,7 +101,7 @@
 	defer cancel()
 	stored, err := c.store.RegisteredRouters(callCtx)
 	if err != nil {
-		c.log.Line(eventlog.ListFailed).Err(err).Msg("")
+		c.log.Line(eventlog.RouterListFailed).Err(err).Msg("")
 		return nil, err
 	}
 	// Other routers delete entries of routers that they have not heard of for long.
@@ -128,7 +128,7 @@
 		err := c.store.UnregisterRouter(callCtx, string(a))
 		cancel()
 		if err != nil {
-			c.log.Line(eventlog.ListFailed).Str("peer", string(a)).Err(err).Msg("")
+			c.log.Line(eventlog.RouterListFailed).Str("peer", string(a)).Err(err).Msg("")
 			continue
 		}
 		c.log.Line(eventlog.PeerUnlisted).Str("peer", string(a)).Msg("")
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -236,7 +236,7 @@
 // handleTargetExit records that a target exited, and the requests that it executed then. If the
 // exit is new, it is reported to the other routers.
 func (p *Proxy) handleTargetExit(target placement.Target, requests []poison.Fingerprint) {
-	p.log.Line(eventlog.TargetEnded).Str("target", target.ID).Int("requests", len(requests)).Msg("")
+	p.log.Line(eventlog.TargetExited).Str("target", target.ID).Int("requests", len(requests)).Msg("")
 	p.traffic.poisonGuard.recordExit(p.now(), target.UID, requests)
 	if p.traffic.markExited(p.now(), target.UID) {
 		p.reportDeparture(placement.Departure{Target: target.UID, Exited: true})
--- a/internal/app/gateway/run.go
+++ b/internal/app/gateway/run.go
@@ -57,7 +57,7 @@
 	p := r.proxy
 	if headroom, ok := p.traffic.takeRetry(p.now(), r.match.pool); !ok {
 		r.retryDenied = true
-		r.logLine(eventlog.RepeatDenied).Str("pool", r.match.pool).Int("repeats", headroom.Retries).Float64("allowed", headroom.Allowed).
+		r.logLine(eventlog.RetryDenied).Str("pool", r.match.pool).Int("repeats", headroom.Retries).Float64("allowed", headroom.Allowed).
 			Float64("requests", headroom.Requests).Float64("slack", headroom.Slack).Msg("")
 		return r.machine.Step(attempt.TicketRefused{Code: code.TargetRefused})
 	}
--- a/internal/app/gateway/said.go
+++ b/internal/app/gateway/said.go
@@ -22,7 +22,7 @@
 	if !info.Leaving && info.PauseDuration == 0 && info.InvalidPause == "" {
 		return
 	}
-	p.log.Line(eventlog.TargetSaid).Str("target", t.choice.Target.ID).Bool("leaving", info.Leaving).
+	p.log.Line(eventlog.TargetNotice).Str("target", t.choice.Target.ID).Bool("leaving", info.Leaving).
 		Dur("pause", info.PauseDuration).Str("bad", info.InvalidPause[:min(len(info.InvalidPause), maxLoggedInvalid)]).Msg("")
 	for signal, present := range map[string]bool{SignalLeaving: info.Leaving, SignalPause: info.PauseDuration > 0, SignalInvalid: info.InvalidPause != ""} {
 		if present {
--- a/internal/app/gateway/said_test.go
+++ b/internal/app/gateway/said_test.go
@@ -34,11 +34,11 @@
 		s.duringDial = nil
 		callback(q)
 	}
-	if !q.Sent() {
+	if !q.ConfirmSend() {
 		return nil, upstream.ErrWithdrawn
 	}
-	s.sent[q.Target]++
-	return nil, upstream.ErrBroken
+	s.sent[q.TargetUID]++
+	return nil, upstream.ErrConnectionBroken
 }
 
 func (*slowDialUpstream) Prune(func(uint64) bool) {}
@@ -65,8 +65,8 @@
 		proxy := gateway.NewProxy(c, leavingCodec{}, up, discardResponder{}, eventlog.Nop(), time.Now)
 		var leavingUID uint64
 		up.duringDial = func(q upstream.Request) {
-			leavingUID = q.Target
-			q.Heard(http.StatusOK, http.Header{"Leaving": []string{"1"}})
+			leavingUID = q.TargetUID
+			q.OnHeader(http.StatusOK, http.Header{"Leaving": []string{"1"}})
 		}
 		for i := range 10 {
 			match, got := proxy.Match(&gateway.Call{ID: fmt.Sprint(i), Host: "h", Path: "/old/", Header: http.Header{}})
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -110,11 +110,11 @@
 		CacheSource: t.choice.CacheSource, Team: r.match.teamName(), Priority: r.match.priority(),
 	}
 	return upstream.Request{
-		Target: t.choice.Target.UID, Address: t.choice.Target.Address,
+		TargetUID: t.choice.Target.UID, Address: t.choice.Target.Address,
 		Method: call.Method, URI: call.URI, Host: call.Host, Header: r.proxy.codec.PrepareHeader(call, a), Body: r.body,
-		Echoes: func(h http.Header) bool { return r.proxy.codec.MatchesCall(call, h) },
-		Heard:  t.applySignals,
-		Sent:   t.confirmSend,
+		IsAnswer:    func(h http.Header) bool { return r.proxy.codec.MatchesCall(call, h) },
+		OnHeader:    t.applySignals,
+		ConfirmSend: t.confirmSend,
 	}
 }
 
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -25,7 +25,7 @@
 type TargetClient interface {
 	// Run sends one attempt and calls emit for each event until the attempt ends or ctx is
 	// cancelled.
-	Run(ctx context.Context, d target.Dispatch, emit func(target.Answer))
+	Run(ctx context.Context, d target.AttemptRequest, emit func(target.Answer))
 	// Suspect closes the idle connections. It is called after a target has been silent, as other
 	// pooled connections may be broken too.
 	Suspect()
@@ -279,10 +279,10 @@
 	r.logLine(eventlog.Placed).Int("attempt", a.Attempt).Str("pool", r.req.Pool.Name).Str("team", r.req.Team).
 		Str("target", r.result.Target).Str("rule", string(placement.RuleTicket)).Dur("wait", r.sentAt.Sub(r.ticketRequestedAt)).
 		Uint64("version", r.forwarder.control.Table().Revision).Msg("")
-	d := target.Dispatch{
+	d := target.AttemptRequest{
 		Address: r.req.Pool.Targets[i].Address, Method: r.req.Method, Path: r.req.Path,
-		Header: r.req.Header, Body: r.req.Body, RequestID: r.req.ID, Attempt: a.Attempt,
-		Offset: a.Offset, Stream: r.req.Stream,
+		Header: r.req.Header, Body: r.req.Body, RequestID: r.req.ID, Number: a.Attempt,
+		ReceivedParts: a.Offset, Stream: r.req.Stream,
 		FreshConnection: !r.req.Idempotent || a.Attempt > 1,
 	}
 	go r.forwarder.targets.Run(attemptCtx, d, func(answer target.Answer) {
--- a/internal/app/router/traffic_test.go
+++ b/internal/app/router/traffic_test.go
@@ -33,12 +33,12 @@
 // fakeTargets is a TargetClient that answers each attempt with a number of parts and an end.
 type fakeTargets struct{ parts int }
 
-func (t fakeTargets) Run(_ context.Context, d target.Dispatch, emit func(target.Answer)) {
-	emit(target.Answer{Event: attempt.WriteStarted{Attempt: d.Attempt}})
-	for i := d.Offset; i < t.parts; i++ {
-		emit(target.Answer{Event: attempt.Part{Attempt: d.Attempt, Echo: d.Attempt, Offset: i}})
+func (t fakeTargets) Run(_ context.Context, d target.AttemptRequest, emit func(target.Answer)) {
+	emit(target.Answer{Event: attempt.WriteStarted{Attempt: d.Number}})
+	for i := d.ReceivedParts; i < t.parts; i++ {
+		emit(target.Answer{Event: attempt.Part{Attempt: d.Number, Echo: d.Number, Offset: i}})
 	}
-	emit(target.Answer{Event: attempt.End{Attempt: d.Attempt, Echo: d.Attempt, Total: t.parts}})
+	emit(target.Answer{Event: attempt.End{Attempt: d.Number, Echo: d.Number, Total: t.parts}})
 }
 
 func (fakeTargets) Suspect() {}
--- a/internal/daemon/controller.go
+++ b/internal/daemon/controller.go
@@ -47,10 +47,10 @@
 	for i, p := range s.Peers {
 		routers[i] = p.ID
 	}
-	peers := peer.NewCaller(peerAddresses(s.Peers), peerTimeout, func(c net.Conn) net.Conn { return c })
+	peers := peer.NewClient(peerAddresses(s.Peers), peerTimeout, func(c net.Conn) net.Conn { return c })
 	ctl := controller.New(configstore.New(store, time.Now), peers, routers, log)
 	reconciler := controller.NewReconciler(
-		ctl, store, target.NewOrders(targetTimeout), s.ID, uuid.NewString(), s.Lease.Std(), log, time.Now)
+		ctl, store, target.NewOrderClient(targetTimeout), s.ID, uuid.NewString(), s.LeaseDuration.Std(), log, time.Now)
 	listener, err := listen(s.Listen)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -63,9 +63,9 @@
 	settings          GatewaySettings
 	log               *eventlog.Log
 	control           *gateway.Control
-	digestSocket      *peer.Datagrams
+	digestSocket      *peer.DigestSocket
 	servers           []*http.Server // the first one serves the callers
-	callerConnections *gatewayhttp.Connections
+	callerConnections *gatewayhttp.ConnTracker
 	failures          chan error
 	stop              context.CancelFunc
 }
@@ -88,19 +88,19 @@
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	g := &Gateway{settings: s, log: log, callerConnections: gatewayhttp.NewConnections(), failures: make(chan error, 5), stop: stop}
-	digestSocket, err := peer.ListenDatagrams(s.Gateway.Address)
+	g := &Gateway{settings: s, log: log, callerConnections: gatewayhttp.NewConnTracker(), failures: make(chan error, 5), stop: stop}
+	digestSocket, err := peer.ListenDigests(s.Gateway.Address)
 	if err != nil {
 		stop()
 		return nil, err
 	}
 	g.digestSocket = digestSocket
-	targets := upstream.New(upstream.DefaultSettings(), time.Now, m.Dialed)
+	targets := upstream.New(upstream.DefaultSettings(), time.Now, m.CountDial)
 	reporter := &linkReporter{digests: digestSocket, capacity: s.Gateway.LinkBytesPerSecond, log: log, metrics: m}
-	peers := &peerClient{Datagrams: digestSocket, Copier: peer.NewCopier(copyTimeout, reporter.fetched.Wrap)}
+	peers := &peerClient{DigestSocket: digestSocket, CopyClient: peer.NewCopyClient(copyTimeout, reporter.fetched.WrapConn)}
 	g.control = gateway.NewControl(s.Gateway, p.Store, p.Decoder, peers, targets, log, time.Now)
 	relay := gateway.NewProxy(g.control, p.Wire, targets, m, log, time.Now)
-	callerServer := gatewayhttp.New(relay, g.control, p.Wire, time.Now, m.Refused)
+	callerServer := gatewayhttp.New(relay, g.control, p.Wire, time.Now, m.CountRefusal)
 	if err := g.startServers(callerServer, m, reporter); err != nil {
 		stop()
 		return nil, err
@@ -115,8 +115,8 @@
 
 // peerClient sends digests as datagrams and requests table copies over HTTP.
 type peerClient struct {
-	*peer.Datagrams
-	*peer.Copier
+	*peer.DigestSocket
+	*peer.CopyClient
 }
 
 // receiveDigests passes the digests of other routers to the control until the socket is closed.
@@ -139,17 +139,17 @@
 // startServers opens the listeners and starts the servers.
 func (g *Gateway) startServers(callerServer *gatewayhttp.Server, m *metrics.Gateway, reporter *linkReporter) error {
 	peerMux := http.NewServeMux()
-	peerMux.Handle(peer.NewHandler(g, peer.Uncompressed()))
+	peerMux.Handle(peer.NewHandler(g, peer.WithoutCompression()))
 	for _, entry := range []struct {
 		address string
 		server  *http.Server
 		wrap    func(net.Listener) net.Listener
 	}{
-		{g.settings.CallerAddress, &http.Server{Handler: callerServer, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: g.callerConnections.Changed},
-			g.callerConnections.Listen},
-		{g.settings.ReadinessAddress, &http.Server{Handler: callerServer.Readiness(g.settings.ReadinessPath)}, nil},
+		{g.settings.CallerAddress, &http.Server{Handler: callerServer, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: g.callerConnections.OnStateChange},
+			g.callerConnections.Wrap},
+		{g.settings.ReadinessAddress, &http.Server{Handler: callerServer.ReadinessHandler(g.settings.ReadinessPath)}, nil},
 		{g.settings.Gateway.Address, &http.Server{Handler: peerMux, Protocols: peer.Protocols()},
-			func(l net.Listener) net.Listener { return peer.Listen(reporter.served.Listen(l)) }},
+			func(l net.Listener) net.Listener { return peer.WrapListener(reporter.served.WrapListener(l)) }},
 		{g.settings.MetricsAddress, &http.Server{Handler: m.Handler(g.control.Status)}, nil},
 	} {
 		listener, err := listen(entry.address)
@@ -197,11 +197,11 @@
 	for g.control.OpenEarlyRequests() > 0 && graceCtx.Err() == nil {
 		sleep(graceCtx, drainPollInterval)
 	}
-	if err := g.callerConnections.End(graceCtx, g.servers[0]); err != nil {
+	if err := g.callerConnections.Shutdown(graceCtx, g.servers[0]); err != nil {
 		g.log.Line(eventlog.RequestsCut).Err(err).Msg("")
 	}
 	if err := g.control.Unregister(graceCtx); err != nil {
-		g.log.Line(eventlog.ListFailed).Err(err).Msg("")
+		g.log.Line(eventlog.RouterListFailed).Err(err).Msg("")
 	}
 	g.stop()
 	_ = g.digestSocket.Close()
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -20,10 +20,10 @@
 // these few report, and looks healthy otherwise. A link that is filled by messages between routers
 // delays departure reports and requests, and all requests at that router time out.
 type linkReporter struct {
-	digests *peer.Datagrams
+	digests *peer.DigestSocket
 	// served counts the table copies that other routers requested, fetched those that this router
 	// requested.
-	served, fetched metrics.Traffic
+	served, fetched metrics.ConnectionTraffic
 	capacity        int64 // bytes per second in each direction; 0 if unknown
 	log             *eventlog.Log
 	metrics         *metrics.Gateway
@@ -62,11 +62,11 @@
 	}{
 		{"digests_in", delta.digestsIn}, {"digests_out", delta.digestsOut}, {"copies_in", delta.copiesIn}, {"copies_out", delta.copiesOut},
 	} {
-		r.metrics.PeerBytes(counter.kind, counter.bytes)
+		r.metrics.AddPeerBytes(counter.kind, counter.bytes)
 	}
 	status := r.status()
 	line := r.log.Line(eventlog.LinkUse).Int("peers", status.LivePeers).Int("heard", status.DirectPeers).Str("feeder", status.Feeder).Dur("fed_ago", status.FeedAge).
-		Int64("unsent", r.digests.Lost()).Int64("digests_in", delta.digestsIn).Int64("digests_out", delta.digestsOut).
+		Int64("unsent", r.digests.LostDigests()).Int64("digests_in", delta.digestsIn).Int64("digests_out", delta.digestsOut).
 		Int64("copies_in", delta.copiesIn).Int64("copies_out", delta.copiesOut)
 	if r.capacity > 0 {
 		busierDirection := max(delta.digestsIn+delta.copiesIn, delta.digestsOut+delta.copiesOut)
@@ -78,7 +78,7 @@
 // totals returns the bytes since the start.
 func (r *linkReporter) totals() byteCounts {
 	var counts byteCounts
-	counts.digestsIn, counts.digestsOut = r.digests.Bytes()
+	counts.digestsIn, counts.digestsOut = r.digests.TrafficBytes()
 	counts.copiesIn = r.served.BytesIn.Load() + r.fetched.BytesIn.Load()
 	counts.copiesOut = r.served.BytesOut.Load() + r.fetched.BytesOut.Load()
 	return counts
--- a/internal/daemon/link_test.go
+++ b/internal/daemon/link_test.go
@@ -22,7 +22,7 @@
 
 var _ = Describe("the use of a link by messages between routers", func() {
 	It("is logged by kind and direction since the previous line, and counted", func() {
-		socket, err := peer.ListenDatagrams("127.0.0.1:0")
+		socket, err := peer.ListenDigests("127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer socket.Close()
 		var logged bytes.Buffer
@@ -34,7 +34,7 @@
 			}}
 		socket.SendDigest([]string{"127.0.0.1:9", "127.0.0.1:9"}, &peerv1.Digest{Known: [][]byte{{1, 2, 3}}}, nil)
 		var digestBytesOut int64
-		Eventually(func() int64 { _, digestBytesOut = socket.Bytes(); return digestBytesOut }).Should(Equal(int64(2*(28+5))), "two digests with their headers")
+		Eventually(func() int64 { _, digestBytesOut = socket.TrafficBytes(); return digestBytesOut }).Should(Equal(int64(2*(28+5))), "two digests with their headers")
 		reporter.served.BytesOut.Add(2500)
 		reporter.fetched.BytesIn.Add(700)
 		reporter.report()
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -34,8 +34,8 @@
 	log            *eventlog.Log
 	control        *router.Control
 	forwarder      *router.Forwarder
-	requestMetrics *metrics.Requests
-	peerTraffic    *metrics.Traffic
+	requestMetrics *metrics.RequestCounts
+	peerTraffic    *metrics.ConnectionTraffic
 	callers        *http.Server
 	peers          *http.Server
 	admin          *http.Server
@@ -48,17 +48,17 @@
 func StartRouter(s settings.Router, incarnation uint64, log *eventlog.Log) (*Router, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &Router{
-		settings: s, log: log, requestMetrics: metrics.NewRequests(), peerTraffic: &metrics.Traffic{},
+		settings: s, log: log, requestMetrics: metrics.NewRequestCounts(), peerTraffic: &metrics.ConnectionTraffic{},
 		failures: make(chan error, 3), stop: stop,
 	}
 	store := tableservice.New(s.Platform.URL, s.Platform.Timeout.Std())
 	r.control = router.NewControl(
 		core.New(time.Now(), coreSettings(s, incarnation)),
-		peer.NewCaller(peerAddresses(s.Peers), peerTimeout, r.peerTraffic.Wrap),
-		configstore.New(store, time.Now), target.NewOrders(probeTimeout), log, time.Now,
+		peer.NewClient(peerAddresses(s.Peers), peerTimeout, r.peerTraffic.WrapConn),
+		configstore.New(store, time.Now), target.NewOrderClient(probeTimeout), log, time.Now,
 	)
 	targets := target.New(target.DefaultSettings())
-	r.forwarder = router.NewForwarder(r.control, targets, log, time.Now, s.Limits.StreamSilence.Std())
+	r.forwarder = router.NewForwarder(r.control, targets, log, time.Now, s.Limits.StreamSilenceTimeout.Std())
 	burn := router.NewBurnRecorder(r.control, s.ID, log, time.Now)
 	claims := router.NewClaims(store, r.control, s.ID, incarnation, log, time.Now)
 	callerServer := callerhttp.New(callerhttp.Settings{
@@ -102,9 +102,9 @@
 	c.Seed = incarnation
 	c.GossipInterval = s.Control.GossipInterval.Std()
 	c.PollInterval = s.Control.PollInterval.Std()
-	c.SuspectTimeout = s.Control.SuspectAfter.Std()
-	c.FreshnessTimeout = s.Control.FreshFor.Std()
-	c.Ledger.MaxQueued = s.Limits.MaxQueued
+	c.SuspectTimeout = s.Control.SuspectTimeout.Std()
+	c.FreshnessTimeout = s.Control.FreshnessTimeout.Std()
+	c.Ledger.MaxQueued = s.Limits.MaxQueuedRequests
 	return c
 }
 
@@ -125,7 +125,7 @@
 		wrap    func(net.Listener) net.Listener
 	}{
 		{r.callers, r.settings.Listen.Callers, nil},
-		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.Listen(r.peerTraffic.Listen(l)) }},
+		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.WrapListener(r.peerTraffic.WrapListener(l)) }},
 		{r.admin, r.settings.Listen.Admin, nil},
 	} {
 		listener, err := listen(entry.address)
@@ -151,7 +151,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(struct {
 			router.Status
-			Control metrics.ControlBytes `json:"control"`
+			Control metrics.TrafficCounts `json:"control"`
 		}{r.control.Status(r.settings.ID), r.peerTraffic.Snapshot()})
 	})
 	return routes
@@ -168,7 +168,7 @@
 	r.log.Line(eventlog.Stopping).Msg("")
 	r.control.Leave()
 	sleep(ctx, r.settings.Shutdown.BalancerLag.Std())
-	graceCtx, cancel := context.WithTimeout(ctx, r.settings.Shutdown.Grace.Std())
+	graceCtx, cancel := context.WithTimeout(ctx, r.settings.Shutdown.GracePeriod.Std())
 	defer cancel()
 	if err := r.callers.Shutdown(graceCtx); err != nil {
 		r.log.Line(eventlog.RequestsCut).Int64("open", r.forwarder.OpenRequests()).Err(err).Msg("")
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -224,7 +224,7 @@
 		return false
 	}
 	var transport *url.Error
-	return errors.As(err, &transport) || errors.Is(err, wire.ErrCut)
+	return errors.As(err, &transport) || errors.Is(err, wire.ErrStreamTruncated)
 }
 
 // streamCompletion sends a chat request to a router and checks every token of the streamed answer.
@@ -234,7 +234,7 @@
 		return err
 	}
 	req.Header.Set(wire.HeaderTeam, team)
-	req.Header.Set(wire.HeaderChat, chat)
+	req.Header.Set(wire.HeaderChatID, chat)
 	startedAt := time.Now()
 	resp, err := d.client.Do(req)
 	if err != nil {
@@ -253,7 +253,7 @@
 		switch {
 		case len(chunk.Choices) == 0:
 			return errors.Newf("stream contains an error event: %s", data)
-		case chunk.Last():
+		case chunk.IsLast():
 			endOffset = chunk.Offset
 			return nil
 		case chunk.Content() != engine.AnswerToken(prompt, received):
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -111,7 +111,7 @@
 	}
 	faults := s.nextFaults()
 	if faults.Refuse {
-		w.Header().Set(wire.HeaderNotRun, "true")
+		w.Header().Set(wire.HeaderNotExecuted, "true")
 		http.Error(w, "request not executed", http.StatusServiceUnavailable)
 		return
 	}
@@ -122,7 +122,7 @@
 	s.beginRequest()
 	defer s.endRequest()
 	prompt := req.Prompt()
-	wait := s.prefill(r.Header.Get(wire.HeaderChat), len(prompt)/4+1)
+	wait := s.prefill(r.Header.Get(wire.HeaderChatID), len(prompt)/4+1)
 	wait += time.Duration(faults.StallMillis) * time.Millisecond
 	if !sleep(r, wait) {
 		return
@@ -173,14 +173,14 @@
 // stream writes the answer from the offset that the request asks for.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, req wire.ChatRequest, prompt string, faults Faults) {
 	from, _ := strconv.Atoi(r.Header.Get(wire.HeaderResumeFrom))
-	attemptID := r.Header.Get(wire.HeaderAttempt)
+	attemptID := r.Header.Get(wire.HeaderAttemptID)
 	if faults.MismatchOnce {
 		attemptID = "crossed-" + attemptID
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flusher := http.NewResponseController(w)
-	for i := from; i < req.Tokens(); i++ {
+	for i := from; i < req.AnswerTokens(); i++ {
 		if !sleep(r, s.settings.TimePerToken) {
 			return
 		}
@@ -193,8 +193,8 @@
 		}
 		_ = flusher.Flush()
 	}
-	_ = wire.WriteEvent(w, wire.NewLastChunk(attemptID, req.Model, req.Tokens()))
-	_ = wire.WriteDone(w)
+	_ = wire.WriteEvent(w, wire.NewLastChunk(attemptID, req.Model, req.AnswerTokens()))
+	_ = wire.WriteEndMarker(w)
 }
 
 // sleep waits for d and reports whether the request is still open.
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -51,7 +51,7 @@
 	}
 	f := s.faults.Current()
 	if f.Refuse {
-		w.Header().Set(wire.HeaderNotRun, "true")
+		w.Header().Set(wire.HeaderNotExecuted, "true")
 		http.Error(w, "request not executed", http.StatusServiceUnavailable)
 		return
 	}
@@ -64,7 +64,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(time.Duration(f.DelayMillis) * time.Millisecond)
-	w.Header().Set(wire.HeaderAttempt, r.Header.Get(wire.HeaderAttempt))
+	w.Header().Set(wire.HeaderAttemptID, r.Header.Get(wire.HeaderAttemptID))
 	w.Header().Set("Content-Type", "application/json")
 	fmt.Fprintf(w, `{"path":%q,"bytes":%d,"run":%d}`, r.URL.Path, len(body), n)
 }
@@ -75,7 +75,7 @@
 	if key := r.Header.Get(wire.HeaderIdempotencyKey); key != "" {
 		return "key/" + key
 	}
-	return "request/" + r.Header.Get(wire.HeaderRequest)
+	return "request/" + r.Header.Get(wire.HeaderRequestID)
 }
 
 // countExecution counts an execution of a request and returns the new count.
