--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -88,8 +88,8 @@
 		suspectsChanged: make(chan struct{}, 1),
 		inbox:           make(chan func(time.Time), inboxSize), stopped: make(chan struct{}),
 		core: fleet.New(now(), fleet.Settings{
-			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadsAtStart: s.ReadStoreAtStart,
-			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.MaxApplyDelay, MaxLeavingDelay: s.MaxDepartureDelay,
+			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadStoreAtStart: s.ReadStoreAtStart,
+			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.MaxApplyDelay, MaxDepartureDelay: s.MaxDepartureDelay,
 		}),
 		copyServer: newCopyServer(fleet.NewCopyBudget(now(), s.LinkBytesPerSecond)),
 		roster:     placement.NewTargetSet(),
@@ -215,7 +215,7 @@
 	}
 	c.updateStaleness(now)
 	if c.departures.hasUnsent || c.poisonReportPending {
-		c.handleEvent(ctx, now, fleet.ReportsPending{UrgentReports: c.takeReports(now)})
+		c.handleEvent(ctx, now, fleet.UrgentReportsPending{UrgentReports: c.takeReports(now)})
 	}
 }
 
@@ -231,7 +231,7 @@
 func (c *Control) reportDeparture(d placement.Departure) {
 	c.submit(func(now time.Time) {
 		c.departures.add([]placement.Departure{d})
-		c.handleEvent(c.ctx, now, fleet.ReportsPending{UrgentReports: c.takeReports(now)})
+		c.handleEvent(c.ctx, now, fleet.UrgentReportsPending{UrgentReports: c.takeReports(now)})
 	})
 }
 
@@ -276,7 +276,7 @@
 		ejected = c.traffic.board.ReceiveReport(now, a.Source, a.Loads, a.Outcomes)
 		c.traffic.loadsReportedAt = now
 	}
-	c.traffic.board.ReceivePrefixReads(now, a.Prompts)
+	c.traffic.board.ReceivePrefixReads(now, a.PrefixReads)
 	c.traffic.mu.Unlock()
 	c.applyDepartures(now, a.Departures)
 	if !a.Poison.Empty() {
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -84,7 +84,7 @@
 func (g *poisonGuard) takeReport(now time.Time) fleet.UrgentReports {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return fleet.UrgentReports{Poison: g.detector.NextReport(now), HeldSuspects: g.detector.ListSuspects(now), HeldSynced: g.suspectsKnown}
+	return fleet.UrgentReports{Poison: g.detector.NextReport(now), HeldSuspects: g.detector.ListSuspects(now), SuspectsSynced: g.suspectsKnown}
 }
 
 // tick expires probes and suspects, and sets the routers that are alive.
--- a/internal/app/gateway/reads.go
+++ b/internal/app/gateway/reads.go
@@ -69,5 +69,5 @@
 		c.log.Line(eventlog.Copied).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Uint64("row", reply.GetVersion()).
 			Bool("whole", reply.GetWhole()).Int("bytes", size).Dur("took", c.now().Sub(startedAt)).Msg("")
 	}
-	c.postEvent(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Reply: reply})
+	c.postEvent(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Response: reply})
 }
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -274,5 +274,5 @@
 func (v *trafficState) digestContent(now time.Time) fleet.Tick {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return fleet.Tick{Loads: v.board.OwnLoads(), Outcomes: v.board.OutcomesToReport(now), Prompts: v.board.TakePrefixReads(maxPromptsPerDigest)}
+	return fleet.Tick{Loads: v.board.OwnLoads(), Outcomes: v.board.OutcomesToReport(now), PrefixReads: v.board.TakePrefixReads(maxPromptsPerDigest)}
 }
--- a/internal/core/fleet/away.go
+++ b/internal/core/fleet/away.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// noReaderTimeout is the time without any store reader after which there is a store outage.
-	// Readers that the store refuses are replaced within a few digests.
+	// noReaderTimeout is the time without any store reader after which a failed store call means a
+	// store outage. Readers that the store refuses are replaced within a few digests.
 	noReaderTimeout = 600 * time.Millisecond
 	// outageClearDelay is how long an outage still counts after a router reads the store again. The
 	// readers see within 1.5 s which entries expired during the outage.
@@ -28,40 +28,40 @@
 type outageDetector struct {
 	lastTickAt   time.Time
 	stallEndedAt time.Time // zero if this router never stalled
-	// lastReadAt is when some router was last known to read the store; zero if never. A stall moves
-	// it to the end of the stall.
-	lastReadAt time.Time
-	// readSince is since when store readers have been known without a gap, to this router or to a
-	// router that reported it; zero if no reader is known.
-	readSince time.Time
+	// readerLastKnownAt is when some router was last known to read the store; zero if never. A
+	// stall moves it to the end of the stall.
+	readerLastKnownAt time.Time
+	// readerKnownSince is since when store readers have been known without a gap, to this router or
+	// to a router that reported it; zero if no reader is known.
+	readerKnownSince time.Time
 	// lastFailureAt is when a store call of any router last failed, as far as this router knows;
 	// zero if never.
 	lastFailureAt time.Time
-	// startedAt is the last read before the last outage, endedAt the last moment of that
-	// outage; both are zero if there was none.
+	// startedAt is readerLastKnownAt before the last outage, endedAt the last tick in that outage;
+	// both are zero if there was none.
 	startedAt, endedAt time.Time
 }
 
 // tick records whether some router is known to read the store and detects outages.
 func (o *outageDetector) tick(now time.Time, readerKnown bool) {
 	if o.stalled(now) {
-		o.stallEndedAt, o.readSince = now, time.Time{}
-		if !o.lastReadAt.IsZero() {
-			o.lastReadAt = now
+		o.stallEndedAt, o.readerKnownSince = now, time.Time{}
+		if !o.readerLastKnownAt.IsZero() {
+			o.readerLastKnownAt = now
 		}
 	}
 	o.lastTickAt = now
 	switch {
 	case readerKnown:
-		o.lastReadAt = now
-		if o.readSince.IsZero() {
-			o.readSince = now
+		o.readerLastKnownAt = now
+		if o.readerKnownSince.IsZero() {
+			o.readerKnownSince = now
 		}
-	case o.lastReadAt.IsZero() || now.Sub(o.lastReadAt) < noReaderTimeout:
+	case o.readerLastKnownAt.IsZero() || now.Sub(o.readerLastKnownAt) < noReaderTimeout:
 	default:
-		o.readSince = time.Time{}
-		if o.lastFailureAt.After(o.lastReadAt) {
-			o.startedAt, o.endedAt = o.lastReadAt, now
+		o.readerKnownSince = time.Time{}
+		if o.lastFailureAt.After(o.readerLastKnownAt) {
+			o.startedAt, o.endedAt = o.readerLastKnownAt, now
 		}
 	}
 }
@@ -91,8 +91,8 @@
 		return
 	}
 	since := now.Add(-time.Duration(age) * time.Millisecond)
-	if o.readSince.IsZero() || since.Before(o.readSince) {
-		o.readSince = since
+	if o.readerKnownSince.IsZero() || since.Before(o.readerKnownSince) {
+		o.readerKnownSince = since
 	}
 	if !o.endedAt.IsZero() && since.Before(o.startedAt) {
 		o.startedAt, o.endedAt = time.Time{}, time.Time{}
@@ -101,8 +101,8 @@
 
 // writeTo adds the store state that this router knows to a digest.
 func (o *outageDetector) writeTo(now time.Time, d *peerv1.Digest) {
-	if !o.readSince.IsZero() {
-		d.StoreReadMillis = uint32(now.Sub(o.readSince).Milliseconds())
+	if !o.readerKnownSince.IsZero() {
+		d.StoreReadMillis = uint32(now.Sub(o.readerKnownSince).Milliseconds())
 	}
 	if !o.lastFailureAt.IsZero() && now.Sub(o.lastFailureAt) < outageClearDelay {
 		d.StoreFailedMillis = uint32(now.Sub(o.lastFailureAt).Milliseconds()) + 1
@@ -116,8 +116,8 @@
 	return !o.endedAt.IsZero() && now.Sub(o.endedAt) < outageClearDelay
 }
 
-// LastOutage returns the last read before the last store outage and the last moment of that
-// outage; both are zero if there was none.
+// LastOutage returns when some router was last known to read the store before the last store
+// outage, and the last tick in that outage; both are zero if there was none.
 func (c *Core) LastOutage() (since, until time.Time) { return c.outages.startedAt, c.outages.endedAt }
 
 // hasReader reports whether some router is known to read the store.
--- a/internal/core/fleet/bench_test.go
+++ b/internal/core/fleet/bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/fleet"
 )
 
-// BenchmarkDigestIn measures the processing of a digest. The digests come in turn from 80 routers
-// of a data centre, with one tick per round.
-func BenchmarkDigestIn(b *testing.B) {
-	c := fleet.New(start, fleet.Settings{Self: address(200), Incarnation: 1, Seed: 1, MaxApplyDelay: time.Second, MaxLeavingDelay: time.Second})
+// BenchmarkDigestReceived measures the processing of a digest. The digests come in turn from 80
+// routers of a data centre, with one tick per round.
+func BenchmarkDigestReceived(b *testing.B) {
+	c := fleet.New(start, fleet.Settings{Self: address(200), Incarnation: 1, Seed: 1, MaxApplyDelay: time.Second, MaxDepartureDelay: time.Second})
 	data := make([][]byte, 80)
 	ds := make([]*peerv1.Digest, 80)
 	for i := range ds {
--- a/internal/core/fleet/copying.go
+++ b/internal/core/fleet/copying.go
@@ -21,8 +21,8 @@
 	return min(minCopyTimeout<<min(c.failures, 8), maxCopyTimeout)
 }
 
-// copyIfOutdated requests a copy of each table for which another router has a newer version.
-func (c *Core) copyIfOutdated(now time.Time) {
+// copyNewerTables requests a copy of each table for which another router has a newer version.
+func (c *Core) copyNewerTables(now time.Time) {
 	for i := range c.tables {
 		t := Table(i)
 		copying := &c.copying[t]
@@ -41,12 +41,12 @@
 	c.emit(RequestCopy{Peer: from, Table: t, After: c.tables[t].Version(), Timeout: timeout})
 }
 
-// maxHoldersInReply is how many other holders of a copy a busy router names.
-const maxHoldersInReply = 3
+// maxHoldersInResponse is how many other holders of a copy a busy router names.
+const maxHoldersInResponse = 3
 
-// TableHolders returns some of the routers whose copy is as new as this router's. Routers receive
-// digests only from their relays: if only relays served a large desired state, a data centre would
-// wait for the relays' links.
+// TableHolders returns some of the routers, other than the requester, whose copy is at least as new
+// as this router's. Most routers receive digests only from relays, and so know only of the relays'
+// copies: if only relays served a large desired state, a data centre would wait for their links.
 func (c *Core) TableHolders(now time.Time, t Table, requester Address) []Address {
 	var out []Address
 	for _, p := range c.sortedPeers() {
@@ -55,7 +55,7 @@
 		}
 	}
 	c.rand.Shuffle(len(out), func(i, k int) { out[i], out[k] = out[k], out[i] })
-	return out[:min(len(out), maxHoldersInReply)]
+	return out[:min(len(out), maxHoldersInResponse)]
 }
 
 // EncodeAddresses encodes router addresses for a copy response. Invalid addresses are omitted.
@@ -89,9 +89,9 @@
 		if !p.isHeard(now) {
 			continue
 		}
-		switch cmp.Compare(p.versions[t], best) {
+		switch cmp.Compare(p.availableVersions[t], best) {
 		case 1:
-			best, holders = p.versions[t], []Address{p.address}
+			best, holders = p.availableVersions[t], []Address{p.address}
 		case 0:
 			holders = append(holders, p.address)
 		}
@@ -104,9 +104,9 @@
 
 func (c *Core) copyCompleted(now time.Time, ev CopyCompleted) {
 	c.copying[ev.Table].deadline = time.Time{}
-	if ev.Reply == nil {
+	if ev.Response == nil {
 		if p, ok := c.peers[ev.From]; ok {
-			p.versions[ev.Table] = 0 // don't ask this router again before its next digest
+			p.availableVersions[ev.Table] = 0 // don't ask this router again before its next digest
 		}
 		switch {
 		case !ev.Busy:
@@ -114,24 +114,24 @@
 		case len(ev.Holders) > 0:
 			c.requestCopy(now, ev.Table, ev.Holders[c.rand.IntN(len(ev.Holders))])
 		default:
-			c.copyIfOutdated(now)
+			c.copyNewerTables(now)
 		}
 		return
 	}
 	c.copying[ev.Table].failures = 0
-	rows := make([]replica.Row, len(ev.Reply.GetRows()))
-	for i, r := range ev.Reply.GetRows() {
+	rows := make([]replica.Row, len(ev.Response.GetRows()))
+	for i, r := range ev.Response.GetRows() {
 		rows[i] = replica.Row{Key: r.GetKey(), Value: r.GetValue(), Version: r.GetVersion(), Removed: r.GetRemoved()}
 	}
 	table := c.tables[ev.Table]
 	changed := false
-	if ev.Reply.GetWhole() {
-		changed = table.Load(ev.Reply.GetVersion(), rows)
+	if ev.Response.GetWhole() {
+		changed = table.Load(ev.Response.GetVersion(), rows)
 	} else {
-		changed = table.Apply(rows, ev.Reply.GetVersion())
+		changed = table.Apply(rows, ev.Response.GetVersion())
 	}
 	if changed {
-		c.readers[ev.Table].needsFullRead = false
+		c.readStates[ev.Table].needsFullRead = false
 		c.tableChanged(ev.Table, string(ev.From))
 	}
 }
--- a/internal/core/fleet/events.go
+++ b/internal/core/fleet/events.go
@@ -41,14 +41,14 @@
 // The events: answers to the actions of a Core, messages from other routers, and changes at this
 // router.
 type (
-	// ChangesRead reports that the store returned the changes after a version. The next read starts
-	// at Position.
+	// ChangesRead reports that the store returned the changes after a version. Position is the
+	// store version up to which the table has now been read; the next read starts there.
 	ChangesRead struct {
 		Table    Table
 		Position uint64
 		Rows     []replica.Row
 	}
-	// TableRead reports that the store returned the whole table as of Position.
+	// TableRead reports that the store returned the whole table as of version Position.
 	TableRead struct {
 		Table    Table
 		Position uint64
@@ -68,13 +68,13 @@
 		From   Address
 		Digest *peerv1.Digest
 	}
-	// CopyCompleted reports the end of a copy request. Reply is nil if the call failed or if the
+	// CopyCompleted reports the end of a copy request. Response is nil if the call failed or if the
 	// router is busy with other copies.
 	CopyCompleted struct {
-		From  Address
-		Table Table
-		Reply *peerv1.CopyResponse
-		Busy  bool
+		From     Address
+		Table    Table
+		Response *peerv1.CopyResponse
+		Busy     bool
 		// Holders are other routers with a copy, named by a busy router.
 		Holders []Address
 	}
@@ -84,34 +84,35 @@
 	Tick struct {
 		Loads    []placement.Load
 		Outcomes []placement.TargetOutcomes
-		// Prompts are sent in the next digest only.
-		Prompts []placement.PrefixRead
+		// PrefixReads are sent in the next digest only.
+		PrefixReads []placement.PrefixRead
 		UrgentReports
 	}
-	// ReportsPending passes urgent reports that the core must send immediately.
-	ReportsPending struct{ UrgentReports }
+	// UrgentReportsPending passes reports that the core must send before the next tick.
+	UrgentReportsPending struct{ UrgentReports }
 	// Shutdown announces that this router is about to stop.
 	Shutdown struct{}
 )
 
-func (ChangesRead) isEvent()         {}
-func (TableRead) isEvent()           {}
-func (ReadFailed) isEvent()          {}
-func (DigestReceived) isEvent()      {}
-func (CopyCompleted) isEvent()       {}
-func (AddressesDiscovered) isEvent() {}
-func (Tick) isEvent()                {}
-func (ReportsPending) isEvent()      {}
-func (Shutdown) isEvent()            {}
+func (ChangesRead) isEvent()          {}
+func (TableRead) isEvent()            {}
+func (ReadFailed) isEvent()           {}
+func (DigestReceived) isEvent()       {}
+func (CopyCompleted) isEvent()        {}
+func (AddressesDiscovered) isEvent()  {}
+func (Tick) isEvent()                 {}
+func (UrgentReportsPending) isEvent() {}
+func (Shutdown) isEvent()             {}
 
-// UrgentReports are reports that digests send immediately, with the state that they belong to.
+// UrgentReports are the reports that are sent without waiting for the next heartbeat, and all
+// suspects that this router holds.
 type UrgentReports struct {
 	Departures []placement.Departure
 	Poison     poison.Report
-	// HeldSuspects are all suspects that this router holds. HeldSynced is set once this router has
-	// received the suspects of the other routers.
-	HeldSuspects []poison.Suspect
-	HeldSynced   bool
+	// HeldSuspects are all suspects that this router holds. SuspectsSynced is set once they include
+	// the suspects of the other routers.
+	HeldSuspects   []poison.Suspect
+	SuspectsSynced bool
 }
 
 // Action is an output of a Core.
@@ -158,18 +159,18 @@
 		Source string
 	}
 	// ReportReceived passes on what a source reported: open requests, outcomes at failing targets,
-	// which parts of prompts were read by which target, departures and poison reports. Unless
-	// Partial is set, it replaces the source's earlier loads and outcomes.
+	// which targets have read which prompt prefixes, departures and poison reports. Unless Partial
+	// is set, it replaces the source's earlier loads and outcomes.
 	ReportReceived struct {
-		// Source identifies a router, a data centre, or the fleet without this router. Sources
-		// don't overlap, except for those discarded by ReportsDiscarded.
-		Source     uint32
-		Loads      []placement.Load
-		Outcomes   []placement.TargetOutcomes
-		Prompts    []placement.PrefixRead
-		Departures []placement.Departure
-		Poison     poison.Report
-		// Partial: the report has only prompts, departures and poison reports.
+		// Source identifies a router, a data centre, or the fleet without this router. No router is
+		// covered by two sources, except for those that ReportsDiscarded invalidates.
+		Source      uint32
+		Loads       []placement.Load
+		Outcomes    []placement.TargetOutcomes
+		PrefixReads []placement.PrefixRead
+		Departures  []placement.Departure
+		Poison      poison.Report
+		// Partial is set if the report has only prefix reads, departures and poison reports.
 		Partial bool
 	}
 	// ReportsDiscarded invalidates the reports of these sources, or of all sources if Sources is
@@ -183,16 +184,17 @@
 		Relay  bool
 		Feeder Address // the relay that feeds this router; empty if there is none
 	}
-	// PeerUp reports that a router was heard for the first time, again, or after a restart. It is
-	// only logged.
+	// PeerUp reports that a digest of a router arrived for the first time, again after a silence,
+	// or after a restart. It is only logged.
 	PeerUp struct {
 		Peer      Address
 		Restarted bool
 	}
 	// PeerDown reports that a router has been silent for too long and that no relay vouches for it.
+	// The reports of Source no longer count.
 	PeerDown struct {
 		Peer      Address
-		Source    uint32
+		Source    uint32 // the router as a source of load reports
 		SilentFor time.Duration
 	}
 	// StoreStateChanged reports that the store became reachable or unreachable, or that this router
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -42,31 +42,32 @@
 	// cost money.
 	shortWaitShare = 0.5
 	longWait       = 15 * time.Second
-	// joinDelay is how long routers wait for those of higher rank to replace a reader: long enough
-	// for a store call and a digest, and short against the two seconds in which a change has to be
-	// applied.
-	joinDelay = 250 * time.Millisecond
-	// firstStartDelay is how long a router waits for the digests of other routers, relays in
-	// particular, before it becomes a reader, when all routers start for the first time. A random
-	// extra of up to half of it spreads the start, so that the first routers save the others their
-	// calls.
+	// readerTakeoverDelay is how long a router waits for those of higher rank to replace a reader:
+	// long enough for a store call and a digest, and short against the two seconds in which a
+	// change has to be applied.
+	readerTakeoverDelay = 250 * time.Millisecond
+	// firstStartDelay is how long a router without Settings.ReadStoreAtStart waits for the digests
+	// of other routers, relays in particular, before it becomes a reader. All routers start for the
+	// first time then. A random extra of up to half of the delay spreads the starts, so that the
+	// first routers save the others their calls.
 	firstStartDelay = 600 * time.Millisecond
-	// restartDelay replaces firstStartDelay when other routers may be running: a running seed has
-	// answered by then. maxRestartDelay applies while routers named in a greeting are missing,
-	// because then many restart at once.
+	// restartDelay replaces firstStartDelay for a router with Settings.ReadStoreAtStart. Other
+	// routers may be running then, and a running seed has answered by the end of the delay.
+	// maxRestartDelay applies while routers that a greeting listed are not alive, because many
+	// routers restart at once then.
 	restartDelay    = 130 * time.Millisecond
 	maxRestartDelay = 500 * time.Millisecond
 	// firstStartCopyTimeout is how long a router waits for copies from other routers before it
 	// reads tables itself, when all routers start for the first time, well before requests arrive.
-	// A restarted router reads immediately because callers wait.
+	// A router with Settings.ReadStoreAtStart reads immediately because callers wait.
 	firstStartCopyTimeout = 3 * time.Second
 	// minRetryDelay and maxRetryDelay limit the delay after a failed store call. Calls cost money
 	// even if refused, and the fleet shares a rate limit.
 	minRetryDelay = 150 * time.Millisecond
 	maxRetryDelay = time.Second
-	// minFedRetryDelay and maxFedRetryDelay apply to routers that a relay feeds. These read the
-	// store only while no relay can. After their first calls this means a store outage, and the
-	// relays detect its end.
+	// minFedRetryDelay and maxFedRetryDelay apply to routers that are not relays. These read the
+	// store only while no relay can. If their own first calls fail as well, there is a store
+	// outage, and the relays detect its end.
 	minFedRetryDelay = time.Second
 	maxFedRetryDelay = 6 * time.Second
 	// minCopyTimeout is the timeout of the first copy request. Each failure doubles the timeout up
@@ -86,23 +87,24 @@
 	// become relays first.
 	Strength uint32
 	Seed     uint64
-	// ReadsAtStart makes the router read the store soon after its start if it receives no copies.
-	// Without it the router first waits for copies from other routers.
-	ReadsAtStart bool
+	// ReadStoreAtStart makes the router read the store soon after its start if it receives no
+	// copies. Routers that start together with the whole fleet don't have it set: they wait longer
+	// for copies from those that read the store first.
+	ReadStoreAtStart bool
 	// MaxApplyDelay is the time within which a desired state has to be applied.
 	MaxApplyDelay time.Duration
-	// MaxLeavingDelay is the time within which a leaving target must stop receiving requests.
-	MaxLeavingDelay time.Duration
+	// MaxDepartureDelay is the time within which a leaving target must stop receiving requests.
+	MaxDepartureDelay time.Duration
 }
 
-// reader is the state of reading one table from the store.
-type reader struct {
-	callPending   bool // a store call is pending
-	position      uint64
-	failures      int // consecutive failures
+// readState is the state of reading one table from the store.
+type readState struct {
+	callPending   bool
+	position      uint64 // version after which the next read of changes starts
+	failures      int    // consecutive failures
 	retryAt       time.Time
 	needsFullRead bool
-	lastCallOK    bool      // the last call succeeded
+	lastCallOK    bool      // the last call succeeded; false unless this router is a store reader
 	answeredAt    time.Time // time of the last answer
 	// batchUntil is the earliest time of the next call, which lets changes accumulate.
 	batchUntil time.Time
@@ -116,22 +118,22 @@
 
 // Core is the state of one router. It is not safe for concurrent use.
 type Core struct {
-	settings Settings
-	own      candidate // this router with its rank
-	rand     *rand.Rand
-	tables   [TableCount]*replica.Table
-	readers  [TableCount]reader
-	peers    map[Address]*peer
+	settings   Settings
+	own        candidate // this router with its rank
+	rand       *rand.Rand
+	tables     [TableCount]*replica.Table
+	readStates [TableCount]readState
+	peers      map[Address]*peer
 
-	started time.Time
+	startedAt time.Time
 
-	startDelayFactor float64 // factor of the start delay
+	readDelayFactor float64 // random factor of readDelay, from 1 to 1.5
 	// readersMissingSince is since when there have been too few store readers; zero if there are
 	// enough.
 	readersMissingSince time.Time
 	reading             bool
-	isFirst             bool // this router is the first reader, as far as it knows
-	reachable           bool
+	isFirstReader       bool // this router is the first reader, as far as it knows
+	reachable           bool // as last reported; false unless this router is a reader
 	outages             outageDetector
 	leaving             bool
 
@@ -139,7 +141,7 @@
 	lastSentAt       time.Time
 	lastLoads        []placement.Load
 	outcomes         []placement.TargetOutcomes
-	prompts          []placement.PrefixRead // not yet sent
+	prefixReads      []placement.PrefixRead // not yet sent
 	departures       []placement.Departure
 	poison           poison.Report
 	suspects         suspects
@@ -147,31 +149,31 @@
 
 	outcomesSentAt time.Time
 	digestPending  bool // a digest must be sent immediately
-	urgent         bool // the digest being sent was requested by digestPending
+	urgent         bool // the digests being sent can't wait for the next tick
 	reportsChanged bool // reports changed since they were last passed on
 	copying        [TableCount]copyState
 
-	centres         map[string]*centre // data centres with running routers
-	topologyStale   bool               // centres must be recomputed
-	relay           bool
-	announcements   int     // remaining digests that are sent to the whole data centre
-	feeder          Address // empty if there is none
-	fedAt           time.Time
-	feedRequestedAt time.Time // when the feeder was chosen
-	lastReceivedAt  time.Time // time of the last digest from any router
-	relaySearchAt   time.Time
-	probedAt        time.Time
-	contacts        []Address // discovered routers that the next digest is sent to
-	greetPeers      []Address // routers that need a greeting
-	centreSums      map[string]*sourceReport
-	toCentres       outbox
-	toFollowers     outbox
-	peerOrder       []*peer // result of sortedPeers
-	peersChanged    bool
-	knownReaders    int
-	behind          bool // another router reports a newer desired state
-	// outdatedSince is since when at least half of the other routers have reported a newer desired
-	// state; zero if fewer do.
+	centres                map[string]*centre // data centres with running routers
+	topologyStale          bool               // centres must be recomputed
+	relay                  bool
+	remainingAnnouncements int     // own digests that still go to the whole data centre
+	feeder                 Address // empty if there is none
+	fedAt                  time.Time
+	feedRequestedAt        time.Time // when the feeder was chosen
+	lastReceivedAt         time.Time // time of the last digest from any router
+	relaySearchAt          time.Time
+	probedAt               time.Time
+	contacts               []Address // discovered routers that the next digest is sent to
+	peersToGreet           []Address
+	centreSums             map[string]*sourceReport
+	centreOutbox           outbox
+	followerOutbox         outbox
+	peerOrder              []*peer // result of sortedPeers
+	peersChanged           bool
+	knownReaders           int
+	behind                 bool // a router that is heard reports a newer desired state
+	// outdatedSince is since when at least half of the routers that are heard have reported a newer
+	// desired state; zero if fewer do.
 	outdatedSince time.Time
 
 	actions []Action
@@ -180,13 +182,13 @@
 // New returns a Core with empty tables.
 func New(now time.Time, s Settings) *Core {
 	c := &Core{
-		settings: s, own: candidate{rankOf(s.Self, s.Strength), s.Self}, started: now, rand: rand.New(rand.NewPCG(s.Seed, s.Incarnation)), peers: make(map[Address]*peer),
+		settings: s, own: candidate{rankOf(s.Self, s.Strength), s.Self}, startedAt: now, rand: rand.New(rand.NewPCG(s.Seed, s.Incarnation)), peers: make(map[Address]*peer),
 		centres: make(map[string]*centre), centreSums: make(map[string]*sourceReport),
 	}
-	c.startDelayFactor = 1 + 0.5*c.rand.Float64()
+	c.readDelayFactor = 1 + 0.5*c.rand.Float64()
 	for i := range c.tables {
 		c.tables[i] = replica.New()
-		c.readers[i].needsFullRead = true
+		c.readStates[i].needsFullRead = true
 	}
 	c.updateTopology(now)
 	c.actions, c.digestPending = nil, false
@@ -205,7 +207,7 @@
 func (c *Core) ReadsStore() bool { return c.reading }
 
 // IsFirstReader reports whether this router is the highest-ranked store reader, as far as it knows.
-func (c *Core) IsFirstReader() bool { return c.reading && c.isFirst }
+func (c *Core) IsFirstReader() bool { return c.reading && c.isFirstReader }
 
 // Step processes one event and returns the resulting actions. The slice is valid until the next
 // call.
@@ -227,11 +229,11 @@
 		c.addressesDiscovered(now, ev)
 	case Tick:
 		c.tick(now, ev)
-	case ReportsPending:
-		c.queueReports(ev.UrgentReports)
+	case UrgentReportsPending:
+		c.setUrgentReports(ev.UrgentReports)
 		c.digestPending = true
 		if len(ev.Departures) > 0 || len(ev.Poison.Suspects) > 0 {
-			c.announcements = max(c.announcements, 1)
+			c.remainingAnnouncements = max(c.remainingAnnouncements, 1)
 		}
 	case Shutdown:
 		c.leaving, c.digestPending = true, true
@@ -249,8 +251,8 @@
 	return c.actions
 }
 
-// updateVersionLag records since when other routers have reported newer versions. It visits all
-// routers, so it runs once a tick and not at each digest.
+// updateVersionLag records since when the routers that are heard have reported newer versions. It
+// visits all routers, so it runs once a tick and not at each digest.
 func (c *Core) updateVersionLag(now time.Time) {
 	heard, newer := 0, 0
 	var newest [TableCount]uint64
@@ -282,12 +284,13 @@
 	}
 }
 
-// IsBehind reports whether a live router reports a newer desired state than this router's.
+// IsBehind reports whether some router that this one receives digests from has a newer desired
+// state.
 func (c *Core) IsBehind() bool { return c.behind }
 
-// OutdatedFor returns for how long at least half of the other live routers have had a newer desired
-// state. A newer state at only a few routers does not count: they may be unable to pass it on, and
-// no router would be left to serve.
+// OutdatedFor returns for how long at least half of the routers that this one receives digests from
+// have had a newer desired state; 0 if fewer do. A newer state at only a few routers does not
+// count: they may be unable to pass it on, and no router would be left to serve.
 func (c *Core) OutdatedFor(now time.Time) time.Duration {
 	if c.outdatedSince.IsZero() {
 		return 0
@@ -303,31 +306,31 @@
 	c.cancelLostCall(now)
 	c.outages.tick(now, c.hasReader(now))
 	c.updateVersionLag(now)
-	c.outcomes, c.prompts = ev.Outcomes, append(c.prompts, ev.Prompts...)
-	c.queueReports(ev.UrgentReports)
+	c.outcomes, c.prefixReads = ev.Outcomes, append(c.prefixReads, ev.PrefixReads...)
+	c.setUrgentReports(ev.UrgentReports)
 	heartbeat, reportsToForward := heartbeatInterval, false
 	if c.relay && c.centres[c.settings.DataCentre].hasFollowers() {
-		heartbeat, reportsToForward = relayHeartbeatInterval, c.reportsChanged || len(c.toFollowers.prompts) > 0
+		heartbeat, reportsToForward = relayHeartbeatInterval, c.reportsChanged || len(c.followerOutbox.prefixReads) > 0
 	}
-	if c.needsRelays(now) || c.announcements > 0 {
+	if c.needsRelays(now) || c.remainingAnnouncements > 0 {
 		heartbeat = min(heartbeat, relaySearchInterval)
 	}
-	if len(c.prompts) > 0 || c.hasUrgentReports() || reportsToForward || !equalLoads(ev.Loads, c.lastLoads) || now.Sub(c.lastSentAt) >= heartbeat {
+	if len(c.prefixReads) > 0 || c.hasUrgentReports() || reportsToForward || !equalLoads(ev.Loads, c.lastLoads) || now.Sub(c.lastSentAt) >= heartbeat {
 		c.sendDigests(now, ev.Loads)
 	}
 	c.probe(now)
 	for t := range c.copying {
 		if !c.copying[t].behindSince.IsZero() {
-			c.copyIfOutdated(now)
+			c.copyNewerTables(now)
 			break
 		}
 	}
 }
 
-// queueReports sets the urgent reports of the next digest.
-func (c *Core) queueReports(reports UrgentReports) {
+// setUrgentReports sets the urgent reports of the next digest and this router's suspects.
+func (c *Core) setUrgentReports(reports UrgentReports) {
 	c.departures, c.poison = reports.Departures, reports.Poison
-	c.holdSuspects(reports)
+	c.setSuspects(reports)
 }
 
 func equalLoads(a, b []placement.Load) bool {
@@ -350,9 +353,9 @@
 // request a copy as soon as they learn of the new version.
 func (c *Core) tableChanged(t Table, source string) {
 	c.digestPending = true
-	c.announcements = max(c.announcements, 1)
+	c.remainingAnnouncements = max(c.remainingAnnouncements, 1)
 	if t == DesiredTable {
-		c.behind = false // as far as is known; the next tick checks all routers
+		c.behind = false // until the next tick compares the versions of all routers
 	}
 	c.emit(TableChanged{Table: t, Version: c.tables[t].Version(), Source: source})
 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -59,7 +59,7 @@
 			v = n.write(fleet.TargetsTable, fmt.Sprint(i), "ready")
 			n.run(65 * time.Millisecond)
 		}
-		n.run(maxLeavingDelay / 10)
+		n.run(maxDepartureDelay / 10)
 		Expect(n.behind(fleet.TargetsTable, v)).To(BeEmpty())
 		Expect(n.store.calls-before).To(BeNumerically("<", 80), "one answer per change and reader would be 186 calls")
 	})
@@ -74,7 +74,7 @@
 		}
 		Expect(n.behind(fleet.TargetsTable, v)).To(BeEmpty())
 		v = n.write(fleet.TargetsTable, "t1", "draining")
-		n.run(maxLeavingDelay * 4 / 10)
+		n.run(maxDepartureDelay * 4 / 10)
 		Expect(n.behind(fleet.TargetsTable, v)).To(BeEmpty())
 	})
 
@@ -168,7 +168,7 @@
 			for _, x := range n.nodes {
 				downs += len(x.peerDowns)
 			}
-			Expect(downs).To(BeNumerically("<=", maxDowns), "routers considered down")
+			Expect(downs).To(BeNumerically("<=", maxDowns), "running routers considered down")
 		},
 		Entry("3% lost", 0.03, 0),
 		Entry("10% lost", 0.1, 12),
@@ -268,11 +268,11 @@
 		Expect(n.readers()).NotTo(ContainElement(leaving))
 	})
 
-	It("sends prompt locations in one digest, and passes on those of other routers", func() {
+	It("sends prefix reads in one digest, and passes on those of other routers", func() {
 		c := fleet.New(n.now, fleet.Settings{Self: "self", Incarnation: 1})
 		c.Step(n.now, fleet.DigestReceived{From: "other", Digest: &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 1}})
 		read := []placement.PrefixRead{{Prefix: 1, Target: 2}}
-		sentPrompts := func(t fleet.Tick, after time.Duration) (parts, targets []uint64) {
+		sentPrefixReads := func(t fleet.Tick, after time.Duration) (parts, targets []uint64) {
 			for _, a := range c.Step(n.now.Add(after), t) {
 				if d, ok := a.(fleet.SendDigest); ok {
 					parts = append(parts, d.Digest.GetPromptPart()...)
@@ -281,14 +281,14 @@
 			}
 			return parts, targets
 		}
-		sentPrompts(fleet.Tick{}, 0)
-		parts, targets := sentPrompts(fleet.Tick{Prompts: read}, 10*time.Millisecond)
+		sentPrefixReads(fleet.Tick{}, 0)
+		parts, targets := sentPrefixReads(fleet.Tick{PrefixReads: read}, 10*time.Millisecond)
 		Expect(parts).To(Equal([]uint64{1}), "sent immediately, not with the next heartbeat")
 		Expect(targets).To(Equal([]uint64{2}))
-		Expect(sentPrompts(fleet.Tick{}, time.Second)).To(BeEmpty())
+		Expect(sentPrefixReads(fleet.Tick{}, time.Second)).To(BeEmpty())
 		d := &peerv1.Digest{Protocol: fleet.Protocol, Incarnation: 5, Sequence: 2, Report: &peerv1.Report{}, PromptPart: []uint64{7, 8}, PromptTarget: []uint64{9}}
 		Expect(c.Step(n.now, fleet.DigestReceived{From: "other", Digest: d})).To(ContainElement(
-			fleet.ReportReceived{Source: fleet.RouterID("other"), Loads: []placement.Load{}, Prompts: []placement.PrefixRead{{Prefix: 7, Target: 9}}}))
+			fleet.ReportReceived{Source: fleet.RouterSourceID("other"), Loads: []placement.Load{}, PrefixReads: []placement.PrefixRead{{Prefix: 7, Target: 9}}}))
 	})
 
 	// Guards against a digest of an exited process that replaces the reports of its successor. The
--- a/internal/core/fleet/leaving_test.go
+++ b/internal/core/fleet/leaving_test.go
@@ -13,8 +13,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-// maxLeavingDelay is the time within which a leaving target must stop receiving requests.
-const maxLeavingDelay = 2 * time.Second
+// maxDepartureDelay is the time within which a leaving target must stop receiving requests.
+const maxDepartureDelay = 2 * time.Second
 
 var _ = Describe("the announcement of a leaving target", func() {
 	// Guards against a leaving target that receives requests for up to 15 s after the store has
@@ -35,7 +35,7 @@
 		n.run(3 * time.Second)
 		Expect(n.readers()).To(HaveLen(3))
 		v := n.write(fleet.TargetsTable, "t1", "draining")
-		n.run(maxLeavingDelay)
+		n.run(maxDepartureDelay)
 		Expect(n.behind(fleet.TargetsTable, v)).To(BeEmpty())
 	})
 })
@@ -181,13 +181,13 @@
 				x.peerDowns, x.link.bytesSent = nil, 0
 			}
 			v := n.write(fleet.TargetsTable, "t1", "draining")
-			n.run(maxLeavingDelay)
+			n.run(maxDepartureDelay)
 			if late := n.behind(fleet.TargetsTable, v); len(late) > 0 {
 				t.Fatalf("routers with old copies: %v", late)
 			}
 			for i := range routers {
 				a, x := address(i), n.nodes[address(i)]
-				if len(x.peerDowns) > 0 || float64(x.link.bytesSent) > linkBytes*maxLeavingDelay.Seconds()/2 {
+				if len(x.peerDowns) > 0 || float64(x.link.bytesSent) > linkBytes*maxDepartureDelay.Seconds()/2 {
 					t.Fatalf("%s: %d routers considered down, %d bytes of digests sent", a, len(x.peerDowns), x.link.bytesSent)
 				}
 			}
--- a/internal/core/fleet/levels_test.go
+++ b/internal/core/fleet/levels_test.go
@@ -15,7 +15,6 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/testkit"
 )
 
-// targetCount is the number of targets.
 const targetCount = 79
 
 // smallLinkBytes is the bandwidth of a small VM's link in bytes per second. smallLinkQueue is the
@@ -100,16 +99,17 @@
 	return float64(errorSum) / float64(up*(up-1))
 }
 
-// digestRates returns bytes of digests per second since resetCounters.
-func (n *net) digestRates(period time.Duration) (maxMemberRate, maxSentRate, meanSentRate int) {
+// digestRates returns the bytes of digests per second since resetCounters: the most that a follower
+// received or sent, the most that any router sent, and the mean that a router sent.
+func (n *net) digestRates(period time.Duration) (maxFollowerRate, maxSentRate, meanSentRate int) {
 	for _, x := range n.nodes {
 		if relay, _ := x.core.Role(); !relay {
-			maxMemberRate = max(maxMemberRate, int(float64(max(x.link.bytesReceived, x.link.bytesSent))/period.Seconds()))
+			maxFollowerRate = max(maxFollowerRate, int(float64(max(x.link.bytesReceived, x.link.bytesSent))/period.Seconds()))
 		}
 		maxSentRate = max(maxSentRate, int(float64(x.link.bytesSent)/period.Seconds()))
 		meanSentRate += int(float64(x.link.bytesSent) / period.Seconds() / float64(len(n.nodes)))
 	}
-	return maxMemberRate, maxSentRate, meanSentRate
+	return maxFollowerRate, maxSentRate, meanSentRate
 }
 
 func (n *net) resetCounters() {
@@ -142,8 +142,8 @@
 		}
 		n.run(fleet.TickInterval)
 	}
-	member, relay, mean := n.digestRates(2 * time.Second)
-	Expect(member).To(BeNumerically("<", 28_000), "limit of control traffic per router")
+	follower, relay, mean := n.digestRates(2 * time.Second)
+	Expect(follower).To(BeNumerically("<", 28_000), "limit of control traffic per router")
 	Expect(mean).To(BeNumerically("<", 28_000))
 	Expect(relay).To(BeNumerically("<", smallLinkBytes/4), "share of a small link; copies may use two fifths")
 }
--- a/internal/core/fleet/many_test.go
+++ b/internal/core/fleet/many_test.go
@@ -34,15 +34,15 @@
 	const (
 		routers = 62
 		targets = 79
-		// replaceTime is how long routers may take to know nearly all of the fleet's load again. A
-		// feeder is replaced after 0.7 s and three exited ones after 1.5 s; then all routers have
-		// to request reports from the next in rank.
-		replaceTime = 2500 * time.Millisecond
+		// replacementTimeout is how long routers may take to know nearly all of the fleet's load
+		// again. A feeder is replaced after 0.7 s and three exited ones after 1.5 s; then all
+		// routers have to request reports from the next in rank.
+		replacementTimeout = 2500 * time.Millisecond
 		// maxLoadError is the share of the load that may then be missing or counted twice.
 		maxLoadError = 0.05
-		// settleTime is when the load must be exact again, with three known relays. Other routers
-		// vouch for exited relays for up to 3 s.
-		settleTime = 6 * time.Second
+		// settleTimeout is when the load must be exact again, with three known relays. Other
+		// routers vouch for exited relays for up to 3 s.
+		settleTimeout = 6 * time.Second
 	)
 	var n *net
 
@@ -63,9 +63,9 @@
 
 	expectReplaced := func() {
 		GinkgoHelper()
-		n.run(replaceTime)
+		n.run(replacementTimeout)
 		Expect(n.meanLoadError(targets)).To(BeNumerically("<", maxLoadError))
-		expectSettled(settleTime - replaceTime)
+		expectSettled(settleTimeout - replacementTimeout)
 	}
 
 	It("one relay is replaced", func() {
@@ -122,14 +122,14 @@
 			for a := range n.nodes {
 				n.cut[direction(cut, a)] = true
 			}
-			n.run(replaceTime)
+			n.run(replacementTimeout)
 			for _, x := range n.nodes {
 				if x.address != cut {
 					Expect(x.core.FedAt()).To(Or(BeZero(), BeTemporally(">", n.now.Add(-time.Second))), "%s", x.address)
 				}
 			}
 			clear(n.cut)
-			expectSettled(settleTime)
+			expectSettled(settleTimeout)
 		},
 		Entry("can't send", func(a, b fleet.Address) [2]fleet.Address { return [2]fleet.Address{a, b} }),
 		Entry("can't receive", func(a, b fleet.Address) [2]fleet.Address { return [2]fleet.Address{b, a} }),
--- a/internal/core/fleet/meet.go
+++ b/internal/core/fleet/meet.go
@@ -10,14 +10,14 @@
 // maxGreetingPeers is how many routers a greeting lists besides the relays.
 const maxGreetingPeers = 8
 
-// sendGreetings tells routers that need a greeting which routers are relays, and lists some others.
-// Listing all routers would fill the links of the seeds when a fleet starts at once.
+// sendGreetings sends a digest to the routers in peersToGreet that lists the relays and some other
+// routers. Listing all routers would fill the links of the seeds when a fleet starts at once.
 func (c *Core) sendGreetings(now time.Time) {
-	if len(c.greetPeers) == 0 {
+	if len(c.peersToGreet) == 0 {
 		return
 	}
-	to := c.greetPeers
-	c.greetPeers = nil
+	to := c.peersToGreet
+	c.peersToGreet = nil
 	d := c.newDigest(now)
 	listed := 0
 	c.addPeerList(now, d, func(p *peer) bool {
@@ -38,13 +38,13 @@
 	return c != nil && slices.ContainsFunc(c.relays(), func(n candidate) bool { return n.rank == r })
 }
 
-// addPeerList adds the routers for which ok returns true to a digest and marks the digest as
+// addPeerList adds the routers for which include returns true to a digest and marks the digest as
 // vouching for them.
-func (c *Core) addPeerList(now time.Time, d *peerv1.Digest, ok func(*peer) bool) {
+func (c *Core) addPeerList(now time.Time, d *peerv1.Digest, include func(*peer) bool) {
 	d.Vouches = true
 	centreIndex := make(map[string]uint32)
 	for _, p := range c.sortedPeers() {
-		if !p.located || !ok(p) {
+		if !p.located || !include(p) {
 			continue
 		}
 		address := p.address.encode()
@@ -63,7 +63,8 @@
 	}
 }
 
-// probe sends a digest of this relay to some routers that have fallen silent.
+// probe sends a digest of this relay to some routers that are no longer alive, so that data centres
+// reconnect after a partition.
 func (c *Core) probe(now time.Time) {
 	if !c.relay || !due(now, &c.probedAt, probeInterval) {
 		return
@@ -71,7 +72,7 @@
 	firstInRank := make(map[string]candidate)
 	var silent []Address
 	for _, p := range c.sortedPeers() {
-		if p.isAlive(now) || p.lastSignAt().IsZero() {
+		if p.isAlive(now) || p.lastSeenAt().IsZero() {
 			continue
 		}
 		silent = append(silent, p.address)
@@ -95,9 +96,9 @@
 	c.emit(SendDigest{To: to, Digest: c.newDigest(now)})
 }
 
-// announceRecipients adds all routers of this relay's data centre and the standby relays of the
-// other data centres.
-func (c *Core) announceRecipients(now time.Time, to []Address) []Address {
+// appendAnnouncementRecipients appends all routers of this relay's data centre and the standby
+// relays of the other data centres. It appends nothing if this router is not a relay.
+func (c *Core) appendAnnouncementRecipients(now time.Time, to []Address) []Address {
 	if !c.relay {
 		return to
 	}
--- a/internal/core/fleet/net_store_test.go
+++ b/internal/core/fleet/net_store_test.go
@@ -10,10 +10,10 @@
 
 // pendingCall is a store call that waits for a change.
 type pendingCall struct {
-	node  *node
-	table fleet.Table
-	after uint64
-	calls int // the node's call generation
+	node       *node
+	table      fleet.Table
+	after      uint64
+	generation int // the node's callGeneration when the call started
 	// lost is set when the store's answer was lost. The connection delivers nothing after that.
 	lost bool
 }
@@ -33,7 +33,8 @@
 	down            bool
 }
 
-// rejectCall fails a call if the store does not serve its node. It reports whether it did so.
+// rejectCall counts a call and fails it if the store does not serve its node. It reports whether it
+// did so.
 func (n *net) rejectCall(x *node, t fleet.Table, wait time.Duration) bool {
 	n.store.calls++
 	x.pendingCalls[t]++
@@ -81,7 +82,7 @@
 	if n.rejectCall(x, a.Table, a.Wait) {
 		return
 	}
-	w := &pendingCall{node: x, table: a.Table, after: a.After, calls: x.callGeneration[a.Table]}
+	w := &pendingCall{node: x, table: a.Table, after: a.After, generation: x.callGeneration[a.Table]}
 	n.store.waiting = append(n.store.waiting, w)
 	n.after(storeDelay, func() { n.answer(w, false) })
 	n.after(a.Wait, func() { n.answer(w, true) })
@@ -110,10 +111,10 @@
 	x := w.node
 	w.node = nil
 	if n.store.refused[x.address] {
-		n.finishCall(x, w.calls, w.table, fleet.ReadFailed{Table: w.table})
+		n.finishCall(x, w.generation, w.table, fleet.ReadFailed{Table: w.table})
 		return
 	}
-	n.finishCall(x, w.calls, w.table, fleet.ChangesRead{Table: w.table, Position: n.store.version, Rows: rows})
+	n.finishCall(x, w.generation, w.table, fleet.ChangesRead{Table: w.table, Position: n.store.version, Rows: rows})
 }
 
 func (n *net) expire(w *pendingCall) {
@@ -122,7 +123,7 @@
 	}
 	x := w.node
 	w.node = nil
-	n.finishCall(x, w.calls, w.table, fleet.ReadFailed{Table: w.table})
+	n.finishCall(x, w.generation, w.table, fleet.ReadFailed{Table: w.table})
 }
 
 // write is a transaction of an operator or a target.
--- a/internal/core/fleet/net_test.go
+++ b/internal/core/fleet/net_test.go
@@ -63,7 +63,7 @@
 	loads   []placement.Load
 	reports map[uint32]sourceReport
 	// departures are sent immediately and in the next digests, as the gateway does; the value is
-	// the number of digests left.
+	// the remaining number of digests.
 	departures     map[placement.Departure]int
 	reportsPending bool
 	departuresSeen map[uint64]time.Time // when the node learned of each leaving target
@@ -181,7 +181,7 @@
 	}
 	x.core = fleet.New(x.startsAt, fleet.Settings{
 		Self: a, Incarnation: n.starts * 7919, Seed: n.starts, DataCentre: dataCentre, Strength: strength,
-		ReadsAtStart: n.now.After(start), MaxApplyDelay: maxApplyDelay, MaxLeavingDelay: maxLeavingDelay,
+		ReadStoreAtStart: n.now.After(start), MaxApplyDelay: maxApplyDelay, MaxDepartureDelay: maxDepartureDelay,
 	})
 	n.nodes[a] = x
 	n.after(x.startsAt.Sub(n.now), func() {
@@ -215,7 +215,7 @@
 		n.handleAction(x, a)
 	}
 	if x.reportsPending || x.detector.HasUrgentReport() {
-		n.step(x, fleet.ReportsPending{UrgentReports: x.urgentReports(n.now)})
+		n.step(x, fleet.UrgentReportsPending{UrgentReports: x.urgentReports(n.now)})
 	}
 }
 
@@ -286,7 +286,7 @@
 
 // urgentReports returns the reports to be sent immediately.
 func (x *node) urgentReports(now time.Time) fleet.UrgentReports {
-	return fleet.UrgentReports{Departures: x.takeDepartures(), Poison: x.detector.NextReport(now), HeldSuspects: x.detector.ListSuspects(now), HeldSynced: x.suspectsSynced}
+	return fleet.UrgentReports{Departures: x.takeDepartures(), Poison: x.detector.NextReport(now), HeldSuspects: x.detector.ListSuspects(now), SuspectsSynced: x.suspectsSynced}
 }
 
 // handleReport processes the reports of other routers and passes departures on, as the gateway
@@ -324,7 +324,7 @@
 	return sum
 }
 
-// connected reports whether calls between two routers are answered.
+// connected reports whether messages between two routers arrive in both directions.
 func (n *net) connected(a, b fleet.Address) bool {
 	return !n.cut[[2]fleet.Address{a, b}] && !n.cut[[2]fleet.Address{b, a}]
 }
@@ -362,33 +362,33 @@
 			n.after(a.Timeout, func() { n.step(x, fleet.CopyCompleted{From: a.Peer, Table: a.Table}) })
 			return
 		}
-		reply := peer.core.ServeCopy(&peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(a.Table), After: a.After})
-		wait := x.receive(n.now, reply)
+		response := peer.core.ServeCopy(&peerv1.CopyRequest{Protocol: fleet.Protocol, Table: uint32(a.Table), After: a.After})
+		wait := x.receive(n.now, response)
 		if peer.link != nil {
-			if !peer.budget.Allow(n.now, proto.Size(reply)) {
+			if !peer.budget.Allow(n.now, proto.Size(response)) {
 				holders := peer.core.TableHolders(n.now, a.Table, x.address)
 				n.after(hopDelay, func() { n.step(x, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Busy: true, Holders: holders}) })
 				return
 			}
-			sent, _ := peer.link.send(n.now, proto.Size(reply), false)
-			received, _ := x.link.receive(n.now.Add(sent), proto.Size(reply), false)
+			sent, _ := peer.link.send(n.now, proto.Size(response), false)
+			received, _ := x.link.receive(n.now.Add(sent), proto.Size(response), false)
 			wait += sent + received
 		}
 		if wait > a.Timeout {
-			wait, reply = a.Timeout, nil
+			wait, response = a.Timeout, nil
 		}
-		n.after(wait, func() { n.step(x, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Reply: reply}) })
+		n.after(wait, func() { n.step(x, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Response: response}) })
 	})
 }
 
-// receive returns the transmission time of a reply on the node's link. Abandoned replies use the
-// link as well and delay those that follow.
-func (x *node) receive(now time.Time, reply *peerv1.CopyResponse) time.Duration {
+// receive returns the transmission time of a copy response on the node's link. Responses that are
+// abandoned use the link as well and delay those that follow.
+func (x *node) receive(now time.Time, response *peerv1.CopyResponse) time.Duration {
 	if x.bytesPerSecond == 0 {
 		return 0
 	}
 	size := 0
-	for _, r := range reply.GetRows() {
+	for _, r := range response.GetRows() {
 		size += len(r.GetValue())
 	}
 	if x.linkFreeAt.Before(now) {
@@ -399,8 +399,8 @@
 }
 
 // finishCall passes the outcome of a call to a node, unless the call was cancelled.
-func (n *net) finishCall(x *node, calls int, t fleet.Table, ev fleet.Event) {
-	if x.callGeneration[t] == calls {
+func (n *net) finishCall(x *node, generation int, t fleet.Table, ev fleet.Event) {
+	if x.callGeneration[t] == generation {
 		x.pendingCalls[t]--
 		n.step(x, ev)
 	}
--- a/internal/core/fleet/peers.go
+++ b/internal/core/fleet/peers.go
@@ -17,15 +17,16 @@
 	heardAt             time.Time // time of the last digest from it; zero if none
 	vouchedAt           time.Time // when a relay last vouched for it; zero if never
 	voucher             Address   // the relay that last vouched for it
-	knownSince          time.Time // first known, or reported again after a break
-	// versions are those that it can serve; 0 after a failed copy, until its next digest.
-	versions         [TableCount]uint64
-	reportedVersions [TableCount]uint64 // versions in its last digest
-	reading          bool
-	leaving          bool
-	up               bool
-
-	relay      bool // its last digest says that it is a relay
+	knownSince          time.Time // when it became known, or was listed again while not alive
+	// availableVersions are the table versions that can be copied from it: those in its last
+	// digest, or 0 after a failed copy until its next digest.
+	availableVersions [TableCount]uint64
+	reportedVersions  [TableCount]uint64 // versions in its last digest
+	reading           bool
+	leaving           bool
+	up                bool // PeerUp was emitted, and no PeerDown since
+
+	relay      bool // its last digest said that it is a relay
 	located    bool // its data centre and strength are known
 	dataCentre string
 	rank       rank
@@ -39,12 +40,12 @@
 	report         sourceReport
 }
 
-// isHeard reports whether this router receives the peer's digests.
+// isHeard reports whether the peer is heard: a digest from it arrived within peerTimeout.
 func (p *peer) isHeard(now time.Time) bool {
 	return !p.heardAt.IsZero() && now.Sub(p.heardAt) < peerTimeout
 }
 
-// isAlive reports whether this router receives the peer's digests or a relay vouches for it.
+// isAlive reports whether the peer is heard, or a relay vouched for it within vouchTTL.
 func (p *peer) isAlive(now time.Time) bool {
 	return p.isHeard(now) || (!p.vouchedAt.IsZero() && now.Sub(p.vouchedAt) < vouchTTL)
 }
@@ -70,17 +71,17 @@
 	return false
 }
 
-// lastSignAt returns when the peer last sent a digest or was vouched for.
-func (p *peer) lastSignAt() time.Time { return latest(p.heardAt, p.vouchedAt) }
+// lastSeenAt returns when the peer last sent a digest or was vouched for; zero if never.
+func (p *peer) lastSeenAt() time.Time { return latest(p.heardAt, p.vouchedAt) }
 
-// RouterID returns the ID of a router as a source of load reports.
-func RouterID(a Address) uint32 { return uint32(rendezvous.Hash(string(a))) }
+// RouterSourceID returns the ID of a router as a source of load reports.
+func RouterSourceID(a Address) uint32 { return uint32(rendezvous.Hash(string(a))) }
 
-// fleetID is the source ID of the fleet's sum in a relay's report.
-const fleetID = 1
+// fleetSourceID is the source ID of the fleet's sum in a relay's report.
+const fleetSourceID = 1
 
-// centreID returns the ID of a data centre as a source of load reports.
-func centreID(dataCentre string) uint32 { return uint32(rendezvous.Hash("data centre " + dataCentre)) }
+// centreSourceID returns the ID of a data centre as a source of load reports.
+func centreSourceID(name string) uint32 { return uint32(rendezvous.Hash("data centre " + name)) }
 
 // digestReceived processes a digest. It reports whether the digest may change which routers read
 // the store.
@@ -114,17 +115,17 @@
 	c.compareSuspects(now, p, d)
 	if c.needsGreeting(p, ev.From, d) && now.Sub(p.greetedAt) >= greetInterval {
 		p.greetedAt = now
-		c.greetPeers = append(c.greetPeers, ev.From)
+		c.peersToGreet = append(c.peersToGreet, ev.From)
 	}
 	c.behind = c.behind || p.reportedVersions[DesiredTable] > c.tables[DesiredTable].Version()
 	if p.hasNewerCopy(c) {
-		c.copyIfOutdated(now)
+		c.copyNewerTables(now)
 	}
 	return readersMayChange
 }
 
-// needsGreeting reports whether the sender of a digest must be sent a greeting. It must if it asks
-// for relays, or if it wrongly considers itself or this router a relay.
+// needsGreeting reports whether the sender of a digest must be sent a greeting. It must if it
+// searches for relays, or if it wrongly considers itself or this router a relay.
 func (c *Core) needsGreeting(p *peer, from Address, d *peerv1.Digest) bool {
 	switch {
 	case d.GetSeeks():
@@ -138,10 +139,11 @@
 }
 
 // accepts rejects digests that are not newer than the last one, and digests of the previous process
-// that arrive after a restart. Incarnations are not ordered: of two, the running process is the one
-// that keeps sending. The order of arrival is no proof, because a router that resumes after a stall
-// receives the queued digests in any order. If the running process were rejected permanently, both
-// routers would consider each other down until the next restart.
+// that arrive after a restart. Incarnations are not ordered, and neither does the order of arrival
+// show which of two processes is the later one: a router that resumes after a stall receives the
+// queued digests in any order. The running process is the one that keeps sending, so the digests of
+// the other are accepted again once the peer is no longer alive. If the running process were
+// rejected permanently, both routers would consider each other down until the next restart.
 func (p *peer) accepts(now time.Time, d *peerv1.Digest) bool {
 	switch d.GetIncarnation() {
 	case p.incarnation:
@@ -155,16 +157,17 @@
 func (p *peer) update(now time.Time, from Address, d *peerv1.Digest) {
 	p.incarnation, p.sequence, p.heardAt = d.GetIncarnation(), d.GetSequence(), now
 	p.reading, p.leaving, p.relay = d.GetReading(), d.GetLeaving(), d.GetRelay()
-	p.versions = [TableCount]uint64{}
-	copy(p.versions[:], d.GetVersions())
-	p.reportedVersions = p.versions
+	p.availableVersions = [TableCount]uint64{}
+	copy(p.availableVersions[:], d.GetVersions())
+	p.reportedVersions = p.availableVersions
 	p.located, p.dataCentre, p.rank = true, d.GetDataCentre(), rankOf(from, d.GetStrength())
 	p.feeder, p.readers = d.GetFeeder(), int(d.GetReaders())
 }
 
-// addListedPeers processes the routers that a digest lists. Only a relay vouches for routers: for
-// those that it receives digests from, or that such a relay vouches for. If routers repeated what
-// others listed, an exited router would stay alive forever.
+// addListedPeers processes the routers that a digest lists. Only relays vouch for the routers in
+// their lists: those that the relay hears or, in a list for followers, those that another relay
+// which hears them vouches for. If routers repeated what others listed, an exited router would stay
+// alive forever.
 func (c *Core) addListedPeers(now time.Time, from Address, d *peerv1.Digest) {
 	n := min(len(d.GetKnown()), len(d.GetKnownCentre()), len(d.GetKnownStrength()))
 	for i := range n {
@@ -182,7 +185,7 @@
 		case d.GetVouches():
 			c.topologyStale = true
 		case !p.isNew(now):
-			p.knownSince, c.topologyStale = now, true // the sender or a relay receives its digests
+			p.knownSince, c.topologyStale = now, true // the sender or a relay must have heard it
 		default:
 			c.topologyStale = c.topologyStale || p.knownSince.Equal(now)
 		}
@@ -191,16 +194,16 @@
 		}
 	}
 	if d.GetVouches() {
-		c.dropUnlisted(now, from, d.GetScope(), n)
+		c.revokeUnlisted(now, from, d.GetScope(), n)
 	}
 }
 
-// dropUnlisted revokes vouches for routers that are missing from a relay's list. Otherwise older
-// vouches would count until they expire, and an exited relay would not be replaced meanwhile. A
-// data centre's list only revokes vouches of the same relay, because another relay may receive the
-// router's digests. A fleet's list revokes all, unless it has fewer than half of the known routers,
-// which points to a fault at its sender.
-func (c *Core) dropUnlisted(now time.Time, from Address, scope peerv1.Scope, listed int) {
+// revokeUnlisted revokes the vouches for routers that are missing from a relay's list. Otherwise
+// older vouches would count until they expire, and an exited relay would not be replaced meanwhile.
+// A data centre's list only revokes vouches of the same relay, because another relay may hear the
+// router. A list of the fleet revokes all vouches, unless it has fewer than half as many routers as
+// are alive here, which points to a fault at its sender.
+func (c *Core) revokeUnlisted(now time.Time, from Address, scope peerv1.Scope, listed int) {
 	if scope == peerv1.Scope_SCOPE_FLEET && 2*listed < c.AliveCount(now) {
 		return
 	}
@@ -267,9 +270,9 @@
 	for _, p := range c.sortedPeers() {
 		if p.up && !p.isAlive(now) {
 			p.up = false
-			c.emit(PeerDown{Peer: p.address, Source: RouterID(p.address), SilentFor: now.Sub(p.heardAt)})
+			c.emit(PeerDown{Peer: p.address, Source: RouterSourceID(p.address), SilentFor: now.Sub(p.heardAt)})
 		}
-		if now.Sub(latest(p.lastSignAt(), p.knownSince)) > peerRetention {
+		if now.Sub(latest(p.lastSeenAt(), p.knownSince)) > peerRetention {
 			delete(c.peers, p.address)
 			c.peersChanged = true
 		}
@@ -288,7 +291,7 @@
 func (c *Core) RecentRouters() map[Address]bool {
 	out := map[Address]bool{c.settings.Self: true}
 	for _, p := range c.sortedPeers() {
-		if !p.lastSignAt().IsZero() {
+		if !p.lastSeenAt().IsZero() {
 			out[p.address] = true
 		}
 	}
@@ -326,10 +329,10 @@
 	return c.countPeers(func(p *peer) bool { return p.isHeard(now) })
 }
 
-func (c *Core) countPeers(ok func(*peer) bool) int {
+func (c *Core) countPeers(matches func(*peer) bool) int {
 	n := 0
 	for _, p := range c.sortedPeers() {
-		if ok(p) {
+		if matches(p) {
 			n++
 		}
 	}
--- a/internal/core/fleet/poison_test.go
+++ b/internal/core/fleet/poison_test.go
@@ -32,12 +32,12 @@
 	return !v.Refused
 }
 
-// reportEnd reports to a router that a target exited during a request.
-func (n *net) reportEnd(a fleet.Address, f poison.Fingerprint, target uint64) {
+// reportExit reports to a router that a target exited during a request.
+func (n *net) reportExit(a fleet.Address, f poison.Fingerprint, target uint64) {
 	x := n.nodes[a]
 	x.detector.RecordExit(n.now, f, target)
 	if x.detector.HasUrgentReport() {
-		n.step(x, fleet.ReportsPending{UrgentReports: x.urgentReports(n.now)})
+		n.step(x, fleet.UrgentReportsPending{UrgentReports: x.urgentReports(n.now)})
 	}
 }
 
@@ -59,11 +59,11 @@
 	n.loss = 0.03
 	n.run(3 * time.Second)
 	for i, a := range []fleet.Address{address(routers - 1), address(routers / 2), address(1)} {
-		n.reportEnd(a, poisonous, uint64(100+i))
-		n.reportEnd(a, harmless, uint64(100+i))
+		n.reportExit(a, poisonous, uint64(100+i))
+		n.reportExit(a, harmless, uint64(100+i))
 		// Other requests were open at the target, each sent once by a different router.
 		for k := range 16 {
-			n.reportEnd(address((i+k*7)%routers), poison.Fingerprint(1000*(i+1)+k), uint64(100+i))
+			n.reportExit(address((i+k*7)%routers), poison.Fingerprint(1000*(i+1)+k), uint64(100+i))
 		}
 		n.run(200 * time.Millisecond)
 		// A fourth router receives an answer to the harmless request.
@@ -83,7 +83,7 @@
 		n.nodes[address(7)].stalled = true
 		n.partition("dc2", true)
 		for i := range 3 {
-			n.reportEnd(address(0), poisonous, uint64(100+i))
+			n.reportExit(address(0), poisonous, uint64(100+i))
 			n.run(200 * time.Millisecond)
 		}
 		n.run(3 * time.Second)
@@ -103,12 +103,12 @@
 		n := newFleet(24, 10)
 		n.run(3 * time.Second)
 		for i := range 3 {
-			n.reportEnd(address(i), poisonous, uint64(100+i))
+			n.reportExit(address(i), poisonous, uint64(100+i))
 		}
 		n.run(12 * time.Second)
 		tried := n.routersThatSend(poisonous)
 		Expect(tried).To(HaveLen(1))
-		n.reportEnd(tried[0], poisonous, 104)
+		n.reportExit(tried[0], poisonous, 104)
 		n.nodes[tried[0]].detector.EndTrial(n.now, poisonous)
 		n.run(60 * time.Second)
 		Expect(n.routersThatSend(poisonous)).To(BeEmpty())
@@ -118,7 +118,7 @@
 		n := newFleet(24, 10)
 		n.run(3 * time.Second)
 		for i := range 3 {
-			n.reportEnd(address(i), poisonous, uint64(100+i))
+			n.reportExit(address(i), poisonous, uint64(100+i))
 		}
 		n.run(12 * time.Second)
 		tried := n.routersThatSend(poisonous)
@@ -134,7 +134,7 @@
 		n := newFleet(9, 10)
 		n.run(3 * time.Second)
 		for i := range 3 {
-			n.reportEnd(address(i), poisonous, uint64(100+i))
+			n.reportExit(address(i), poisonous, uint64(100+i))
 		}
 		n.run(11 * time.Minute)
 		for i := range 9 {
@@ -182,7 +182,7 @@
 				a := address(rapid.IntRange(0, routers-1).Draw(t, "receiver"))
 				if x := n.nodes[a]; x.up && !x.stalled && !n.now.Before(x.startsAt) && n.wouldSend(a, poisonous) {
 					target++
-					n.reportEnd(a, poisonous, target)
+					n.reportExit(a, poisonous, target)
 					x.detector.EndTrial(n.now, poisonous)
 					if target == 1003 {
 						thirdExitAt = n.now
--- a/internal/core/fleet/report.go
+++ b/internal/core/fleet/report.go
@@ -10,14 +10,14 @@
 
 // sourceReport is the last report of a source.
 type sourceReport struct {
-	at         time.Time // when loads were reported; zero if there are none
+	at         time.Time // when the loads were reported; zero if there are none
 	loads      []placement.Load
 	outcomes   []placement.TargetOutcomes
 	outcomesAt time.Time // when outcomes were reported
-	counted    int       // number of routers in a sum
+	counted    int       // number of routers that a data centre's sum covers
 }
 
-// reportTTL is how long a report counts. Placement uses the same time.
+// reportTTL is how long a report counts. Placement uses the same time for reports that it receives.
 const reportTTL = 1500 * time.Millisecond
 
 func (r *sourceReport) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < reportTTL }
@@ -33,8 +33,8 @@
 	return differ
 }
 
-// tally adds up reports. It keeps targets in the order of arrival, so equal reports give equal
-// sums.
+// tally adds up the reports of several sources. It keeps targets in the order of arrival, so equal
+// reports give equal sums.
 type tally struct {
 	loadPos  map[uint64]int // index of each target in loads
 	loads    []placement.Load
@@ -68,7 +68,7 @@
 	}
 }
 
-// add adds a report, as of now.
+// add adds the parts of a report that still count. Outcomes are weighted by their age.
 func (s *tally) add(now time.Time, r *sourceReport) {
 	if r.fresh(now) {
 		s.addLoads(r.loads, 1)
@@ -78,7 +78,8 @@
 	}
 }
 
-// subtract returns loads and outcomes without a part that is counted elsewhere.
+// subtract returns loads and outcomes without a part that is counted elsewhere. Its outcomes are
+// nil if outcomes is nil.
 func subtract(loads, part []placement.Load, outcomes, partOutcomes []placement.TargetOutcomes) ([]placement.Load, []placement.TargetOutcomes) {
 	sum := newTally()
 	sum.addLoads(loads, 1)
@@ -154,7 +155,7 @@
 	return out
 }
 
-func decodePrompts(d *peerv1.Digest) []placement.PrefixRead {
+func decodePrefixReads(d *peerv1.Digest) []placement.PrefixRead {
 	n := min(len(d.GetPromptPart()), len(d.GetPromptTarget()))
 	out := make([]placement.PrefixRead, n)
 	for i := range n {
--- a/internal/core/fleet/serve.go
+++ b/internal/core/fleet/serve.go
@@ -6,11 +6,11 @@
 	// copyLinkShare is the share of a VM's link that copies for other routers may use. The rest is
 	// for requests and digests: copies that fill a link delay both by a second and more.
 	copyLinkShare = 0.4
-	// copyBurst is for how long copies may use the whole link. It limits the delay of a request.
-	// Most copies are far smaller and always fit.
+	// copyBurst is for how long copies may use the whole link. A request on the same link is
+	// delayed by no more than this. Most copies are far smaller and always fit.
 	copyBurst = 80 * time.Millisecond
-	// alwaysServedBytes is the size up to which a copy is always served. Small changes to the
-	// target list don't wait for capacity that a large desired state used.
+	// alwaysServedBytes is the size up to which a copy is always served: one packet. Small changes
+	// to the target list don't wait for capacity that a large desired state used.
 	alwaysServedBytes = 1400
 )
 
@@ -22,8 +22,8 @@
 // concurrent use.
 type CopyBudget struct {
 	rate      float64 // bytes per second; 0 means no limit
-	burst     float64
-	tokens    float64
+	burst     float64 // largest number of bytes in tokens
+	tokens    float64 // bytes that copies may use now; negative after a copy larger than the burst
 	updatedAt time.Time
 }
 
--- a/internal/core/fleet/store.go
+++ b/internal/core/fleet/store.go
@@ -6,7 +6,7 @@
 const storeSource = "store"
 
 func (c *Core) changesRead(now time.Time, ev ChangesRead) {
-	r := &c.readers[ev.Table]
+	r := &c.readStates[ev.Table]
 	c.readSucceeded(r)
 	r.position, r.answeredAt = max(r.position, ev.Position), now
 	c.noteLostAnswer(now, ev.Position)
@@ -19,7 +19,7 @@
 }
 
 func (c *Core) tableRead(now time.Time, ev TableRead) {
-	r := &c.readers[ev.Table]
+	r := &c.readStates[ev.Table]
 	c.readSucceeded(r)
 	r.answeredAt = now
 	r.needsFullRead = false
@@ -29,46 +29,49 @@
 	}
 }
 
-func (c *Core) readSucceeded(r *reader) {
+func (c *Core) readSucceeded(r *readState) {
 	r.callPending, r.failures, r.lastCallOK = false, 0, c.reading
 	r.lostSince = time.Time{}
 	c.updateStoreState()
 }
 
 const (
-	// targetsBatchShare is the share of MaxLeavingDelay for which the first reader lets changes of
-	// the target list accumulate before its next call. standbyBatchShare is the share of each
-	// table's limit for which the other readers do. Without batching, each of many successive
-	// changes is answered to three readers, and calls cost money. The other readers only replace
-	// the first one if its answers are lost, and call immediately when they become the first. On a
-	// simulated network, 62 changes in four seconds take 39 calls instead of 190.
-	targetsBatchShare = 0.05
-	standbyBatchShare = 0.25
+	// targetsBatchShare is the share of MaxDepartureDelay for which the first reader lets changes
+	// of the target list accumulate before its next call. The other readers do so for
+	// otherReaderBatchShare of MaxDepartureDelay for the target list and of MaxApplyDelay for the
+	// desired state. Without batching, each of many successive changes is answered to three
+	// readers, and calls cost money. The other readers only replace the first one if its answers
+	// are lost, and call immediately when they become the first. On a simulated network, 62 changes
+	// in four seconds take 39 calls instead of 190.
+	targetsBatchShare     = 0.05
+	otherReaderBatchShare = 0.25
 )
 
 // batchDelay returns the delay of the next call after a table has changed.
 func (c *Core) batchDelay(t Table) time.Duration {
 	maxDelay := c.settings.MaxApplyDelay
 	if t == TargetsTable {
-		maxDelay = c.settings.MaxLeavingDelay
+		maxDelay = c.settings.MaxDepartureDelay
 	}
 	switch {
-	case !c.isFirst:
-		return time.Duration(standbyBatchShare * float64(maxDelay))
+	case !c.isFirstReader:
+		return time.Duration(otherReaderBatchShare * float64(maxDelay))
 	case t == TargetsTable:
 		return time.Duration(targetsBatchShare * float64(maxDelay))
 	}
 	return 0
 }
 
-// answerTimeout is how long a pending call may take to return a change after another call showed
-// that the store has changed. The store answers in 4 ms, and in 300 ms when it is slow.
+// answerTimeout is how long a pending call may take to return a change, from when another call's
+// answer shows that the store has changed. The store answers in 4 ms, and in 300 ms when it is
+// slow.
 const answerTimeout = 300 * time.Millisecond
 
 // lostAnswerShare is the share of MaxApplyDelay that must pass after the last answer before a
 // pending call may be cancelled. Otherwise each of several desired states in quick succession would
-// cancel a call. One cancelled call per half of a short wait costs a third of the calls, and a lost
-// answer is still detected well before a leaving target must stop receiving requests.
+// cancel a call. The share is half of a short wait. One cancelled call in that time costs a third
+// of the calls, and a lost answer is still detected well before a leaving target must stop
+// receiving requests.
 const lostAnswerShare = 0.25
 
 // noteLostAnswer records that the first reader's call for the target list is still pending although
@@ -80,8 +83,8 @@
 // each change of another table. The other readers don't need it, because the first reader passes
 // the change on.
 func (c *Core) noteLostAnswer(now time.Time, newest uint64) {
-	r := &c.readers[TargetsTable]
-	if c.isFirst && r.callPending && r.position < newest && r.lostSince.IsZero() {
+	r := &c.readStates[TargetsTable]
+	if c.isFirstReader && r.callPending && r.position < newest && r.lostSince.IsZero() {
 		r.lostSince = now
 	}
 }
@@ -89,7 +92,7 @@
 // cancelLostCall cancels a call whose answer has probably been lost. The next call starts at the
 // same position and does not wait for changes, so a second lost answer is detected immediately.
 func (c *Core) cancelLostCall(now time.Time) {
-	r := &c.readers[TargetsTable]
+	r := &c.readStates[TargetsTable]
 	if !r.callPending || r.lostSince.IsZero() || now.Sub(r.answeredAt) < time.Duration(lostAnswerShare*float64(c.settings.MaxApplyDelay)) {
 		return
 	}
@@ -100,7 +103,7 @@
 }
 
 func (c *Core) readFailed(now time.Time, ev ReadFailed) {
-	r := &c.readers[ev.Table]
+	r := &c.readStates[ev.Table]
 	r.callPending, r.lostSince = false, time.Time{}
 	switch {
 	case ev.Cancelled:
@@ -134,8 +137,8 @@
 }
 
 func (c *Core) storeReachable() bool {
-	for i := range c.readers {
-		if !c.readers[i].lastCallOK {
+	for i := range c.readStates {
+		if !c.readStates[i].lastCallOK {
 			return false
 		}
 	}
@@ -154,8 +157,8 @@
 	if shouldRead != c.reading {
 		c.reading = shouldRead
 		c.digestPending = true
-		for i := range c.readers {
-			r := &c.readers[i]
+		for i := range c.readStates {
+			r := &c.readStates[i]
 			// The store is reachable if an answer has just arrived.
 			r.lastCallOK = shouldRead && !r.answeredAt.IsZero() && now.Sub(r.answeredAt) < noReaderTimeout
 		}
@@ -164,8 +167,8 @@
 			c.stopReading()
 		}
 	}
-	if first := shouldRead && readersAhead == 0; first != c.isFirst {
-		c.isFirst = first
+	if first := shouldRead && readersAhead == 0; first != c.isFirstReader {
+		c.isFirstReader = first
 		if first {
 			c.cancelReads() // the pending calls of a reader that was not the first have long waits
 		}
@@ -177,32 +180,32 @@
 	if !c.reading {
 		return
 	}
-	for i := range c.readers {
+	for i := range c.readStates {
 		c.startRead(now, Table(i))
 	}
 }
 
 func (c *Core) cancelReads() {
-	for i := range c.readers {
-		c.readers[i].batchUntil = time.Time{}
+	for i := range c.readStates {
+		c.readStates[i].batchUntil = time.Time{}
 		c.emit(CancelReadChanges{Table: Table(i)})
 	}
 }
 
 func (c *Core) stopReading() {
 	c.cancelReads()
-	for i := range c.readers {
-		c.readers[i].lastCallOK = false
+	for i := range c.readStates {
+		c.readStates[i].lastCallOK = false
 	}
 	c.reachable = false
 }
 
 func (c *Core) startRead(now time.Time, t Table) {
-	r := &c.readers[t]
+	r := &c.readStates[t]
 	if r.callPending || now.Before(r.retryAt) || now.Before(r.batchUntil) {
 		return
 	}
-	if !c.relay && t != DesiredTable && c.readers[DesiredTable].failures > 0 {
+	if !c.relay && t != DesiredTable && c.readStates[DesiredTable].failures > 0 {
 		return // calls for one table are enough to detect the end of an outage
 	}
 	r.callPending = true
@@ -217,7 +220,7 @@
 	case !r.lastCallOK || r.noWait:
 		r.noWait = false
 		wait = 0 // the answer shows immediately whether the store is reachable
-	case c.isFirst && t == DesiredTable:
+	case c.isFirstReader && t == DesiredTable:
 		wait = time.Duration(shortWaitShare * float64(c.settings.MaxApplyDelay))
 	}
 	c.emit(ReadChanges{Table: t, After: r.position, Wait: wait})
@@ -225,12 +228,12 @@
 
 // mayBecomeReader reports whether this router should start to read the store. missing is the number
 // of missing readers, idleAhead the number of higher-ranked routers that don't read. The
-// highest-ranked routers start first, so that not all routers call the store at once. The rest
-// follow after joinDelay, because the first may not reach the store either. Routers that a relay
-// feeds read only if no router reads, the highest-ranked first. A starting router first waits for
-// the digests of others.
+// highest-ranked relays start first, so that not all routers call the store at once. The other
+// relays follow after readerTakeoverDelay, because the first may not reach the store either.
+// Routers that are not relays read only if no router reads, and wait longer the lower their rank. A
+// starting router first waits for the digests of others.
 func (c *Core) mayBecomeReader(now time.Time, missing, idleAhead int) bool {
-	if missing <= 0 || (!c.relay && missing < readerCount) || now.Sub(c.started) < c.readDelay(now) {
+	if missing <= 0 || (!c.relay && missing < readerCount) || now.Sub(c.startedAt) < c.readDelay(now) {
 		c.readersMissingSince = time.Time{}
 		return false
 	}
@@ -238,16 +241,16 @@
 		c.readersMissingSince = now
 	}
 	if !c.relay {
-		return now.Sub(c.readersMissingSince) >= joinDelay*time.Duration(2+idleAhead/relaysPerCentre)
+		return now.Sub(c.readersMissingSince) >= readerTakeoverDelay*time.Duration(2+idleAhead/relaysPerCentre)
 	}
-	return idleAhead < missing || now.Sub(c.readersMissingSince) >= joinDelay
+	return idleAhead < missing || now.Sub(c.readersMissingSince) >= readerTakeoverDelay
 }
 
-// readDelay returns how long after its start this router may become a store reader. A router that
-// knows of no other router does not wait.
+// readDelay returns how long after its start this router may become a store reader. A router with
+// Settings.ReadStoreAtStart that knows of no other router does not wait.
 func (c *Core) readDelay(now time.Time) time.Duration {
 	delay := firstStartDelay
-	if c.settings.ReadsAtStart {
+	if c.settings.ReadStoreAtStart {
 		delay = min(restartDelay, restartDelay*time.Duration(len(c.peers)))
 		for _, p := range c.sortedPeers() {
 			if p.located && !p.isAlive(now) {
@@ -255,7 +258,7 @@
 			}
 		}
 	}
-	return time.Duration(float64(delay) * c.startDelayFactor)
+	return time.Duration(float64(delay) * c.readDelayFactor)
 }
 
 // otherReaders returns how many higher-ranked routers read the store successfully, how many readers
@@ -290,10 +293,10 @@
 	return readersAhead, readerCount - others, idleAhead
 }
 
-// outdatedCopyShare is the share of MaxApplyDelay for which a router tries to copy a newer version
+// ownReadDelayShare is the share of MaxApplyDelay for which a router tries to copy a newer version
 // before it reads the store itself. Copies of a large desired state reach most of a fleet in a
 // third of two seconds.
-const outdatedCopyShare = 0.4
+const ownReadDelayShare = 0.4
 
 const (
 	// maxOwnReadRows is the largest number of rows that a router reads immediately without being a
@@ -312,8 +315,8 @@
 	if c.reading {
 		return
 	}
-	for i := range c.readers {
-		if r := &c.readers[i]; !r.callPending && now.Sub(r.ownReadAt) >= maxRetryDelay && c.needsOwnRead(now, Table(i)) {
+	for i := range c.readStates {
+		if r := &c.readStates[i]; !r.callPending && now.Sub(r.ownReadAt) >= maxRetryDelay && c.needsOwnRead(now, Table(i)) {
 			r.callPending, r.ownReadAt = true, now
 			maxRows := maxOwnReadRows
 			if !r.foundLargeAt.IsZero() {
@@ -327,12 +330,12 @@
 func (c *Core) needsOwnRead(now time.Time, t Table) bool {
 	copying := &c.copying[t]
 	if !c.tables[t].Loaded() {
-		waited := c.settings.ReadsAtStart || now.Sub(c.started) >= firstStartCopyTimeout
-		if large := c.readers[t].foundLargeAt; !large.IsZero() {
+		waited := c.settings.ReadStoreAtStart || now.Sub(c.startedAt) >= firstStartCopyTimeout
+		if large := c.readStates[t].foundLargeAt; !large.IsZero() {
 			waited = now.Sub(large) >= largeCopyTimeout
 		}
 		return waited && !now.Before(copying.deadline)
 	}
 	behind := copying.behindSince
-	return !behind.IsZero() && now.Sub(behind) >= time.Duration(outdatedCopyShare*float64(c.settings.MaxApplyDelay))
+	return !behind.IsZero() && now.Sub(behind) >= time.Duration(ownReadDelayShare*float64(c.settings.MaxApplyDelay))
 }
--- a/internal/core/fleet/sums.go
+++ b/internal/core/fleet/sums.go
@@ -9,38 +9,38 @@
 )
 
 // handleReport processes the report in a digest. A relay counts each router of its own data centre
-// separately and each other data centre by its sum. All other routers count the fleet's sum from
-// their feeder.
+// separately, and each other data centre by its sum or, if it sends none, by its routers. All other
+// routers count the fleet's sum from their feeder, without their own part.
 func (c *Core) handleReport(now time.Time, from Address, p *peer, d *peerv1.Digest) {
 	loads, outcomes := decodeLoads(d.GetReport()), decodeOutcomes(d.GetReport())
-	report := ReportReceived{Prompts: decodePrompts(d), Departures: decodeDepartures(d), Poison: decodePoison(d), Partial: true}
+	report := ReportReceived{PrefixReads: decodePrefixReads(d), Departures: decodeDepartures(d), Poison: decodePoison(d), Partial: true}
 	sameCentre := p.dataCentre == c.settings.DataCentre
 	if c.relay && d.GetScope() != peerv1.Scope_SCOPE_FLEET {
-		c.toFollowers.add(report.Prompts)
+		c.followerOutbox.add(report.PrefixReads)
 		if sameCentre && p.feeder == c.own.rank.hash {
-			c.toCentres.add(report.Prompts)
+			c.centreOutbox.add(report.PrefixReads)
 		}
 	}
 	switch scope := d.GetScope(); {
-	case d.GetReport() == nil: // a greeting or a search for relays has no report
+	case d.GetReport() == nil: // greetings and probes, among others, have no report
 	case scope == peerv1.Scope_SCOPE_FLEET && sameCentre && !c.relay:
 		if from == c.feeder {
 			c.fedAt = now
 		}
 		loads, outcomes = subtract(loads, decodeLoads(d.GetYours()), outcomes, decodeOutcomes(d.GetYours()))
-		report.Source, report.Partial = fleetID, false
+		report.Source, report.Partial = fleetSourceID, false
 	case scope == peerv1.Scope_SCOPE_DATA_CENTRE && !sameCentre && c.relay:
 		if c.updateCentreSum(now, p.dataCentre, int(d.GetCounted()), loads, outcomes) {
-			report.Source, report.Partial = centreID(p.dataCentre), false
+			report.Source, report.Partial = centreSourceID(p.dataCentre), false
 		}
 	case scope == peerv1.Scope_SCOPE_ROUTER && c.relay && !c.hasCentreSum(now, p.dataCentre):
 		c.reportsChanged = p.report.update(now, loads, outcomes) || c.reportsChanged
-		report.Source, report.Partial = RouterID(from), false
+		report.Source, report.Partial = RouterSourceID(from), false
 	}
 	if !report.Partial {
 		report.Loads, report.Outcomes = loads, outcomes
 	}
-	if !report.Partial || len(report.Prompts) > 0 || len(report.Departures) > 0 || !report.Poison.Empty() {
+	if !report.Partial || len(report.PrefixReads) > 0 || len(report.Departures) > 0 || !report.Poison.Empty() {
 		c.emit(report)
 	}
 }
@@ -55,7 +55,7 @@
 )
 
 // updateCentreSum counts a data centre by its sum, and no longer by its routers' own reports. It
-// returns false if another relay there covers more routers.
+// returns false if the sum was rejected because another relay there covers more routers.
 func (c *Core) updateCentreSum(now time.Time, dataCentre string, counted int, loads []placement.Load, outcomes []placement.TargetOutcomes) bool {
 	s, ok := c.centreSums[dataCentre]
 	if !ok {
@@ -71,7 +71,7 @@
 		for _, p := range c.sortedPeers() {
 			if p.dataCentre == dataCentre && !p.report.at.IsZero() {
 				p.report = sourceReport{}
-				discarded = append(discarded, RouterID(p.address))
+				discarded = append(discarded, RouterSourceID(p.address))
 			}
 		}
 		if len(discarded) > 0 {
@@ -95,12 +95,13 @@
 	for _, p := range c.sortedPeers() {
 		p.report = sourceReport{}
 	}
-	c.toCentres, c.toFollowers = outbox{}, outbox{}
+	c.centreOutbox, c.followerOutbox = outbox{}, outbox{}
 	c.fedAt = time.Time{}
 	c.emit(ReportsDiscarded{})
 }
 
-func (c *Core) centreNames() []string {
+// centresWithSums returns the data centres that have sent a sum, sorted by name.
+func (c *Core) centresWithSums() []string {
 	out := make([]string, 0, len(c.centreSums))
 	for dc := range c.centreSums {
 		out = append(out, dc)
--- a/internal/core/fleet/suspects.go
+++ b/internal/core/fleet/suspects.go
@@ -17,20 +17,21 @@
 	suspectSyncSenders = 3
 )
 
-// suspects is what a router holds of suspected requests. Poison reports are sent a few times only;
-// a router that missed them because it was starting, cut off or stalled is detected by its
-// checksum.
+// suspects are the suspected requests that a router holds. Poison reports are sent a few times
+// only. A router that missed them because it was starting, cut off or stalled sends a different
+// checksum, and then receives all suspects.
 type suspects struct {
 	held   []poison.Suspect
 	sum    uint64
 	synced bool // this router holds the suspects of the other routers or of the store
 }
 
-func (c *Core) holdSuspects(reports UrgentReports) {
-	c.suspects = suspects{held: reports.HeldSuspects, sum: poison.Checksum(reports.HeldSuspects), synced: reports.HeldSynced}
+func (c *Core) setSuspects(reports UrgentReports) {
+	c.suspects = suspects{held: reports.HeldSuspects, sum: poison.Checksum(reports.HeldSuspects), synced: reports.SuspectsSynced}
 }
 
-// compareSuspects checks whether the sender of a digest holds the same suspects as this router.
+// compareSuspects checks whether the sender of a digest holds the same suspects as this router, and
+// if not may send it this router's suspects.
 func (c *Core) compareSuspects(now time.Time, p *peer, d *peerv1.Digest) {
 	own := &c.suspects
 	switch {
@@ -49,7 +50,7 @@
 	c.suspectSyncPeers = append(c.suspectSyncPeers, p.address)
 }
 
-// sendSuspects sends all suspects to the routers that hold other ones.
+// sendSuspects sends all suspects of this router to the routers in suspectSyncPeers.
 func (c *Core) sendSuspects(now time.Time) {
 	to := c.suspectSyncPeers
 	if len(to) == 0 {
@@ -101,18 +102,18 @@
 
 // decodePoison decodes the poison reports of a digest.
 func decodePoison(d *peerv1.Digest) poison.Report {
-	var n poison.Report
+	var report poison.Report
 	for i := range min(len(d.GetEndedRequest()), len(d.GetEndedTarget())) {
-		n.Exits = append(n.Exits, poison.Exit{Request: poison.Fingerprint(d.GetEndedRequest()[i]), Target: d.GetEndedTarget()[i]})
+		report.Exits = append(report.Exits, poison.Exit{Request: poison.Fingerprint(d.GetEndedRequest()[i]), Target: d.GetEndedTarget()[i]})
 	}
 	for _, f := range d.GetRanRequest() {
-		n.Answers = append(n.Answers, poison.Fingerprint(f))
+		report.Answers = append(report.Answers, poison.Fingerprint(f))
 	}
 	for _, s := range d.GetSuspects() {
-		n.Suspects = append(n.Suspects, poison.Suspect{
+		report.Suspects = append(report.Suspects, poison.Suspect{
 			Request: poison.Fingerprint(s.GetRequest()), Generation: s.GetGeneration(), Level: int(s.GetLevel()),
 			RefusedFor: time.Duration(s.GetWaitMillis()) * time.Millisecond, ExpiresIn: time.Duration(s.GetLastsMillis()) * time.Millisecond,
 		})
 	}
-	return n
+	return report
 }
--- a/internal/core/fleet/sweep_test.go
+++ b/internal/core/fleet/sweep_test.go
@@ -19,13 +19,13 @@
 
 	// Guards against a list that grows without limit. VMs are lost without a shutdown, so their
 	// entries are not removed.
-	It("returns routers without a sign at two sweeps", func() {
+	It("returns routers that were not heard recently at two sweeps in a row", func() {
 		var s fleet.Sweep
 		Expect(s.Stale(listed, recent(0, 1))).To(BeEmpty())
 		Expect(s.Stale(listed, recent(0, 1))).To(Equal([]fleet.Address{address(2)}))
 	})
 
-	It("keeps routers heard in between, and new ones", func() {
+	It("omits routers heard in between, and newly listed ones", func() {
 		var s fleet.Sweep
 		s.Stale(listed, recent(0, 1))
 		Expect(s.Stale(append(listed, address(3)), recent(0, 1, 2))).To(BeEmpty())
--- a/internal/core/fleet/tell.go
+++ b/internal/core/fleet/tell.go
@@ -14,43 +14,44 @@
 	// relayHeartbeatInterval is the longest time between two digests of a relay. feedTimeout spans
 	// three of them.
 	relayHeartbeatInterval = 200 * time.Millisecond
-	// listInterval is how often relays send the list of running routers. Three lists in a row may
-	// be lost before vouchTTL ends.
+	// listInterval is how often relays send the list of the routers that are alive. Three lists in
+	// a row may be lost before vouchTTL ends.
 	listInterval = 400 * time.Millisecond
-	// standbyInterval is how often relays other than the first of a data centre send its sum. They
-	// only cover a failure of the first. If all three sent it every time, the mean would be 31 KB/s
-	// per router at 340 routers.
-	standbyInterval = 400 * time.Millisecond
-	// relayOutcomesInterval is how often a relay sends outcomes. Each level adds to their delay.
+	// otherRelaySumInterval is how often relays other than the first of a data centre send its sum.
+	// They only cover a failure of the first. If all three sent it every time, the mean would be
+	// 31 KB/s per router at 340 routers.
+	otherRelaySumInterval = 400 * time.Millisecond
+	// relayOutcomesInterval is how often a relay sends outcomes. It is shorter than
+	// outcomesInterval, because each level adds to the delay of outcomes.
 	relayOutcomesInterval = 200 * time.Millisecond
-	// maxPromptsPerDigest limits the prompts in a relay's digest, at 16 bytes each.
-	// maxQueuedPrompts limits the queue. The oldest prompts are dropped, because a target that has
-	// read a prompt reports it to no other router.
-	maxPromptsPerDigest = 64
-	maxQueuedPrompts    = 1024
+	// maxPrefixReadsPerDigest limits the prefix reads in a relay's digest, at 16 bytes each.
+	// maxQueuedPrefixReads limits the queue. The oldest reads are dropped: they are lost for the
+	// recipients, because no other router reports them.
+	maxPrefixReadsPerDigest = 64
+	maxQueuedPrefixReads    = 1024
 )
 
-// outbox holds the prompts that a relay has to pass on, and when it last sent the list of routers,
-// a sum and outcomes.
+// outbox holds the prefix reads that a relay has to pass on to one group of routers, and when it
+// last sent them the list of routers, a sum and outcomes.
 type outbox struct {
-	prompts        []placement.PrefixRead
+	prefixReads    []placement.PrefixRead
 	listSentAt     time.Time
 	sumSentAt      time.Time
 	outcomesSentAt time.Time
 }
 
-func (o *outbox) add(prompts []placement.PrefixRead) {
-	o.prompts = append(o.prompts, prompts...)
-	if over := len(o.prompts) - maxQueuedPrompts; over > 0 {
-		o.prompts = slices.Delete(o.prompts, 0, over)
+func (o *outbox) add(prefixReads []placement.PrefixRead) {
+	o.prefixReads = append(o.prefixReads, prefixReads...)
+	if over := len(o.prefixReads) - maxQueuedPrefixReads; over > 0 {
+		o.prefixReads = slices.Delete(o.prefixReads, 0, over)
 	}
 }
 
-// takePrompts removes and returns the prompts of the next digest.
-func (o *outbox) takePrompts() []placement.PrefixRead {
-	n := min(len(o.prompts), maxPromptsPerDigest)
-	out := o.prompts[:n:n]
-	o.prompts = o.prompts[n:]
+// takePrefixReads removes and returns the prefix reads of the next digest.
+func (o *outbox) takePrefixReads() []placement.PrefixRead {
+	n := min(len(o.prefixReads), maxPrefixReadsPerDigest)
+	out := o.prefixReads[:n:n]
+	o.prefixReads = o.prefixReads[n:]
 	return out
 }
 
@@ -72,12 +73,12 @@
 		c.sendCentreDigest(now)
 		c.sendFleetDigest(now)
 	}
-	c.prompts, c.departures, c.poison = c.prompts[:0], nil, poison.Report{}
+	c.prefixReads, c.departures, c.poison = c.prefixReads[:0], nil, poison.Report{}
 }
 
 // sendOwnDigest reports this router's open requests to the relays of its data centre, and to those
-// of the other data centres if its own has relays only. A router without a feeder also sends it to
-// other routers, which reply with a greeting.
+// of the other data centres if its own has relays only. A router that needs relays also sends it to
+// one other router at random, which replies with a greeting.
 func (c *Core) sendOwnDigest(now time.Time) {
 	own := c.centres[c.settings.DataCentre]
 	to := c.contacts
@@ -88,9 +89,9 @@
 	if c.relay && !own.hasFollowers() {
 		to = append(to, c.remoteRelays(now)...)
 	}
-	if c.announcements > 0 {
-		c.announcements--
-		to = c.announceRecipients(now, to)
+	if c.remainingAnnouncements > 0 {
+		c.remainingAnnouncements--
+		to = c.appendAnnouncementRecipients(now, to)
 	}
 	if c.needsRelays(now) && due(now, &c.relaySearchAt, relaySearchInterval) {
 		if a, ok := c.randomPeer(); ok {
@@ -103,9 +104,9 @@
 	d := c.newDigest(now)
 	d.Seeks = c.needsRelays(now)
 	d.Report = encodeReport(c.lastLoads, c.outcomes, due(now, &c.outcomesSentAt, outcomesInterval))
-	setPrompts(d, c.prompts)
+	setPrefixReads(d, c.prefixReads)
 	c.addUrgentReports(d)
-	if c.relay && !own.hasFollowers() && due(now, &c.toCentres.listSentAt, listInterval) {
+	if c.relay && !own.hasFollowers() && due(now, &c.centreOutbox.listSentAt, listInterval) {
 		c.addPeerList(now, d, func(p *peer) bool { return p.isHeard(now) })
 	}
 	c.emit(SendDigest{To: to, Digest: d})
@@ -117,13 +118,13 @@
 	if !c.centres[c.settings.DataCentre].hasFollowers() || len(to) == 0 {
 		return
 	}
-	c.toCentres.add(c.prompts)
-	interval := standbyInterval
+	c.centreOutbox.add(c.prefixReads)
+	interval := otherRelaySumInterval
 	if c.centres[c.settings.DataCentre].relays()[0].address == c.settings.Self {
 		interval = 0
 	}
-	sendSum := due(now, &c.toCentres.sumSentAt, interval)
-	if !sendSum && len(c.toCentres.prompts) == 0 && !c.hasUrgentReports() && !c.urgent {
+	sendSum := due(now, &c.centreOutbox.sumSentAt, interval)
+	if !sendSum && len(c.centreOutbox.prefixReads) == 0 && !c.hasUrgentReports() && !c.urgent {
 		return
 	}
 	d := c.newDigest(now)
@@ -131,12 +132,12 @@
 	if sendSum {
 		sum := newTally()
 		c.addOwnCentre(now, sum)
-		d.Report = encodeReport(sum.loads, sum.outcomes, due(now, &c.toCentres.outcomesSentAt, relayOutcomesInterval))
+		d.Report = encodeReport(sum.loads, sum.outcomes, due(now, &c.centreOutbox.outcomesSentAt, relayOutcomesInterval))
 		d.Counted = uint32(c.countedRouters(now))
 	}
-	setPrompts(d, c.toCentres.takePrompts())
+	setPrefixReads(d, c.centreOutbox.takePrefixReads())
 	c.addUrgentReports(d)
-	if due(now, &c.toCentres.listSentAt, listInterval) {
+	if due(now, &c.centreOutbox.listSentAt, listInterval) {
 		c.addPeerList(now, d, func(p *peer) bool { return p.isHeard(now) })
 	}
 	c.emit(SendDigest{To: to, Digest: d})
@@ -147,15 +148,15 @@
 func (c *Core) sendFleetDigest(now time.Time) {
 	to := c.followers(now)
 	if len(to) == 0 {
-		c.toFollowers.prompts = nil
+		c.followerOutbox.prefixReads = nil
 		return
 	}
-	c.toFollowers.add(c.prompts)
+	c.followerOutbox.add(c.prefixReads)
 	sum := newTally()
 	c.addOwnCentre(now, sum)
-	c.addElsewhere(now, sum)
-	includeOutcomes := due(now, &c.toFollowers.outcomesSentAt, relayOutcomesInterval)
-	report, prompts := encodeReport(sum.loads, sum.outcomes, includeOutcomes), c.toFollowers.takePrompts()
+	c.addOtherCentres(now, sum)
+	includeOutcomes := due(now, &c.followerOutbox.outcomesSentAt, relayOutcomesInterval)
+	report, prefixReads := encodeReport(sum.loads, sum.outcomes, includeOutcomes), c.followerOutbox.takePrefixReads()
 	listed, others := c.splitByListDue(now, to)
 	for _, part := range []struct {
 		to          []Address
@@ -166,7 +167,7 @@
 		}
 		d := c.newDigest(now)
 		d.Scope, d.Report = peerv1.Scope_SCOPE_FLEET, report
-		setPrompts(d, prompts)
+		setPrefixReads(d, prefixReads)
 		c.addUrgentReports(d)
 		if part.includeList {
 			c.addPeerList(now, d, func(p *peer) bool { return p.isAlive(now) })
@@ -196,8 +197,9 @@
 // small link.
 const listRounds = 3
 
-// splitByListDue splits the recipients into those that are due to receive the list of routers and
-// the others.
+// splitByListDue splits the recipients into those that receive the list of routers with this digest
+// and the others. The list goes to at most one in listRounds, to those first that have waited
+// longest.
 func (c *Core) splitByListDue(now time.Time, to []Address) (listed, others []Address) {
 	listSlots := (len(to) + listRounds - 1) / listRounds
 	byListAge := slices.SortedStableFunc(slices.Values(to), func(a, b Address) int {
@@ -240,9 +242,10 @@
 	return 1 + c.countPeers(func(p *peer) bool { return p.dataCentre == c.settings.DataCentre && p.report.fresh(now) })
 }
 
-// addElsewhere adds the reports of the other data centres to sum, each as its sum or by router.
-func (c *Core) addElsewhere(now time.Time, sum *tally) {
-	for _, dc := range c.centreNames() {
+// addOtherCentres adds the reports of the other data centres to sum: a data centre's sum or the
+// reports of its routers.
+func (c *Core) addOtherCentres(now time.Time, sum *tally) {
+	for _, dc := range c.centresWithSums() {
 		if s := c.centreSums[dc]; s != nil {
 			sum.add(now, s)
 		}
@@ -273,10 +276,10 @@
 	return d
 }
 
-func setPrompts(d *peerv1.Digest, prompts []placement.PrefixRead) {
-	for _, s := range prompts {
-		d.PromptPart = append(d.PromptPart, s.Prefix)
-		d.PromptTarget = append(d.PromptTarget, s.Target)
+func setPrefixReads(d *peerv1.Digest, prefixReads []placement.PrefixRead) {
+	for _, r := range prefixReads {
+		d.PromptPart = append(d.PromptPart, r.Prefix)
+		d.PromptTarget = append(d.PromptTarget, r.Target)
 	}
 }
 
--- a/internal/core/fleet/topology.go
+++ b/internal/core/fleet/topology.go
@@ -9,46 +9,48 @@
 )
 
 // Routers exchange reports on two levels. The highest-ranked routers of each data centre are its
-// relays. Each router reports its open requests to its relays, relays send the sum to those of the
-// other data centres, and one relay feeds each router with the sum over the fleet. A router's
-// traffic thus grows with the number of relays, and a relay's also with its data centre, whereas
-// all-to-all digests would grow with the fleet. Relays are not elected: each router ranks the
-// routers that it believes to be running, and omits a relay that falls silent.
+// relays, all others are followers. Each router reports its open requests to the relays of its data
+// centre, relays send the sum to those of the other data centres, and each follower is fed by one
+// relay, its feeder: it receives digests with the sum over the fleet from it. A router's traffic
+// thus grows with the number of relays, and a relay's also with its data centre, whereas all-to-all
+// digests would grow with the fleet. Relays are not elected: each router ranks the routers that it
+// believes to be running, and omits a relay that falls silent.
 
 const (
 	// relaysPerCentre is the number of relays of a data centre. Two may fail at the same time, as
 	// with store readers. A data centre with no more routers than this has relays only, which
 	// exchange all reports directly.
 	relaysPerCentre = 3
-	// announceDigests is the number of digests that a new relay sends to its whole data centre and
-	// to the standby relays of the others. Routers that believe the new relay to have exited send
-	// it nothing, and if all relays exit at once the new ones must find each other.
-	announceDigests = 3
+	// announcementCount is the number of digests that a new relay sends to its whole data centre
+	// and to the standby relays of the others. Routers that consider the new relay to have exited
+	// send it nothing, and if all relays exit at once the new ones must find each other.
+	announcementCount = 3
 	// feedTimeout is how long a router waits for a digest of its feeder before it chooses another.
 	// It covers three lost digests in a row and a margin. Loads are then almost a second old, of
 	// the 1.5 s for which they count.
 	feedTimeout = 700 * time.Millisecond
-	// feedRequestTimeout is how long a newly chosen feeder has to send its first digest: a tick of
-	// each router and one lost digest.
+	// feedRequestTimeout is how long a newly chosen feeder has to send its first digest: the tick
+	// at which this router reports its choice, the tick at which the feeder answers, and one lost
+	// digest.
 	feedRequestTimeout = 400 * time.Millisecond
 	// vouchTTL is how long a relay's vouch for another router counts. If all relays of a data
 	// centre exit at once, the others need 1.5 s to try each of them as feeder, and must still know
 	// of each other then.
 	vouchTTL = 2500 * time.Millisecond
-	// distrustPeriod is how long a relay that fell silent is the last choice as feeder. It exceeds
-	// the time for which other routers vouch for it.
+	// distrustPeriod is how long a relay that fell silent as this router's feeder is the last
+	// choice as feeder. It exceeds the time for which other routers vouch for it.
 	distrustPeriod = vouchTTL + 2*time.Second
 	// relaySearchInterval is how often a router without a feeder searches for relays: at each tick.
-	// When hundreds start at once, their first requests are lost in the queues of the seeds' links.
-	// Their ticks are spread over time.
+	// When hundreds of routers start at once, their first searches are lost in the queues of the
+	// seeds' links. The ticks of the routers are spread over time, so later searches arrive.
 	relaySearchInterval = TickInterval
 	// greetInterval is the shortest time between two greetings to the same router.
 	greetInterval = TickInterval
 	// probeInterval is how often a relay sends a digest to some silent routers. Without it, data
 	// centres that were cut off from each other would not reconnect.
 	probeInterval = time.Second
-	// randomProbes is the number of silent routers probed at random, besides the highest-ranked of
-	// each data centre without running routers.
+	// randomProbes is the number of silent routers probed at random, besides the highest-ranked one
+	// of each data centre in which no router is known to run.
 	randomProbes = 3
 )
 
@@ -69,7 +71,7 @@
 	return cmp.Compare(r.hash, o.hash)
 }
 
-// candidate is a router that is believed to be running.
+// candidate is a router that is believed to be running, with its rank.
 type candidate struct {
 	rank    rank
 	address Address
@@ -79,7 +81,7 @@
 type centre struct {
 	candidates [2 * relaysPerCentre]candidate // highest-ranked routers, in order of rank
 	count      int                            // number of entries of candidates
-	alive      int
+	aliveCount int                            // running routers, candidates or not
 }
 
 // relays returns the highest-ranked routers. standbys returns the next ones, which become relays
@@ -88,7 +90,7 @@
 func (c *centre) standbys() []candidate { return c.candidates[min(c.count, relaysPerCentre):c.count] }
 
 func (c *centre) add(n candidate) {
-	c.alive++
+	c.aliveCount++
 	pos := c.count
 	for pos > 0 && n.rank.compare(c.candidates[pos-1].rank) < 0 {
 		pos--
@@ -101,14 +103,14 @@
 	c.candidates[pos] = n
 }
 
-func (c *centre) hasFollowers() bool { return c.alive > len(c.relays()) }
+func (c *centre) hasFollowers() bool { return c.aliveCount > len(c.relays()) }
 
 func (c *centre) isRelay(a Address) bool {
 	return c != nil && slices.ContainsFunc(c.relays(), func(r candidate) bool { return r.address == a })
 }
 
-// updateTopology ranks the running routers. Leaving routers are no relays, but are fed until they
-// exit.
+// updateTopology ranks the routers that are believed to run, and derives this router's role and
+// feeder. Leaving routers can't be relays, but are fed until they exit.
 func (c *Core) updateTopology(now time.Time) {
 	c.topologyStale = false
 	clear(c.centres)
@@ -123,7 +125,7 @@
 	if wasRelay != c.relay {
 		c.discardReports()
 		c.digestPending = true
-		c.announcements = announceDigests
+		c.remainingAnnouncements = announcementCount
 	}
 	feederBefore := c.feeder
 	c.chooseFeeder(now)
@@ -141,7 +143,7 @@
 	if canRelay {
 		entry.add(n)
 	} else {
-		entry.alive++
+		entry.aliveCount++
 	}
 }
 
--- a/internal/core/rendezvous/rendezvous.go
+++ b/internal/core/rendezvous/rendezvous.go
@@ -8,8 +8,8 @@
 // Hash returns the hash of a name, for use as a key or a node seed.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Mix combines a key with a node seed into a uniformly distributed weight. It
-// is the finalizer of the SplitMix64 generator.
+// Mix combines a key with a node seed into a uniformly distributed weight. It is the finalizer of
+// the SplitMix64 generator.
 func Mix(key, seed uint64) uint64 {
 	z := key ^ (seed * 0x9e3779b97f4a7c15)
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -30,7 +30,8 @@
 // Reset empties t.
 func (t *Top) Reset() { t.Len = 0 }
 
-// Insert adds the node at index with its weight. It keeps only the limit nodes of highest weight.
+// Insert adds the node at index with its weight. It keeps only the limit nodes of highest weight;
+// limit must be from 1 to MaxTopNodes and the same for all calls since Reset.
 func (t *Top) Insert(index int32, weight uint64, limit int) {
 	if t.Len == limit && weight <= t.weight[limit-1] {
 		return
--- a/internal/core/replica/replica.go
+++ b/internal/core/replica/replica.go
@@ -25,8 +25,8 @@
 type Table struct {
 	rows         map[string]Row
 	removed      []Row  // in order of version
-	version      uint64 // version of the last change to the content
-	removedSince uint64 // removed holds every removal after this version
+	version      uint64 // the copy is the table as of this version
+	removedSince uint64 // removed holds all removals after this version
 	loaded       bool
 }
 
@@ -36,8 +36,9 @@
 // Loaded reports whether the table has been loaded at least once.
 func (t *Table) Loaded() bool { return t.loaded }
 
-// Version returns the version of the last change to the content, or 0 if the table has not been
-// loaded.
+// Version returns the version as of which the copy equals the table, or 0 if the table has not been
+// loaded. It increases without a change of the content if the table was unchanged at a newer
+// version.
 func (t *Table) Version() uint64 { return t.version }
 
 // Rows returns the rows sorted by key.
@@ -83,8 +84,8 @@
 }
 
 // Apply applies changes, which are sorted by version, and reports whether the content changed. Rows
-// that are not newer than the copy are ignored. The version of the copy is at least version
-// afterwards; 0 means that the version is unknown.
+// that are not newer than the copy are ignored. The copy's version is then at least version, the
+// one up to which the changes are complete; 0 if that is unknown.
 func (t *Table) Apply(rows []Row, version uint64) bool {
 	changed := false
 	versionBefore := t.version // rows of one transaction share a version
