--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -90,8 +90,8 @@
 		suspectsChanged: make(chan struct{}, 1),
 		inbox:           make(chan func(time.Time), inboxSize), stopped: make(chan struct{}),
 		core: fleet.New(now(), fleet.Settings{
-			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadsAtStart: s.ReadsAtStart,
-			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.MaxApplyDelay, MaxLeavingDelay: s.MaxLeavingDelay,
+			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadStoreAtStart: s.ReadsAtStart,
+			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.MaxApplyDelay, MaxDepartureDelay: s.MaxLeavingDelay,
 		}),
 		copyServer:    newCopyServer(fleet.NewCopyBudget(now(), s.LinkBytesPerSecond)),
 		targetSet:     placement.NewTargetSet(),
@@ -219,7 +219,7 @@
 	}
 	c.updateStaleness(now)
 	if c.departures.hasUnsent || c.poisonReportPending {
-		c.handleEvent(ctx, now, fleet.ReportsPending{UrgentReports: c.takeReports(now)})
+		c.handleEvent(ctx, now, fleet.UrgentReportsPending{UrgentReports: c.takeReports(now)})
 	}
 }
 
@@ -235,7 +235,7 @@
 func (c *Control) reportDeparture(d placement.Departure) {
 	c.submit(func(now time.Time) {
 		c.departures.add([]placement.Departure{d})
-		c.handleEvent(c.ctx, now, fleet.ReportsPending{UrgentReports: c.takeReports(now)})
+		c.handleEvent(c.ctx, now, fleet.UrgentReportsPending{UrgentReports: c.takeReports(now)})
 	})
 }
 
@@ -281,7 +281,7 @@
 		ejected = c.traffic.balancer.ReceiveReport(now, a.Source, a.Loads, a.Outcomes)
 		c.traffic.loadsReportedAt = now
 	}
-	c.traffic.balancer.ReceivePrefixReads(now, a.Prompts)
+	c.traffic.balancer.ReceivePrefixReads(now, a.PrefixReads)
 	c.traffic.mu.Unlock()
 	c.applyDepartures(now, a.Departures)
 	if !a.Poison.Empty() {
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -85,7 +85,7 @@
 func (g *poisonGuard) takeReport(now time.Time) fleet.UrgentReports {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return fleet.UrgentReports{Poison: g.detector.NextReport(now), HeldSuspects: g.detector.ListSuspects(now), HeldSynced: g.suspectsSynced}
+	return fleet.UrgentReports{Poison: g.detector.NextReport(now), HeldSuspects: g.detector.ListSuspects(now), SuspectsSynced: g.suspectsSynced}
 }
 
 // tick expires probes and suspects, and sets the routers that are alive.
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -276,5 +276,5 @@
 func (t *trafficState) digestContent(now time.Time) fleet.Tick {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return fleet.Tick{Loads: t.balancer.OwnLoads(), Outcomes: t.balancer.OutcomesToReport(now), Prompts: t.balancer.TakePrefixReads(maxPrefixReadsPerDigest)}
+	return fleet.Tick{Loads: t.balancer.OwnLoads(), Outcomes: t.balancer.OutcomesToReport(now), PrefixReads: t.balancer.TakePrefixReads(maxPrefixReadsPerDigest)}
 }
