--- a/internal/app/gateway/budget_test.go
+++ b/internal/app/gateway/budget_test.go
@@ -29,7 +29,7 @@
 				var elapsed atomic.Int64 // nanoseconds
 				clock := func() time.Time { return startedAt.Add(time.Duration(elapsed.Load())) }
 				c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: firstStart && start == 0, MaxApplyDelay: 2 * time.Second,
-					MaxLeavingDelay: 2 * time.Second, LoadMultiple: 2, RetryRatio: 0.2, RetrySlack: slack, RetryWindow: window},
+					MaxDepartureDelay: 2 * time.Second, LoadMultiple: 2, RetryRatio: 0.2, RetrySlack: slack, RetryWindow: window},
 					silentStore{}, jsonDecoder{}, unreachablePeers{}, unreachableTargets{}, eventlog.Nop(), clock)
 				for t := range c.readCtx {
 					c.readCtx[t], c.cancelRead[t] = context.WithCancel(context.Background())
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// retentionShare is the fraction of MaxLeavingDelay for which a target remains in use after its
+	// retentionShare is the fraction of MaxDepartureDelay for which a target remains in use after its
 	// removal from the target list. The rest of the delay is left for the departure to reach all
 	// routers.
 	retentionShare = 0.35
@@ -90,8 +90,8 @@
 		suspectsChanged: make(chan struct{}, 1),
 		inbox:           make(chan func(time.Time), inboxSize), stopped: make(chan struct{}),
 		core: fleet.New(now(), fleet.Settings{
-			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadStoreAtStart: s.ReadsAtStart,
-			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.MaxApplyDelay, MaxDepartureDelay: s.MaxLeavingDelay,
+			Self: fleet.Address(s.Address), Incarnation: incarnation, Seed: rand.Uint64(), ReadStoreAtStart: s.ReadStoreAtStart,
+			DataCentre: s.DataCentre, Strength: s.Strength, MaxApplyDelay: s.MaxApplyDelay, MaxDepartureDelay: s.MaxDepartureDelay,
 		}),
 		copyServer:    newCopyServer(fleet.NewCopyBudget(now(), s.LinkBytesPerSecond)),
 		targetSet:     placement.NewTargetSet(),
@@ -148,7 +148,7 @@
 
 // targetRetention returns how long targets remain in use after their removal from the target list.
 func (c *Control) targetRetention(now time.Time) placement.Retention {
-	retention := placement.Retention{AfterRemoval: time.Duration(retentionShare * float64(c.settings.MaxLeavingDelay))}
+	retention := placement.Retention{AfterRemoval: time.Duration(retentionShare * float64(c.settings.MaxDepartureDelay))}
 	outage := c.core.InStoreOutage(now)
 	if outage {
 		since, until := c.core.LastOutage()
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -225,8 +225,8 @@
 		sent := &attemptRecorder{sent: make(map[uint64]int)}
 		start := func(address string, s gateway.Store) *gateway.Control {
 			c := gateway.NewControl(gateway.Settings{
-				Name: address, Address: address, Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, ReadsAtStart: true,
-				MaxApplyDelay: maxDelay, MaxLeavingDelay: maxDelay, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
+				Name: address, Address: address, Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, ReadStoreAtStart: true,
+				MaxApplyDelay: maxDelay, MaxDepartureDelay: maxDelay, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
 			}, s, stateDecoder{}, &meshPeers{from: address, mesh: m}, sent, eventlog.Nop(), time.Now)
 			m.mu.Lock()
 			m.routers[address] = c
@@ -283,7 +283,7 @@
 	It("is answered with uncompressed rows unless the requester reads packed replies", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:1", ReadsAtStart: true, MaxApplyDelay: time.Second, LinkBytesPerSecond: 1000},
+		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:1", ReadStoreAtStart: true, MaxApplyDelay: time.Second, LinkBytesPerSecond: 1000},
 			largeStore{}, versionDecoder{}, &fullLinkPeers{}, failingUpstream{}, eventlog.Nop(), time.Now)
 		go c.Run(ctx)
 		Eventually(c.Ready, time.Second).Should(BeTrue())
--- a/internal/app/gateway/settings.go
+++ b/internal/app/gateway/settings.go
@@ -10,17 +10,17 @@
 	Strength uint32
 	Address  string   // address for other routers, as IP:PORT
 	Seeds    []string // addresses at which other routers may run
-	// ReadsAtStart is true if the router reads the store soon after its start. It is false for
+	// ReadStoreAtStart is true if the router reads the store soon after its start. It is false for
 	// routers that start together with others, which read the store and send them the tables.
 	// See fleet.Settings.
-	ReadsAtStart bool
+	ReadStoreAtStart bool
 	// FirstStart is true if the whole fleet starts for the first time, so that no earlier state
 	// exists.
 	FirstStart bool
-	// MaxApplyDelay is the time within which a desired state must be applied. MaxLeavingDelay is
+	// MaxApplyDelay is the time within which a desired state must be applied. MaxDepartureDelay is
 	// the time within which a leaving target must stop receiving requests.
-	MaxApplyDelay   time.Duration
-	MaxLeavingDelay time.Duration
+	MaxApplyDelay     time.Duration
+	MaxDepartureDelay time.Duration
 	// RetryRatio, RetrySlack and RetryWindow define the retry budget of the fleet: in any span of
 	// length RetryWindow, retries <= RetryRatio * requests + RetrySlack. See retry.Window.
 	RetryRatio  float64
--- a/internal/app/gateway/stale_test.go
+++ b/internal/app/gateway/stale_test.go
@@ -87,7 +87,7 @@
 		defer cancel()
 		link := &fullLinkPeers{}
 		link.full.Store(true)
-		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:7340", ReadsAtStart: true, MaxApplyDelay: maxApplyDelay},
+		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:7340", ReadStoreAtStart: true, MaxApplyDelay: maxApplyDelay},
 			frozenStore{}, versionDecoder{}, link, failingUpstream{}, eventlog.Nop(), time.Now)
 		proxy := gateway.NewProxy(c, nil, failingUpstream{}, nil, eventlog.Nop(), time.Now)
 		match := func(path string) code.Code {
