--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -133,7 +133,7 @@
 func (v *trafficState) exitedTargetsToProbe(now time.Time) []placement.Target {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.ExitedTargetsToProbe(now)
+	return v.board.TakeExitedTargetsToProbe(now)
 }
 
 // recordProbe records whether a target believed to have exited accepts connections.
@@ -168,7 +168,7 @@
 func (v *trafficState) maySend(now time.Time, c placement.Choice) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.board.MaySend(now, c)
+	return v.board.ConfirmPlacement(now, c)
 }
 
 // noTargetCode returns the result code for a request that found no target.
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -49,22 +49,22 @@
 	// many requests with a short queue as with a long one, but behind a long queue all answers are
 	// late.
 	objectiveShare = 0.25
-	// yieldShare is the share of its waiting requests that a route gives up for each more urgent
-	// route with recent requests at the pool. It orders the routes without starving the last one. A
-	// shorter wait per rank would starve it: one more urgent request in the queue would keep out
-	// all others.
+	// yieldShare is the share of a route's requests that are refused instead of waiting, for each
+	// more urgent route with recent requests at the pool. It orders the routes without starving the
+	// last one. A shorter wait per rank would starve it: one more urgent request in the queue would
+	// keep out all others.
 	yieldShare = 0.15
 	// shortWorkRetryShare is the share of the objective after which a caller comes back to a pool
-	// of short work.
+	// of short work, see HasShortWork.
 	shortWorkRetryShare = 0.35
 	// retryShare is the share of a refused caller's remaining time after which it comes back at the
 	// earliest. Overload lasts for seconds, so a caller that has time should come back later.
 	retryShare = 0.25
-	// maxTeamShare is the multiple of the mean open requests per team from which a team is over its
-	// share. 2 leaves room for large teams, and none for a team that sends many times its usual
-	// load.
-	maxTeamShare = 2.0
-	// overShareWait is the share of the longest wait from which a team over its share is refused.
+	// maxTeamMultiple is the multiple of the mean open requests per team from which a team is over
+	// its share. 2 leaves room for large teams, and none for a team that sends many times its
+	// usual load.
+	maxTeamMultiple = 2.0
+	// overShareWait is the part of the longest wait that requests of a team over its share may use.
 	// The rest of that wait is left to the requests of other teams.
 	overShareWait = 0.25
 	// minTeamRequests is the number of open requests below which a team is never over its share:
@@ -84,36 +84,36 @@
 // Gate is the admission control of one pool. It decides by this router's own measurements and by
 // load reports. It is not safe for concurrent use.
 type Gate struct {
-	duration time.Duration // mean time that a request holds a slot
-	teams    map[string]*team
-	total    int // open requests of all teams
-	throttle throttle
-	demands  map[urgency]*demand
+	meanDuration time.Duration // mean time that a request holds a slot
+	teams        map[string]*team
+	total        int // open requests of all teams
+	throttle     throttle
+	demands      map[urgency]*demand
 }
 
 // demand is what is known of the requests of one urgency.
 type demand struct {
 	objective     time.Duration // of the last request; 0 if its route has none
-	lastRequestAt time.Time     // time of the last request
-	yieldDebt     float64       // fraction of a request still to be refused for more urgent routes
-	throttleDebt  float64       // fraction of a request still to be refused by the throttle
+	lastRequestAt time.Time
+	yieldDebt     float64 // fraction of a request still to be refused for more urgent routes
+	throttleDebt  float64 // fraction of a request still to be refused by the throttle
 }
 
 // urgency orders requests by rank, and requests of equal rank by the ranks of their routes.
 type urgency struct{ rank, route int }
 
-func (u urgency) before(o urgency) bool {
+func (u urgency) isMoreUrgentThan(o urgency) bool {
 	return u.rank < o.rank || (u.rank == o.rank && u.route < o.route)
 }
 
 type team struct {
 	open          int
-	lastRequestAt time.Time // time of the last request
+	lastRequestAt time.Time
 }
 
 // NewGate returns a Gate without measurements.
 func NewGate() *Gate {
-	return &Gate{duration: initialDuration, teams: make(map[string]*team), demands: make(map[urgency]*demand)}
+	return &Gate{meanDuration: initialDuration, teams: make(map[string]*team), demands: make(map[urgency]*demand)}
 }
 
 // Decide admits or refuses a request. RecordStart and RecordEnd must follow if it is sent.
@@ -140,9 +140,10 @@
 	return decision
 }
 
-// HasShortWork reports whether requests take less time than a load report of the given age. Such a
-// report no longer describes the target's load, so the pool is throttled by outcomes.
-func (g *Gate) HasShortWork(reportAge time.Duration) bool { return g.duration <= reportAge }
+// HasShortWork reports whether the pool's requests are short work: their mean duration is at most
+// reportAge, the load report age. Such a report no longer describes the target's load, so the pool
+// is throttled by outcomes.
+func (g *Gate) HasShortWork(reportAge time.Duration) bool { return g.meanDuration <= reportAge }
 
 // decideByOutcomes decides for short work. Each request adds the share to be refused to a sum, and
 // a request is refused when the sum reaches one, so that refusals are spread evenly.
@@ -155,9 +156,9 @@
 	switch {
 	case d.throttleDebt >= 1:
 		d.throttleDebt--
-		decision.Code, decision.Wait = code.QueueFull, g.duration
+		decision.Code, decision.Wait = code.QueueFull, g.meanDuration
 	case g.throttle.refusalShare(now, false) > 0 && g.isOverShare(now, t):
-		decision.Code, decision.Wait = code.TeamLimit, g.duration
+		decision.Code, decision.Wait = code.TeamLimit, g.meanDuration
 	}
 	return decision
 }
@@ -176,7 +177,7 @@
 func (g *Gate) mostUrgent(now time.Time) urgency {
 	highest := urgency{rank: maxRank, route: maxRank}
 	for u, d := range g.demands {
-		if u.before(highest) && now.Sub(d.lastRequestAt) <= demandWindow {
+		if u.isMoreUrgentThan(highest) && now.Sub(d.lastRequestAt) <= demandWindow {
 			highest = u
 		}
 	}
@@ -199,7 +200,7 @@
 func (g *Gate) maxWait(now time.Time, u urgency, remaining time.Duration) float64 {
 	maxWait := maxWaitShare * float64(remaining)
 	for o, d := range g.demands {
-		if !ablate.IsOff(ablate.Objective) && d.objective > 0 && (o == u || (o.before(u) && now.Sub(d.lastRequestAt) <= demandWindow)) {
+		if !ablate.IsOff(ablate.Objective) && d.objective > 0 && (o == u || (o.isMoreUrgentThan(u) && now.Sub(d.lastRequestAt) <= demandWindow)) {
 			maxWait = min(maxWait, objectiveShare*float64(d.objective))
 		}
 	}
@@ -243,7 +244,7 @@
 	if l.Slots == 0 || ahead <= 0 {
 		return 0
 	}
-	return time.Duration(float64(ahead) / float64(l.Slots) * float64(g.duration))
+	return time.Duration(float64(ahead) / float64(l.Slots) * float64(g.meanDuration))
 }
 
 // isOverShare reports whether a team has more than its share of the open requests.
@@ -260,7 +261,7 @@
 			delete(g.teams, name)
 		}
 	}
-	return float64(t.open) >= maxTeamShare*float64(g.total)/float64(max(activeTeams, 1))
+	return float64(t.open) >= maxTeamMultiple*float64(g.total)/float64(max(activeTeams, 1))
 }
 
 // RecordStart records that a request of a team was sent.
@@ -274,5 +275,5 @@
 	g.throttle.record(now, outcome)
 	g.total--
 	g.team(teamName).open--
-	g.duration += time.Duration(durationWeight * float64(elapsed-g.duration))
+	g.meanDuration += time.Duration(durationWeight * float64(elapsed-g.meanDuration))
 }
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -28,9 +28,9 @@
 }
 
 // outcome counts the results of the requests of one kind.
-type outcome struct{ asked, inTime, late, refused int }
+type outcome struct{ requested, inTime, late, refused int }
 
-func (o outcome) inTimeShare() float64 { return float64(o.inTime) / float64(max(o.asked, 1)) }
+func (o outcome) inTimeShare() float64 { return float64(o.inTime) / float64(max(o.requested, 1)) }
 
 // end is when a request of a kind ends; ends is a heap of them.
 type end struct {
@@ -76,7 +76,7 @@
 			if rnd.Float64() >= k.perSec*step.Seconds() {
 				continue
 			}
-			out[i].asked++
+			out[i].requested++
 			if gate != nil {
 				decision := gate.Decide(start.Add(now), admission.Request{Team: k.team, Rank: k.rank, RouteRank: k.routeRank, Remaining: k.budget, Objective: k.objective}, admission.Load{Open: len(running), Slots: slots})
 				if decision.Code != code.OK {
@@ -139,7 +139,7 @@
 		fmt.Fprintf(GinkgoWriter, "served: chat %.2f, draft %.2f, tag %.2f\n", got[0].inTimeShare(), got[1].inTimeShare(), got[2].inTimeShare())
 		Expect(got[0].inTimeShare()).To(BeNumerically(">", got[1].inTimeShare()))
 		Expect(got[1].inTimeShare()).To(BeNumerically(">", got[2].inTimeShare()))
-		all := float64(got[0].inTime+got[1].inTime+got[2].inTime) / float64(got[0].asked+got[1].asked+got[2].asked)
+		all := float64(got[0].inTime+got[1].inTime+got[2].inTime) / float64(got[0].requested+got[1].requested+got[2].requested)
 		Expect(got[2].inTimeShare()).To(BeNumerically(">", all/3), "no route is starved")
 	})
 
--- a/internal/core/admission/retryafter.go
+++ b/internal/core/admission/retryafter.go
@@ -20,8 +20,8 @@
 // if coming back does not help. remaining is the time until the caller gives up.
 //
 // A pool without targets stays unavailable for seconds, and nobody knows for how many. Callers come
-// back once or twice, so a caller that has time should come back later. Its objective has passed
-// either way.
+// back once or twice, so a caller that has time should come back later. Its answer misses the
+// objective in either case.
 func RetryAfter(c code.Code, remaining time.Duration) time.Duration {
 	switch c {
 	case code.ShuttingDown:
--- a/internal/core/admission/retryafter_test.go
+++ b/internal/core/admission/retryafter_test.go
@@ -32,8 +32,8 @@
 
 var _ = Describe("the Retry-After of a refused caller", func() {
 	// Guards against callers that get no answer during an outage of all targets although they have
-	// eight seconds: if the Retry-After ignores their remaining time, they come back after half a
-	// second, are refused again and give up.
+	// eight seconds. If the Retry-After ignores their remaining time, they come back after half a
+	// second, which is what the restart of a target takes, are refused again and give up.
 	DescribeTable("lets more callers be served after an outage of all targets",
 		func(outage time.Duration, least float64) {
 			budget := 8 * time.Second
--- a/internal/core/admission/short_test.go
+++ b/internal/core/admission/short_test.go
@@ -98,15 +98,15 @@
 	const slots, queue, hop, step, span = 6, 24, 3 * time.Millisecond, time.Millisecond, 12 * time.Second
 	rnd := rand.New(rand.NewPCG(seed, 9))
 	list := make([]placement.Target, l.targets)
-	engines := make(map[uint64]*plainTarget)
+	plainTargets := make(map[uint64]*plainTarget)
 	for i := range list {
 		list[i] = placement.Target{UID: uint64(i + 1), ID: fmt.Sprint("i-", i), Slots: slots, DataCentre: "a"}
-		engines[list[i].UID] = &plainTarget{slots: slots, queue: queue, free: make([]time.Duration, slots)}
+		plainTargets[list[i].UID] = &plainTarget{slots: slots, queue: queue, free: make([]time.Duration, slots)}
 	}
-	boards, gates := make([]*placement.Balancer, l.routers), make([]*admission.Gate, l.routers)
-	for i := range boards {
-		boards[i] = placement.New(placement.DefaultSettings("a"), rand.New(rand.NewPCG(seed, uint64(i))))
-		boards[i].SetTargets(start, map[string][]placement.Target{"p": list})
+	balancers, gates := make([]*placement.Balancer, l.routers), make([]*admission.Gate, l.routers)
+	for i := range balancers {
+		balancers[i] = placement.New(placement.DefaultSettings("a"), rand.New(rand.NewPCG(seed, uint64(i))))
+		balancers[i].SetTargets(start, map[string][]placement.Target{"p": list})
 		gates[i] = admission.NewGate()
 	}
 	got = make([]outcome, len(l.perSec))
@@ -116,13 +116,13 @@
 		at := start.Add(now)
 		if now%(100*time.Millisecond) == 0 {
 			ownLoads := make([][]placement.Load, l.routers)
-			for i, b := range boards {
+			for i, b := range balancers {
 				ownLoads[i] = b.OwnLoads()
 			}
 			reports = append(reports, ownLoads)
 		}
 		if index := int((now - l.reportAge/2) / (100 * time.Millisecond)); now%(100*time.Millisecond) == 50*time.Millisecond && index >= 0 {
-			for i, b := range boards {
+			for i, b := range balancers {
 				for o, loads := range reports[index] {
 					if o != i {
 						b.ReceiveReport(at, uint32(o+1), loads, nil)
@@ -141,7 +141,7 @@
 				end = admission.Late
 			}
 			gates[a.router].RecordEnd(at, "", took, end)
-			boards[a.router].FinishRequest(at, a.choice.Target.UID, o)
+			balancers[a.router].FinishRequest(at, a.choice.Target.UID, o)
 			rank := a.rank
 			switch {
 			case a.sent < 2*time.Second:
@@ -157,10 +157,10 @@
 		for rank, perSec := range l.perSec {
 			for range l.arrivals(perSec*step.Seconds(), rnd) {
 				if now >= 2*time.Second {
-					got[rank].asked++
+					got[rank].requested++
 				}
 				r := rnd.IntN(l.routers)
-				c, ok := boards[r].Place(at, placement.Request{Pool: "p", LoadsOutdated: !l.exact && gates[r].HasShortWork(l.reportAge)})
+				c, ok := balancers[r].Place(at, placement.Request{Pool: "p", LoadsOutdated: !l.exact && gates[r].HasShortWork(l.reportAge)})
 				Expect(ok).To(BeTrue())
 				age := l.reportAge
 				if l.exact {
@@ -168,7 +168,7 @@
 				}
 				decision := gates[r].Decide(at, admission.Request{Rank: 1, RouteRank: rank, Remaining: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, ReportAge: age})
 				if decision.Code != code.OK {
-					boards[r].FinishRequest(at, c.Target.UID, placement.Neutral)
+					balancers[r].FinishRequest(at, c.Target.UID, placement.Neutral)
 					Expect(decision.RetryAfter).To(BeNumerically(">", 0))
 					if now >= 2*time.Second {
 						got[rank].refused++
@@ -177,7 +177,7 @@
 				}
 				gates[r].RecordStart("")
 				work := time.Duration(float64(l.work) * (0.5 + rnd.Float64()))
-				endsAt, ok := engines[c.Target.UID].accept(now+hop, work)
+				endsAt, ok := plainTargets[c.Target.UID].accept(now+hop, work)
 				if !ok {
 					endsAt = now + hop
 				}
@@ -215,8 +215,8 @@
 		exactLoad.exact = true
 		exactShare, _ := servedShare(exactLoad)
 		AddReportEntry(fmt.Sprintf("load %.2f: urgent %.2f, less urgent %.2f, in time %.3f of the capacity, with exact counts %.3f; %+v", load, got[0].inTimeShare(), got[1].inTimeShare(), share, exactShare, got))
-		asked := float64(got[0].asked + got[1].asked)
-		Expect(share).To(BeNumerically(">=", least*min(asked/4000, 1)))
+		requested := float64(got[0].requested + got[1].requested)
+		Expect(share).To(BeNumerically(">=", least*min(requested/4000, 1)))
 		Expect(got[0].inTimeShare()).To(BeNumerically(">=", got[1].inTimeShare()-0.01))
 	},
 		Entry("half of its capacity", 0.5, 0.98), Entry("0.8", 0.8, 0.98), Entry("its capacity", 1.0, 0.9), Entry("1.2", 1.2, 0.85), Entry("1.5", 1.5, 0.85), Entry("3", 3.0, 0.8),
@@ -228,8 +228,8 @@
 		l := newLoad(3 * load)
 		l.targets = 3
 		share, got := servedShare(l)
-		asked := float64(got[0].asked + got[1].asked)
-		Expect(share * 12000).To(BeNumerically(">=", least*asked))
+		requested := float64(got[0].requested + got[1].requested)
+		Expect(share * 12000).To(BeNumerically(">=", least*requested))
 	},
 		Entry("half of their capacity", 0.5, 0.99), Entry("0.8", 0.8, 0.99), Entry("0.9", 0.9, 0.97), Entry("their capacity", 1.0, 0.9),
 	)
@@ -240,8 +240,8 @@
 		l := newLoad(load)
 		l.batch = 4
 		share, got := servedShare(l)
-		asked := float64(got[0].asked + got[1].asked)
-		Expect(share*4000).To(BeNumerically(">=", least*asked), "%+v", got)
+		requested := float64(got[0].requested + got[1].requested)
+		Expect(share*4000).To(BeNumerically(">=", least*requested), "%+v", got)
 		Expect(got[0].inTimeShare()).To(BeNumerically(">=", got[1].inTimeShare()-0.02))
 	},
 		Entry("half of its capacity", 0.5, 0.98), Entry("0.8", 0.8, 0.96), Entry("its capacity", 1.0, 0.88), Entry("1.5", 1.5, 0.6),
--- a/internal/core/admission/throttle.go
+++ b/internal/core/admission/throttle.go
@@ -13,14 +13,14 @@
 // requests.
 type throttle struct {
 	updatedAt time.Time
-	// sent counts the requests that targets answered, refused those of them that targets refused.
-	// Both decay.
+	// sent counts the requests that were sent and have ended. refused counts those of them that
+	// targets refused, and late answers with lateWeight. Both decay.
 	sent, refused float64
 }
 
 const (
 	// throttleHalfLife is the half-life of the counts. A router sends a few requests a second to a
-	// pool.
+	// pool, so the counts cover the last few of them.
 	throttleHalfLife = time.Second
 	// throttlePrior is the number of assumed outcomes without a refusal at the start.
 	throttlePrior = 1.0
--- a/internal/core/attempt/attempt_test.go
+++ b/internal/core/attempt/attempt_test.go
@@ -20,7 +20,7 @@
 	dispatched      bool
 	written         bool // the current attempt is past its point of no return
 	answering       bool // the current attempt has a partial answer
-	mayHaveExecuted bool // an attempt passed that point and no target took it back
+	mayHaveExecuted bool // an attempt passed that point, and its target did not refuse it
 	forwarded       []int
 	finish          *attempt.Action
 	violation       string
@@ -31,50 +31,50 @@
 }
 
 // step passes an event to the machine and checks its action.
-func (b *observer) step(ev attempt.Event) attempt.Action {
-	if w, ok := ev.(attempt.WriteStarted); ok && b.dispatched && w.Attempt == b.attempt {
-		b.written = true
+func (o *observer) step(ev attempt.Event) attempt.Action {
+	if w, ok := ev.(attempt.WriteStarted); ok && o.dispatched && w.Attempt == o.attempt {
+		o.written = true
 	}
-	if w, ok := ev.(attempt.TargetRefused); ok && b.dispatched && w.Attempt == b.attempt && !b.answering {
-		b.written = false
+	if w, ok := ev.(attempt.TargetRefused); ok && o.dispatched && w.Attempt == o.attempt && !o.answering {
+		o.written = false
 	}
-	a := b.m.Step(ev)
+	a := o.m.Step(ev)
 	switch a.Kind {
 	case attempt.Dispatch:
-		if b.mayHaveExecuted && !b.idempotent {
-			b.violation = "a request that is not idempotent was sent again"
+		if o.mayHaveExecuted && !o.idempotent {
+			o.violation = "a request that is not idempotent was sent again"
 		}
-		if a.Offset != len(b.forwarded) {
-			b.violation = fmt.Sprintf("resumed at %d after %d parts", a.Offset, len(b.forwarded))
+		if a.Offset != len(o.forwarded) {
+			o.violation = fmt.Sprintf("resumed at %d after %d parts", a.Offset, len(o.forwarded))
 		}
-		b.attempt, b.dispatched, b.written, b.answering = a.Attempt, true, false, false
+		o.attempt, o.dispatched, o.written, o.answering = a.Attempt, true, false, false
 	case attempt.Forward:
-		if part, ok := ev.(attempt.Part); ok && part.Echo != b.attempt {
-			b.violation = "a part of another attempt's answer was forwarded"
+		if part, ok := ev.(attempt.Part); ok && part.Echo != o.attempt {
+			o.violation = "a part of another attempt's answer was forwarded"
 		}
-		if a.Offset != len(b.forwarded) {
-			b.violation = fmt.Sprintf("part %d forwarded after %d parts", a.Offset, len(b.forwarded))
+		if a.Offset != len(o.forwarded) {
+			o.violation = fmt.Sprintf("part %d forwarded after %d parts", a.Offset, len(o.forwarded))
 		}
-		b.forwarded = append(b.forwarded, a.Offset)
-		b.written, b.answering = true, true
+		o.forwarded = append(o.forwarded, a.Offset)
+		o.written, o.answering = true, true
 	case attempt.RequestTicket, attempt.Finish:
-		b.mayHaveExecuted = b.mayHaveExecuted || b.written
-		b.dispatched, b.written = false, false
+		o.mayHaveExecuted = o.mayHaveExecuted || o.written
+		o.dispatched, o.written = false, false
 	}
 	if a.Kind == attempt.Finish {
-		b.checkFinish(a)
+		o.checkFinish(a)
 	}
 	return a
 }
 
-func (b *observer) checkFinish(a attempt.Action) {
-	if b.finish != nil {
-		b.violation = "finished twice"
+func (o *observer) checkFinish(a attempt.Action) {
+	if o.finish != nil {
+		o.violation = "finished twice"
 	}
-	b.finish = &a
+	o.finish = &a
 	execution := a.Code.Lookup().Execution
-	if a.Code != code.OK && execution == code.NotExecuted && b.mayHaveExecuted {
-		b.violation = fmt.Sprintf("code %d promises not executed for a request that may have been executed", a.Code)
+	if a.Code != code.OK && execution == code.NotExecuted && o.mayHaveExecuted {
+		o.violation = fmt.Sprintf("code %d promises not executed for a request that may have been executed", a.Code)
 	}
 }
 
@@ -126,17 +126,17 @@
 }
 
 // complete leads an unfinished request to a whole answer of four parts.
-func (b *observer) complete() {
-	for b.finish == nil && b.attempt < 4 {
-		if b.m.State() == attempt.Waiting {
-			b.step(attempt.TicketGranted{Target: 9})
+func (o *observer) complete() {
+	for o.finish == nil && o.attempt < 4 {
+		if o.m.State() == attempt.Waiting {
+			o.step(attempt.TicketGranted{Target: 9})
 		}
-		n := b.attempt
-		b.step(attempt.WriteStarted{Attempt: n})
-		for i := len(b.forwarded); i < 4; i++ {
-			b.step(attempt.Part{Attempt: n, Echo: n, Offset: i})
+		n := o.attempt
+		o.step(attempt.WriteStarted{Attempt: n})
+		for i := len(o.forwarded); i < 4; i++ {
+			o.step(attempt.Part{Attempt: n, Echo: n, Offset: i})
 		}
-		b.step(attempt.End{Attempt: n, Echo: n, Total: 4})
+		o.step(attempt.End{Attempt: n, Echo: n, Total: 4})
 	}
 }
 
@@ -149,16 +149,16 @@
 		for _, state := range states {
 			for _, fault := range faults {
 				It(fmt.Sprintf("%s, %s, idempotent=%t", state.name, fault.name, idempotent), func() {
-					b := newObserver(idempotent)
+					o := newObserver(idempotent)
 					for _, ev := range state.events() {
-						b.step(ev)
+						o.step(ev)
 					}
-					b.step(fault.event(b.attempt))
-					b.complete()
-					Expect(b.violation).To(BeEmpty())
-					Expect(b.finish).NotTo(BeNil(), "the request has an answer")
-					if b.finish.Code == code.OK {
-						Expect(b.forwarded).To(Equal([]int{0, 1, 2, 3}))
+					o.step(fault.event(o.attempt))
+					o.complete()
+					Expect(o.violation).To(BeEmpty())
+					Expect(o.finish).NotTo(BeNil(), "the request has an answer")
+					if o.finish.Code == code.OK {
+						Expect(o.forwarded).To(Equal([]int{0, 1, 2, 3}))
 					}
 				})
 			}
@@ -169,9 +169,9 @@
 var _ = Describe("a request", func() {
 	It("is answered consistently after any sequence of events", func() {
 		testkit.Check("2000", func(t *rapid.T) {
-			b := newObserver(rapid.Bool().Draw(t, "idempotent"))
+			o := newObserver(rapid.Bool().Draw(t, "idempotent"))
 			for range 25 {
-				n := b.attempt - rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "age")
+				n := o.attempt - rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "age")
 				echo := n - rapid.SampledFrom([]int{0, 0, 0, 0, 1}).Draw(t, "echo")
 				ev := rapid.SampledFrom([]attempt.Event{
 					attempt.TicketGranted{Target: rapid.Uint64Range(1, 5).Draw(t, "target")},
@@ -181,12 +181,12 @@
 					attempt.End{Attempt: n, Echo: echo, Total: rapid.IntRange(0, 4).Draw(t, "total")},
 					attempt.DeadlinePassed{}, attempt.CallerDisconnected{},
 				}).Draw(t, "event")
-				if _, ok := ev.(attempt.NotSent); ok && b.written {
+				if _, ok := ev.(attempt.NotSent); ok && o.written {
 					continue // the adapter sends NotSent only before WriteStarted
 				}
-				b.step(ev)
-				if b.violation != "" {
-					t.Fatal(b.violation)
+				o.step(ev)
+				if o.violation != "" {
+					t.Fatal(o.violation)
 				}
 			}
 		})
@@ -196,19 +196,19 @@
 	// written, the connection fails, no other target is free, and the code of the refused second
 	// ticket promises that no target has executed the request.
 	It("that may have been executed is never reported as not executed", func() {
-		b := newObserver(true)
-		b.step(attempt.TicketGranted{Target: 1})
-		b.step(attempt.WriteStarted{Attempt: 1})
-		b.step(attempt.ConnectionFailed{Attempt: 1})
-		a := b.step(attempt.TicketRefused{Code: code.QueueFull})
+		o := newObserver(true)
+		o.step(attempt.TicketGranted{Target: 1})
+		o.step(attempt.WriteStarted{Attempt: 1})
+		o.step(attempt.ConnectionFailed{Attempt: 1})
+		a := o.step(attempt.TicketRefused{Code: code.QueueFull})
 		Expect(a.Code).To(Equal(code.AttemptsSpent))
 	})
 
 	It("that a target refused may go to another target even if it is not idempotent", func() {
-		b := newObserver(false)
-		b.step(attempt.TicketGranted{Target: 1})
-		b.step(attempt.WriteStarted{Attempt: 1})
-		Expect(b.step(attempt.TargetRefused{Attempt: 1}).Kind).To(Equal(attempt.RequestTicket))
-		Expect(b.step(attempt.TicketRefused{Code: code.QueueFull}).Code).To(Equal(code.QueueFull))
+		o := newObserver(false)
+		o.step(attempt.TicketGranted{Target: 1})
+		o.step(attempt.WriteStarted{Attempt: 1})
+		Expect(o.step(attempt.TargetRefused{Attempt: 1}).Kind).To(Equal(attempt.RequestTicket))
+		Expect(o.step(attempt.TicketRefused{Code: code.QueueFull}).Code).To(Equal(code.QueueFull))
 	})
 })
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -29,7 +29,7 @@
 // more often than the others, so more of them may go without work.
 const ejectionPanicThreshold = 0.75
 
-// skipFilter returns a function that reports whether a target gets no new requests for now.
+// skipFilter returns a function that reports whether a target must get no new requests now.
 func skipFilter(now time.Time, p *pool) func(*target) bool {
 	active, suspended, ejected := 0, 0, 0
 	for _, t := range p.targets {
@@ -87,8 +87,9 @@
 }
 
 // chooseByChat returns the first target in the chat's rendezvous order that is below the load bound
-// and not slow. All routers compute the same order, so a chat that moves to its second target gets
-// the same one at every router.
+// and not slow. If the chat's home can't take the request, a target that holds the whole prompt
+// comes before the others. All routers compute the same order, so a chat that moves to its second
+// target gets the same one at every router.
 func (b *Balancer) chooseByChat(now time.Time, p *pool, r Request, bound float64, skip func(*target) bool) (*target, Rule) {
 	var c candidates
 	p.collectCandidates(&c, r, min(bound, p.maxOpen), skip)
@@ -113,8 +114,8 @@
 	preferred int
 }
 
-// collectCandidates collects the targets that hold less than limit: in the chat's order, but those
-// above the load given by spillLoadFactor come last.
+// collectCandidates collects the targets that would hold at most limit open requests with this one,
+// in the chat's order. Targets above the load given by spillLoadFactor come last, except the home.
 func (p *pool) collectCandidates(c *candidates, r Request, limit float64, skip func(*target) bool) {
 	var top rendezvous.Top
 	order := p.chatOrder(r.Chat, skip)
@@ -184,7 +185,7 @@
 		return first, rule
 	}
 	expected := b.expectedFirstEvent(now, r, first)
-	if (r.Objective == 0 || float64(expected) <= objectiveShare*float64(r.Objective)) && b.slowdown(now, first) < slowFactor {
+	if (r.Objective == 0 || float64(expected) <= objectiveShare*float64(r.Objective)) && b.slowdown(now, first) < slowdownThreshold {
 		return first, rule
 	}
 	for _, t := range c.targets[1:c.preferred] {
@@ -200,9 +201,10 @@
 	// take before a chat goes to a later target. Moving a chat loses its cache, which does not pay
 	// while the first event comes sooner than that.
 	objectiveShare = 0.5
-	// slowFactor is the slowdown from which a target is avoided even if the first event would come
-	// in time. The later events are delayed as much, and more while the target reads other prompts.
-	slowFactor = 3
+	// slowdownThreshold is the slowdown from which a target is avoided even if the first event
+	// would come in time. The later events are delayed as much, and more while the target reads
+	// other prompts.
+	slowdownThreshold = 3
 	// fasterFactor is the share of the first target's expected time that a later target may take to
 	// be chosen instead. With a clear difference required, nearly all routers choose the same one:
 	// the first in the chat's order that is not slow.
@@ -227,9 +229,9 @@
 }
 
 // chooseRandom draws a target, weighted by its slots, its slowdown and this router's own open
-// requests, and with a preference for this data centre. It is used when load reports arrive too
-// late: all routers would then see the same least loaded target and send to it together, after its
-// reported requests have finished, while the other targets are idle.
+// requests, and with a preference for this data centre. It is used when load reports are outdated:
+// all routers would choose the target that was the least loaded one in the last reports, so their
+// requests would arrive there together while the other targets are idle.
 func (b *Balancer) chooseRandom(now time.Time, p *pool, r Request, skip func(*target) bool) *target {
 	var best *target
 	earliest := 0.0
--- a/internal/core/placement/cold.go
+++ b/internal/core/placement/cold.go
@@ -11,9 +11,9 @@
 // alike, and it gets only requests that would wait elsewhere.
 type coldState struct {
 	until time.Time
-	// lastSentAt is when this router last placed or sent a request at the cold target, or, if
-	// later, when it learned that the target is cold. Requests sent before it learned so count
-	// towards the same second.
+	// lastSentAt is when this router last placed a request at the cold target or sent one to it.
+	// It starts with the time at which the router learned that the target is cold, because the
+	// requests that it sent just before count towards the limit as well.
 	lastSentAt   time.Time
 	lastSequence uint64 // sequence number of the placement that set lastSentAt; 0 if none did
 }
@@ -39,20 +39,20 @@
 
 // isCold reports whether the target is cold and its pool limits what cold targets get.
 func (t *target) isCold(now time.Time) bool {
-	return t.cold.until.After(now) && t.pool.coldPerSecond > 0
+	return t.cold.until.After(now) && t.pool.maxColdPerSecond > 0
 }
 
 // maySendCold reports whether this router may send a request to a cold target now.
 func (b *Balancer) maySendCold(now time.Time, t *target) bool {
-	return b.fleet != nil && now.Sub(t.cold.lastSentAt) >= warmup.SendInterval && b.fleet.MaySend(t.UID, t.pool.coldPerSecond)
+	return b.fleet != nil && now.Sub(t.cold.lastSentAt) >= warmup.SendInterval && b.fleet.MaySend(t.UID, t.pool.maxColdPerSecond)
 }
 
 // SetFleet sets the fleet, from which the routers that may send to a cold target are selected.
 // Until it is called, cold targets get no requests.
 func (b *Balancer) SetFleet(f *warmup.Fleet) { b.fleet = f }
 
-// MarkCold records a target's own report that it is cold for d. news reports whether it was
-// considered warm before.
+// MarkCold records a target's own report that it is cold for d. news reports whether the target was
+// considered warm before and its pool limits what cold targets get.
 func (b *Balancer) MarkCold(now time.Time, uid uint64, d time.Duration) (news bool) {
 	t, ok := b.byUID[uid]
 	if !ok {
@@ -79,7 +79,7 @@
 // chooseCold returns the cold target for a request: the first one in the chat's order that has a
 // free slot and that this router may send to; nil if there is none.
 func (b *Balancer) chooseCold(now time.Time, p *pool, r Request) *target {
-	if p.coldPerSecond == 0 {
+	if p.maxColdPerSecond == 0 {
 		return nil
 	}
 	var best *target
--- a/internal/core/placement/cold_test.go
+++ b/internal/core/placement/cold_test.go
@@ -34,7 +34,7 @@
 type openRequest struct {
 	balancer *placement.Balancer
 	c        placement.Choice
-	ends     time.Time
+	endsAt   time.Time
 }
 
 func newColdFleet(routers, n int, seed uint64) *coldFleet {
@@ -79,7 +79,7 @@
 func (f *coldFleet) send(from, to time.Time, perSecond float64, chat func() uint64) {
 	for now := from; now.Before(to); now = now.Add(time.Duration(f.rnd.ExpFloat64() / perSecond * float64(time.Second))) {
 		f.open = slices.DeleteFunc(f.open, func(o openRequest) bool {
-			if o.ends.After(now) {
+			if o.endsAt.After(now) {
 				return false
 			}
 			o.balancer.RecordFirstEvent(now, o.c, true)
@@ -91,7 +91,7 @@
 		switch {
 		case !ok:
 			f.unplaced++
-		case b.MaySend(now, c):
+		case b.ConfirmPlacement(now, c):
 			f.arrived[c.Target.UID] = append(f.arrived[c.Target.UID], now)
 			f.open = append(f.open, openRequest{b, c, now.Add(100 * time.Millisecond)})
 		default:
@@ -189,7 +189,7 @@
 		now := start.Add(warmup.SendInterval)
 		sent := 0
 		for _, c := range placed {
-			if b.MaySend(now, c) {
+			if b.ConfirmPlacement(now, c) {
 				sent++
 			}
 		}
--- a/internal/core/placement/ended.go
+++ b/internal/core/placement/ended.go
@@ -20,8 +20,8 @@
 func (h *health) markExited(now time.Time) {
 	h.unreachable = true
 	h.consecutiveSuspensions = max(h.consecutiveSuspensions, 1)
-	if until := now.Add(exitedSuspension); until.After(h.until) {
-		h.until = until
+	if until := now.Add(exitedSuspension); until.After(h.suspendedUntil) {
+		h.suspendedUntil = until
 	}
 }
 
@@ -38,9 +38,9 @@
 	return true
 }
 
-// ExitedTargetsToProbe returns the listed targets that are suspended because their processes exited
-// and whose ports are due for a probe. It counts them as probed.
-func (b *Balancer) ExitedTargetsToProbe(now time.Time) []Target {
+// TakeExitedTargetsToProbe returns the listed targets that are suspended because their processes
+// exited and whose ports are due for a probe. It counts them as probed.
+func (b *Balancer) TakeExitedTargetsToProbe(now time.Time) []Target {
 	var out []Target
 	for _, t := range b.byUID {
 		if !t.exitedAt.IsZero() && now.Sub(t.exitedAt) >= probeExitedAfter && now.Sub(t.probedAt) >= probeExitedAfter && !b.IsLeavingOrRemoved(t.UID) {
--- a/internal/core/placement/ended_test.go
+++ b/internal/core/placement/ended_test.go
@@ -15,7 +15,7 @@
 	// returns the number of probes.
 	countProbes := func(b *placement.Balancer, from time.Time, span time.Duration, accepts bool) (n int) {
 		for now := from; now.Sub(from) < span; now = now.Add(100 * time.Millisecond) {
-			for _, t := range b.ExitedTargetsToProbe(now) {
+			for _, t := range b.TakeExitedTargetsToProbe(now) {
 				b.RecordProbe(now, t.UID, accepts)
 				n++
 			}
--- a/internal/core/placement/evacuate.go
+++ b/internal/core/placement/evacuate.go
@@ -9,7 +9,7 @@
 // SetEvacuated replaces the applied evacuation orders by those for dataCentres and returns the
 // changes.
 func (b *Balancer) SetEvacuated(now time.Time, dataCentres []string) []evacuation.Change {
-	changes := b.orders.Update(dataCentres)
+	changes := b.evacuationOrders.Update(dataCentres)
 	if len(changes) == 0 {
 		return nil
 	}
@@ -18,7 +18,7 @@
 		returned[ch.DataCentre] = !ch.Evacuated
 	}
 	for _, t := range b.byUID {
-		t.evacuated = b.orders.IsEvacuated(t.DataCentre)
+		t.evacuated = b.evacuationOrders.IsEvacuated(t.DataCentre)
 		if returned[t.DataCentre] {
 			// The target may have been switched off during the evacuation, and may report too late
 			// that it is cold.
--- a/internal/core/placement/health.go
+++ b/internal/core/placement/health.go
@@ -42,21 +42,21 @@
 type health struct {
 	consecutiveFailures    int
 	consecutiveSuspensions int // since the last answer
-	until                  time.Time
+	suspendedUntil         time.Time
 	trialPending           bool // the trial request after a suspension is in flight
 	unreachable            bool // since the last answer
 }
 
 func (h *health) isSuspended(now time.Time) bool {
-	return h.until.After(now) || (h.consecutiveSuspensions > 0 && h.trialPending)
+	return h.suspendedUntil.After(now) || (h.consecutiveSuspensions > 0 && h.trialPending)
 }
 
-// recordPlacement records that a request is sent.
+// recordPlacement records that a request is placed; the first one after a suspension is the trial.
 func (h *health) recordPlacement() { h.trialPending = h.consecutiveSuspensions > 0 }
 
 // recordOutcome updates the health by an outcome and reports whether a suspension begins with it.
 func (h *health) recordOutcome(now time.Time, o Outcome) bool {
-	previousUntil := h.until
+	previousUntil := h.suspendedUntil
 	switch o {
 	case Answered, Errored:
 		h.consecutiveFailures, h.consecutiveSuspensions = 0, 0
@@ -71,15 +71,15 @@
 	case Refused, Neutral:
 	}
 	h.trialPending = false
-	return h.until.After(previousUntil)
+	return h.suspendedUntil.After(previousUntil)
 }
 
 // suspend suspends the target unless it is suspended already: failures of requests sent before a
 // suspension do not prolong it.
 func (h *health) suspend(now time.Time) {
-	if h.until.After(now) || ablate.IsOff(ablate.Suspension) {
+	if h.suspendedUntil.After(now) || ablate.IsOff(ablate.Suspension) {
 		return
 	}
-	h.until = now.Add(min(minSuspension<<min(h.consecutiveSuspensions, 8), maxSuspension))
+	h.suspendedUntil = now.Add(min(minSuspension<<min(h.consecutiveSuspensions, 8), maxSuspension))
 	h.consecutiveSuspensions++
 }
--- a/internal/core/placement/inventory.go
+++ b/internal/core/placement/inventory.go
@@ -34,8 +34,8 @@
 	// until their memory is full. Fetching from a target that has dropped the prefix costs the
 	// request a round trip.
 	holderTTL = time.Minute
-	// minReportedTokens is the length of the shortest prefix that is reported to other routers.
-	// Reading that many tokens takes about one step of a batch.
+	// minReportedTokens is the length of the shortest prefix that is reported to other routers. A
+	// shorter one is read again within about one step of a batch.
 	minReportedTokens = 256
 	// maxUnreported limits the queue of unreported reads; the oldest are dropped.
 	maxUnreported = 512
@@ -57,7 +57,7 @@
 
 type holder struct {
 	target     uint64
-	lastUsedAt time.Time // when the target was last asked for the prefix
+	lastUsedAt time.Time // when the target last read or used the prefix, as far as this router knows
 }
 
 func newInventory() *inventory {
@@ -111,9 +111,9 @@
 	return news
 }
 
-// takeUnreported removes up to most reads from the queue of unreported ones and returns them.
-func (v *inventory) takeUnreported(most int) []PrefixRead {
-	n := min(most, len(v.unreported))
+// takeUnreported removes at most limit reads from the queue of unreported ones and returns them.
+func (v *inventory) takeUnreported(limit int) []PrefixRead {
+	n := min(limit, len(v.unreported))
 	out := slices.Clone(v.unreported[:n])
 	v.unreported = append(v.unreported[:0], v.unreported[n:]...)
 	return out
@@ -168,9 +168,9 @@
 // isFresh reports whether the target has probably not dropped the prefix.
 func (h *holder) isFresh(now time.Time) bool { return now.Sub(h.lastUsedAt) < holderTTL }
 
-// TakePrefixReads removes up to most reads from the queue of those not reported to other routers
+// TakePrefixReads removes at most limit reads from the queue of those not reported to other routers
 // yet, and returns them.
-func (b *Balancer) TakePrefixReads(most int) []PrefixRead { return b.inventory.takeUnreported(most) }
+func (b *Balancer) TakePrefixReads(limit int) []PrefixRead { return b.inventory.takeUnreported(limit) }
 
 // ReceivePrefixReads records the prefix reads that another router reported.
 func (b *Balancer) ReceivePrefixReads(now time.Time, reads []PrefixRead) {
--- a/internal/core/placement/inventory_test.go
+++ b/internal/core/placement/inventory_test.go
@@ -19,8 +19,8 @@
 }
 
 // serve places a request that is answered at once.
-func serve(b *placement.Balancer, now time.Time, a placement.Request) placement.Choice {
-	c, ok := b.Place(now, a)
+func serve(b *placement.Balancer, now time.Time, r placement.Request) placement.Choice {
+	c, ok := b.Place(now, r)
 	Expect(ok).To(BeTrue())
 	answer(b, now, c)
 	return c
@@ -32,8 +32,8 @@
 }
 
 // placePending places a request that stays unanswered.
-func placePending(b *placement.Balancer, a placement.Request) placement.Choice {
-	c, ok := b.Place(start, a)
+func placePending(b *placement.Balancer, r placement.Request) placement.Choice {
+	c, ok := b.Place(start, r)
 	Expect(ok).To(BeTrue())
 	return c
 }
--- a/internal/core/placement/model.go
+++ b/internal/core/placement/model.go
@@ -107,9 +107,9 @@
 	seen := b.fleetCounts(now, t)
 	prior := priorAnswers * m.base
 	took, expected := seen.took+prior, seen.expected+prior
-	for _, w := range t.pending {
-		predicted := m.firstEventSeconds(w.unreadTokens)
-		if waited := min(now.Sub(w.placedAt).Seconds(), maxWaitFactor*predicted); waited > predicted {
+	for _, r := range t.pending {
+		predicted := m.firstEventSeconds(r.unreadTokens)
+		if waited := min(now.Sub(r.placedAt).Seconds(), maxWaitFactor*predicted); waited > predicted {
 			took += waited
 			expected += predicted
 		}
@@ -120,15 +120,15 @@
 // isSlowLocally reports whether a target is slow by the answers that this router got.
 func (b *Balancer) isSlowLocally(t *target) bool {
 	prior := priorAnswers * t.pool.model.base
-	return t.counts.took+prior >= slowFactor*(t.counts.expected+prior) && t.counts.took > 0
+	return t.counts.took+prior >= slowdownThreshold*(t.counts.expected+prior) && t.counts.took > 0
 }
 
 // remove removes a request and returns it; false if it is not there.
 func (q *pendingRequests) remove(sequence uint64) (pendingRequest, bool) {
-	for i, w := range *q {
-		if w.sequence == sequence {
+	for i, r := range *q {
+		if r.sequence == sequence {
 			*q = append((*q)[:i], (*q)[i+1:]...)
-			return w, true
+			return r, true
 		}
 	}
 	return pendingRequest{}, false
@@ -142,19 +142,19 @@
 		return
 	}
 	t.pause.recordFirstEvent(now, answered)
-	w, ok := t.pending.remove(c.sequence)
+	r, ok := t.pending.remove(c.sequence)
 	if !ok || !answered {
 		return
 	}
-	b.inventory.recordRead(now, w.prefixes, t.UID)
-	took := now.Sub(w.placedAt).Seconds()
+	b.inventory.recordRead(now, r.prefixes, t.UID)
+	took := now.Sub(r.placedAt).Seconds()
 	m := t.pool.model
 	// Answers of slow targets get a low weight: they say little about the others.
-	m.addAnswer(now, w.unreadTokens, took, 1/max(b.slowdown(now, t), 1))
+	m.addAnswer(now, r.unreadTokens, took, 1/max(b.slowdown(now, t), 1))
 	if m.isFitted() {
 		t.counts.decay(now)
 		t.counts.took += took
-		t.counts.expected += m.firstEventSeconds(w.unreadTokens)
+		t.counts.expected += m.firstEventSeconds(r.unreadTokens)
 	}
 }
 
--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -12,7 +12,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/placement"
 )
 
-// sim simulates a load on engines that read and cache prompts. Its routers report their open
+// sim simulates a load on targets that read and cache prompts. Its routers report their open
 // requests to each other every 100 ms, and the outcomes of slow targets every 300 ms.
 type sim struct {
 	now     time.Time
@@ -35,7 +35,7 @@
 const (
 	simRouters   = 8
 	simObjective = 800 * time.Millisecond
-	// An engine needs 10 ms plus 26 us for each token that it reads, and a fifth of that for each
+	// A target needs 10 ms plus 26 us for each token that it reads, and a fifth of that for each
 	// token that it fetches. Its stream lasts for a second.
 	simBase      = 10 * time.Millisecond
 	simTokenTime = 26 * time.Microsecond
@@ -43,73 +43,73 @@
 )
 
 func newSim(targets []placement.Target) *sim {
-	p := &sim{
+	s := &sim{
 		now: start, rnd: rand.New(rand.NewPCG(3, 4)), targets: targets, slow: map[uint64]float64{},
 		cached: map[uint64]map[uint64]bool{}, placements: map[uint64]int{},
 	}
 	for range simRouters {
-		p.routers = append(p.routers, newBalancer(targets...))
+		s.routers = append(s.routers, newBalancer(targets...))
 	}
 	for _, t := range targets {
-		p.cached[t.UID] = map[uint64]bool{}
+		s.cached[t.UID] = map[uint64]bool{}
 	}
-	return p
+	return s
 }
 
-func (p *sim) after(d time.Duration, do func()) { p.due = append(p.due, event{p.now.Add(d), do}) }
+func (s *sim) after(d time.Duration, do func()) { s.due = append(s.due, event{s.now.Add(d), do}) }
 
 // run simulates a number of requests a second for a time.
-func (p *sim) run(d time.Duration, rate int) {
-	end := p.now.Add(d)
-	for step := 0; p.now.Before(end); step++ {
-		p.now = p.now.Add(time.Millisecond)
-		slices.SortStableFunc(p.due, func(a, b event) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
-		for len(p.due) > 0 && !p.due[0].at.After(p.now) {
-			do := p.due[0].do
-			p.due = p.due[1:]
+func (s *sim) run(d time.Duration, rate int) {
+	end := s.now.Add(d)
+	for step := 0; s.now.Before(end); step++ {
+		s.now = s.now.Add(time.Millisecond)
+		slices.SortStableFunc(s.due, func(a, b event) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
+		for len(s.due) > 0 && !s.due[0].at.After(s.now) {
+			do := s.due[0].do
+			s.due = s.due[1:]
 			do()
 		}
-		if p.rnd.IntN(1000) < rate {
-			p.request()
+		if s.rnd.IntN(1000) < rate {
+			s.request()
 		}
 		if step%100 == 0 {
-			p.exchangeReports(step%300 == 0)
+			s.exchangeReports(step%300 == 0)
 		}
 	}
 }
 
-func (p *sim) exchangeReports(outcomes bool) {
-	for i, from := range p.routers {
+func (s *sim) exchangeReports(outcomes bool) {
+	for i, from := range s.routers {
 		loads, read := from.OwnLoads(), from.TakePrefixReads(32)
 		var reported []placement.TargetOutcomes
 		if outcomes {
-			reported = append([]placement.TargetOutcomes{}, from.OutcomesToReport(p.now)...)
+			reported = append([]placement.TargetOutcomes{}, from.OutcomesToReport(s.now)...)
 		}
-		for j, to := range p.routers {
+		for j, to := range s.routers {
 			if i != j {
-				to.ReceiveReport(p.now, uint32(i+1), loads, reported)
-				to.ReceivePrefixReads(p.now, read)
+				to.ReceiveReport(s.now, uint32(i+1), loads, reported)
+				to.ReceivePrefixReads(s.now, read)
 			}
 		}
 	}
 }
 
-func (p *sim) request() {
-	b := p.routers[p.rnd.IntN(simRouters)]
-	chat := p.rnd.Uint64N(70) + 1
-	a := newRequest(root+chat%4, chat)
-	a.PromptTokens, a.Objective = 8500, simObjective
-	c, ok := b.Place(p.now, a)
+func (s *sim) request() {
+	b := s.routers[s.rnd.IntN(simRouters)]
+	chat := s.rnd.Uint64N(70) + 1
+	r := newRequest(root+chat%4, chat)
+	r.PromptTokens, r.Objective = 8500, simObjective
+	c, ok := b.Place(s.now, r)
 	Expect(ok).To(BeTrue())
-	p.sentCount++
-	p.placements[c.Target.UID]++
-	uid, began := c.Target.UID, p.now
+	s.sentCount++
+	s.placements[c.Target.UID]++
+	uid, began := c.Target.UID, s.now
 	unread := 500.0
-	for i, part := range a.PromptPrefixes {
-		if !p.cached[uid][part.Hash] {
+	for i, part := range r.PromptPrefixes {
+		if !s.cached[uid][part.Hash] {
 			tokens := float64(part.Tokens)
 			if i > 0 {
-				tokens -= float64(a.PromptPrefixes[i-1].Tokens)
+				tokens -= float64(r.PromptPrefixes[i-1].Tokens)
 			}
 			if c.CacheSource != "" {
 				tokens *= 0.2
@@ -117,24 +117,24 @@
 			unread += tokens
 		}
 	}
-	factor := max(p.slow[uid], 1)
+	factor := max(s.slow[uid], 1)
 	first := time.Duration(factor * (float64(simBase) + unread*float64(simTokenTime)))
-	p.after(first, func() {
-		if p.now.Sub(began) > simObjective {
-			p.lateCount++
+	s.after(first, func() {
+		if s.now.Sub(began) > simObjective {
+			s.lateCount++
 		}
-		for _, part := range a.PromptPrefixes {
-			p.cached[uid][part.Hash] = true
+		for _, part := range r.PromptPrefixes {
+			s.cached[uid][part.Hash] = true
 		}
-		b.RecordFirstEvent(p.now, c, true)
+		b.RecordFirstEvent(s.now, c, true)
 	})
-	p.after(first+time.Duration(factor*float64(simStream)), func() { b.FinishRequest(p.now, uid, placement.Answered) })
+	s.after(first+time.Duration(factor*float64(simStream)), func() { b.FinishRequest(s.now, uid, placement.Answered) })
 }
 
 // share returns the share of the placements since the last call that went to some targets.
-func (p *sim) share(of []placement.Target) float64 {
+func (s *sim) share(of []placement.Target) float64 {
 	n, all := 0, 0
-	for uid, count := range p.placements {
+	for uid, count := range s.placements {
 		all += count
 		for _, t := range of {
 			if t.UID == uid {
@@ -142,8 +142,8 @@
 			}
 		}
 	}
-	clear(p.placements)
-	p.sentCount, p.lateCount = 0, 0
+	clear(s.placements)
+	s.sentCount, s.lateCount = 0, 0
 	return float64(n) / float64(all)
 }
 
@@ -153,37 +153,37 @@
 	// much as one at a fast target. A fifth of the requests was late while the other targets had
 	// room.
 	It("avoids slow targets within a second, and uses them again when they have recovered", func() {
-		p := newSim(spread(5, 5, 4, 4))
-		p.run(4*time.Second, 300)
-		slow := append(append([]placement.Target{}, p.targets[0:4]...), p.targets[10:13]...)
-		Expect(p.share(slow)).To(BeNumerically("~", 0.39, 0.15))
+		s := newSim(spread(5, 5, 4, 4))
+		s.run(4*time.Second, 300)
+		slow := append(append([]placement.Target{}, s.targets[0:4]...), s.targets[10:13]...)
+		Expect(s.share(slow)).To(BeNumerically("~", 0.39, 0.15))
 		for _, t := range slow {
-			p.slow[t.UID] = 10
+			s.slow[t.UID] = 10
 		}
-		p.run(time.Second, 300)
-		p.share(slow)
-		p.run(5*time.Second, 300)
-		Expect(float64(p.lateCount) / float64(p.sentCount)).To(BeNumerically("<", 0.01))
-		Expect(p.share(slow)).To(BeNumerically("<", 0.1), "a few requests, to see whether they have recovered")
-		clear(p.slow)
-		p.run(12*time.Second, 300)
-		p.share(slow)
-		p.run(2*time.Second, 300)
-		Expect(p.share(slow)).To(BeNumerically(">", 0.25))
+		s.run(time.Second, 300)
+		s.share(slow)
+		s.run(5*time.Second, 300)
+		Expect(float64(s.lateCount) / float64(s.sentCount)).To(BeNumerically("<", 0.01))
+		Expect(s.share(slow)).To(BeNumerically("<", 0.1), "a few requests, to see whether they have recovered")
+		clear(s.slow)
+		s.run(12*time.Second, 300)
+		s.share(slow)
+		s.run(2*time.Second, 300)
+		Expect(s.share(slow)).To(BeNumerically(">", 0.25))
 	})
 
 	It("keeps chats at home while all targets are equally fast or slow", func() {
 		for _, factor := range []float64{1, 20} {
-			p := newSim(spread(5, 5, 4, 4))
-			for _, t := range p.targets {
-				p.slow[t.UID] = factor
+			s := newSim(spread(5, 5, 4, 4))
+			for _, t := range s.targets {
+				s.slow[t.UID] = factor
 			}
-			p.run(20*time.Second, 60)
+			s.run(20*time.Second, 60)
 			moved := 0
 			for chat := uint64(1); chat <= 70; chat++ {
-				a := newRequest(root+chat%4, chat)
-				a.PromptTokens, a.Objective = 8500, simObjective
-				if c := serve(p.routers[0], p.now, a); c.Rule == placement.RuleFaster {
+				r := newRequest(root+chat%4, chat)
+				r.PromptTokens, r.Objective = 8500, simObjective
+				if c := serve(s.routers[0], s.now, r); c.Rule == placement.RuleFaster {
 					moved++
 				}
 			}
@@ -194,17 +194,17 @@
 	// A target reads a long prompt that no target has cached, which takes long. Judged by the time
 	// alone, it would be avoided although it is healthy.
 	It("does not consider a target slow because of a long prompt", func() {
-		p := newSim(spread(3, 3))
-		p.run(3*time.Second, 100)
-		p.run(2*time.Second, 0)
-		b := p.routers[0]
-		home := serve(b, p.now, newRequest(1<<50, 9000))
+		s := newSim(spread(3, 3))
+		s.run(3*time.Second, 100)
+		s.run(2*time.Second, 0)
+		b := s.routers[0]
+		home := serve(b, s.now, newRequest(1<<50, 9000))
 		for i := range 6 {
 			long := placement.Request{Pool: pool, Chat: 9000, PromptTokens: 30000, Objective: simObjective}
-			c, ok := b.Place(p.now, long)
+			c, ok := b.Place(s.now, long)
 			Expect(ok).To(BeTrue())
-			p.now = p.now.Add(790 * time.Millisecond)
-			answer(b, p.now, c)
+			s.now = s.now.Add(790 * time.Millisecond)
+			answer(b, s.now, c)
 			Expect(c.Target.UID).To(Equal(home.Target.UID), "request %d", i)
 		}
 	})
@@ -212,18 +212,18 @@
 	// One answer is lost and its request waits until its deadline. With the whole waiting time
 	// counted, the chats would leave a healthy target.
 	It("does not consider a target slow because of one lost answer", func() {
-		p := newSim(spread(3, 3))
-		p.run(6*time.Second, 100)
-		p.run(time.Second, 0)
-		b := p.routers[0]
-		home := serve(b, p.now, newRequest(root, 4)).Target
-		lost, ok := b.Place(p.now, newRequest(root, 4))
+		s := newSim(spread(3, 3))
+		s.run(6*time.Second, 100)
+		s.run(time.Second, 0)
+		b := s.routers[0]
+		home := serve(b, s.now, newRequest(root, 4)).Target
+		lost, ok := b.Place(s.now, newRequest(root, 4))
 		Expect(ok).To(BeTrue())
 		Expect(lost.Target).To(Equal(home))
-		p.run(500*time.Millisecond, 100)
-		a := newRequest(root, 4)
-		a.PromptTokens, a.Objective = 8500, simObjective
-		Expect(serve(b, p.now, a).Target).To(Equal(home))
+		s.run(500*time.Millisecond, 100)
+		r := newRequest(root, 4)
+		r.PromptTokens, r.Objective = 8500, simObjective
+		Expect(serve(b, s.now, r).Target).To(Equal(home))
 	})
 
 	It("chooses the faster of two equally loaded targets for requests without a chat", func() {
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -9,10 +9,10 @@
 
 // dataCentre is a data centre with targets of a pool.
 type dataCentre struct {
-	name   string
-	seed   uint64
-	weight float64
-	active float64 // number of active targets
+	name         string
+	seed         uint64
+	relativeSize float64
+	active       float64 // number of active targets
 }
 
 // maxDataCentres is how many data centres of a pool are ranked; the targets in any others rank
@@ -22,12 +22,12 @@
 // groupByDataCentre returns the data centres of a pool's targets, and sets the index of each
 // target's data centre.
 //
-// The weight of a data centre is the number of its active targets relative to the mean of all data
-// centres, rounded to a power of two. A weight that followed every target that joins or leaves
-// would move chats between data centres, where a move takes twice as long and is paid for twice.
-// Rounding changes a target's share by at most a factor of the square root of two; spilling evens
-// out the rest. A data centre without active targets has the weight zero and does not change the
-// weights of the others.
+// The relative size of a data centre is the number of its active targets relative to the mean of
+// all data centres, rounded to a power of two. The data centre gets a share of the chats in
+// proportion to it. A size that followed every target that joins or leaves would move chats between
+// data centres, where a move takes twice as long and is paid for twice. Rounding changes a target's
+// share by at most a factor of the square root of two; spilling evens out the rest. A data centre
+// without active targets has the size zero and does not change the sizes of the others.
 func groupByDataCentre(targets []*target) []dataCentre {
 	var out []dataCentre
 	index := make(map[string]int)
@@ -41,36 +41,36 @@
 		}
 		t.dataCentreIndex = i
 		if t.isActive() {
-			out[i].weight++
+			out[i].relativeSize++
 			active++
 		}
 	}
 	used := 0
 	for i := range out {
-		if out[i].weight > 0 {
+		if out[i].relativeSize > 0 {
 			used++
 		}
 	}
 	mean := float64(active) / float64(max(used, 1))
 	for i := range out {
-		out[i].active = out[i].weight
-		if out[i].weight > 0 {
-			out[i].weight = math.Exp2(math.Round(math.Log2(out[i].weight / mean)))
+		out[i].active = out[i].relativeSize
+		if out[i].relativeSize > 0 {
+			out[i].relativeSize = math.Exp2(math.Round(math.Log2(out[i].relativeSize / mean)))
 		}
 	}
 	return out
 }
 
-// weightWithout returns the data centre's weight if some of its active targets are skipped, also
-// rounded to a power of two.
-func (c *dataCentre) weightWithout(skipped float64) float64 {
+// relativeSizeWithout returns the data centre's relative size if some of its active targets are
+// skipped, also rounded to a power of two.
+func (c *dataCentre) relativeSizeWithout(skipped float64) float64 {
 	switch {
 	case skipped == 0:
-		return c.weight
+		return c.relativeSize
 	case skipped >= c.active:
 		return 0
 	}
-	return c.weight * math.Exp2(math.Round(math.Log2(1-skipped/c.active)))
+	return c.relativeSize * math.Exp2(math.Round(math.Log2(1-skipped/c.active)))
 }
 
 // chatOrder is a chat's order of the targets of a pool: by data centre first, then by target. The
@@ -82,7 +82,7 @@
 }
 
 // chatOrder returns the order of a chat. A data centre of which about three in ten targets or more
-// are skipped for now has a lower weight: its few remaining targets would otherwise get all of its
+// are skipped for now counts as smaller: its few remaining targets would otherwise get all of its
 // chats, up to the load bound.
 func (p *pool) chatOrder(chat uint64, skip func(*target) bool) chatOrder {
 	o := chatOrder{chat: chat}
@@ -99,8 +99,8 @@
 	n := min(len(p.dataCentres), maxDataCentres)
 	for i, c := range p.dataCentres[:n] {
 		u := (float64(rendezvous.Mix(chat, c.seed)>>11) + 0.5) / (1 << 53)
-		// Weighted rendezvous hashing: the share of chats is proportional to the weight.
-		score[i] = -c.weightWithout(skipped[i]) / math.Log(u)
+		// Weighted rendezvous hashing: the share of chats is proportional to the size.
+		score[i] = -c.relativeSizeWithout(skipped[i]) / math.Log(u)
 	}
 	for i := range n {
 		for j := range n {
@@ -112,10 +112,12 @@
 	return o
 }
 
-// rankBits is how many bits of a target's weight hold the rank of its data centre.
+// rankBits is how many bits of a target's weight hold the rank of its data centre, see
+// chatOrder.weight.
 const rankBits = 8
 
-// weight returns the position of a target in the order; the highest weight is the first.
+// weight returns the rendezvous weight of a target: the target with the highest one is the first in
+// the order.
 func (o *chatOrder) weight(t *target) uint64 {
 	rank := uint8(0)
 	if t.dataCentreIndex < maxDataCentres {
--- a/internal/core/placement/outlier.go
+++ b/internal/core/placement/outlier.go
@@ -11,7 +11,7 @@
 type TargetOutcomes struct {
 	Target uint64
 	// Ended is the number of ended requests; Failed is the number of failed ones, weighted by their
-	// kind.
+	// kind, see failureWeight.
 	Ended, Failed float64
 	// FirstEventSeconds is the time that answered requests took to their first events;
 	// ExpectedSeconds is what they should have taken by the pool's latency model.
@@ -36,10 +36,10 @@
 	// within one or two seconds, and to forget the failures as fast.
 	outcomeHalfLife = 2 * time.Second
 	// minEndedRequests is how many requests must have ended for a significant failure rate. With
-	// fewer, a plain service that fails one in seven requests may fail a third of them by chance.
+	// fewer, a plain HTTP service that fails one in seven may fail a third of them by chance.
 	minEndedRequests = 12
-	// minEjectionRate is the failure rate above which a target is ejected. Plain services fail up
-	// to 0.14 of some kinds of requests themselves.
+	// minEjectionRate is the failure rate above which a target is ejected. Plain HTTP services fail
+	// up to 0.14 of some kinds of requests themselves.
 	minEjectionRate = 0.3
 	// outlierFactor is how many times the mean failure rate of the other targets in its pool a
 	// target must exceed to be ejected. If all targets fail alike, ejecting some of them moves
@@ -52,12 +52,13 @@
 	// Each ejection that follows soon after another one is twice as long.
 	minEjection = time.Second
 	maxEjection = 4 * time.Second
-	// ejectionResetAfter is how long after the end of an ejection the next one is short again.
+	// ejectionResetAfter is how long after the end of an ejection the next one again lasts for
+	// minEjection.
 	ejectionResetAfter = 10 * time.Second
-	// detectInterval is the least time between two checks of a target caused by other routers'
-	// reports. A check iterates over the pool, and if all of a large pool fails, every digest of
-	// every router reports all targets.
-	detectInterval = 100 * time.Millisecond
+	// outlierCheckInterval is the least time between two checks of a target caused by other
+	// routers' reports. A check iterates over the pool, and if all of a large pool fails, every
+	// digest of every router reports all targets.
+	outlierCheckInterval = 100 * time.Millisecond
 	// minReportedFailures is the decayed count of failures from which a router reports a target.
 	minReportedFailures = 0.5
 	// negligibleCount is the decayed count below which a sum is reset to zero.
@@ -67,7 +68,7 @@
 // outcomeCounts are decaying sums of outcomes. failed is weighted, see failureWeight.
 type outcomeCounts struct {
 	ended, failed  float64
-	took, expected float64   // seconds to first events
+	took, expected float64   // as FirstEventSeconds and ExpectedSeconds
 	decayedAt      time.Time // the time up to which decay is applied
 }
 
@@ -119,18 +120,18 @@
 
 // ejection is the period in which an outlier gets no new requests.
 type ejection struct {
-	recentCount int // consecutive ejections, see ejectionResetAfter
-	until       time.Time
+	consecutiveEjections int // see ejectionResetAfter
+	until                time.Time
 	// evidence are the outcomes that led to the ejection. They do not count for the next one.
 	evidence outcomeCounts
 }
 
 func (e *ejection) begin(now time.Time, evidence outcomeCounts) {
 	if now.Sub(e.until) > ejectionResetAfter {
-		e.recentCount = 0
+		e.consecutiveEjections = 0
 	}
-	e.until = now.Add(min(minEjection<<min(e.recentCount, 8), maxEjection))
-	e.recentCount++
+	e.until = now.Add(min(minEjection<<min(e.consecutiveEjections, 8), maxEjection))
+	e.consecutiveEjections++
 	e.evidence = evidence
 }
 
@@ -196,10 +197,10 @@
 		t.peerCounts.took += o.FirstEventSeconds
 		t.peerCounts.expected += o.ExpectedSeconds
 		if o.Failed >= minReportedFailures {
-			t.reportedAt = now
+			t.failuresReportedAt = now
 		}
-		if now.Sub(t.detectedAt) >= detectInterval {
-			t.detectedAt = now
+		if now.Sub(t.outlierCheckedAt) >= outlierCheckInterval {
+			t.outlierCheckedAt = now
 			if b.ejectIfOutlier(now, t) {
 				ejected = append(ejected, t.ID)
 			}
@@ -232,7 +233,7 @@
 	for uid, t := range b.byUID {
 		t.counts.decay(now)
 		o := TargetOutcomes{Target: uid}
-		reported := !t.reportedAt.IsZero() && now.Sub(t.reportedAt) < b.settings.LoadReportTTL
+		reported := !t.failuresReportedAt.IsZero() && now.Sub(t.failuresReportedAt) < b.settings.LoadReportTTL
 		if t.counts.failed >= minReportedFailures || (reported && t.counts.ended >= minReportedFailures) {
 			o.Ended, o.Failed = t.counts.ended, t.counts.failed
 		}
--- a/internal/core/placement/pause.go
+++ b/internal/core/placement/pause.go
@@ -6,9 +6,9 @@
 // one trial request is sent, and no other before its first event. Otherwise the requests that
 // waited for the end of the pause would arrive all at once at a target that may pause again.
 type pause struct {
-	until    time.Time
-	untested bool // no request has been answered since
-	onTrial  bool // the trial request is in flight
+	until        time.Time
+	untested     bool // no request has had its first event since the pause
+	trialPending bool // the trial request is in flight
 }
 
 const (
@@ -20,16 +20,16 @@
 )
 
 // isOn reports whether the target gets no requests now.
-func (p *pause) isOn(now time.Time) bool { return p.until.After(now) || (p.untested && p.onTrial) }
+func (p *pause) isOn(now time.Time) bool { return p.until.After(now) || (p.untested && p.trialPending) }
 
-func (p *pause) recordPlacement() { p.onTrial = p.untested }
+func (p *pause) recordPlacement() { p.trialPending = p.untested }
 
 // recordFirstEvent records the first event of a request, or, if answered is false, that the request
 // ended without one. Requests that end during the pause were sent before it and do not count as its
 // trial.
 func (p *pause) recordFirstEvent(now time.Time, answered bool) {
-	if p.onTrial && !p.until.After(now) {
-		p.onTrial = false
+	if p.trialPending && !p.until.After(now) {
+		p.trialPending = false
 		p.untested = !answered
 	}
 }
@@ -51,9 +51,9 @@
 // evacuated, or it is paused.
 func (t *target) isClosed(now time.Time) bool { return !t.isActive() || t.pause.isOn(now) }
 
-// MaySend reports whether a placed request may be sent to its target now. For a cold target, true
-// also counts the request as sent.
-func (b *Balancer) MaySend(now time.Time, c Choice) bool {
+// ConfirmPlacement reports whether a placed request may still be sent to its target. If so and the
+// target is cold, it counts the request as sent.
+func (b *Balancer) ConfirmPlacement(now time.Time, c Choice) bool {
 	t, ok := b.byUID[c.Target.UID]
 	if !ok || b.IsLeavingOrRemoved(t.UID) || t.evacuated || t.pause.until.After(now) {
 		return false
--- a/internal/core/placement/pause_test.go
+++ b/internal/core/placement/pause_test.go
@@ -79,7 +79,7 @@
 		b.MarkPaused(now, 1, 10*time.Second)
 		b.MarkPaused(now, 1, time.Second)
 		now = now.Add(5 * time.Second)
-		Expect(b.MaySend(now, placement.Choice{Target: placement.Target{UID: 1}})).To(BeFalse())
+		Expect(b.ConfirmPlacement(now, placement.Choice{Target: placement.Target{UID: 1}})).To(BeFalse())
 	})
 
 	It("is not paused in its next lifetime", func() {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -50,9 +50,9 @@
 	// maxOpen is the limit of open requests of each target, derived from the connections that it
 	// accepts.
 	maxOpen float64
-	// coldPerSecond is how many requests a second a cold target may get from all routers; 0 if
+	// maxColdPerSecond is how many requests a second a cold target may get from all routers; 0 if
 	// there is no limit.
-	coldPerSecond int
+	maxColdPerSecond int
 }
 
 // PoolLimits are the limits that operators configure for the targets of a pool.
@@ -77,18 +77,18 @@
 // Balancer places requests and counts the open requests of the fleet. It is not safe for concurrent
 // use.
 type Balancer struct {
-	settings       Settings
-	rand           *rand.Rand
-	pools          map[string]*pool      // by name
-	limits         map[string]PoolLimits // by pool
-	byUID          map[uint64]*target
-	peers          map[uint32]*peerReport // by router
-	inventory      *inventory
-	models         map[string]*latencyModel // by pool
-	leavingNotices map[uint64]*leavingNotice
-	sequence       uint64 // of the latest placement
-	orders         evacuation.Orders
-	fleet          *warmup.Fleet // nil until the fleet is known
+	settings         Settings
+	rand             *rand.Rand
+	pools            map[string]*pool      // by name
+	limits           map[string]PoolLimits // by pool
+	byUID            map[uint64]*target
+	peers            map[uint32]*peerReport // by router
+	inventory        *inventory
+	models           map[string]*latencyModel // by pool
+	leavingNotices   map[uint64]*leavingNotice
+	sequence         uint64 // of the latest placement
+	evacuationOrders evacuation.Orders
+	fleet            *warmup.Fleet // nil until the fleet is known
 }
 
 // New returns a Balancer without targets.
@@ -118,7 +118,7 @@
 	if n := p.limits.MaxConnections; n > 0 {
 		p.maxOpen = connectionShare * float64(n)
 	}
-	p.coldPerSecond = warmup.MaxPerSecond(p.limits.ColdPerSecond, b.settings.ColdMultiple, b.settings.ColdSlack)
+	p.maxColdPerSecond = warmup.MaxPerSecond(p.limits.ColdPerSecond, b.settings.ColdMultiple, b.settings.ColdSlack)
 }
 
 // SetTargets replaces the targets of all pools. A removed target keeps its count until its last
@@ -147,7 +147,7 @@
 				known.cold.extend(now, t.ColdRemaining)
 			}
 			known.Target, known.pool = t, p
-			known.evacuated = b.orders.IsEvacuated(t.DataCentre)
+			known.evacuated = b.evacuationOrders.IsEvacuated(t.DataCentre)
 			b.applyLeavingNotice(now, known)
 			listed[t.UID] = true
 			p.targets = append(p.targets, known)
@@ -229,7 +229,7 @@
 	return suspended || (weight > 0 && b.ejectIfOutlier(now, t))
 }
 
-// TargetID returns the ID of the target with a lifetime; empty if it is unknown.
+// TargetID returns the ID of the target that a lifetime belongs to; empty if the UID is unknown.
 func (b *Balancer) TargetID(uid uint64) string {
 	if t, ok := b.byUID[uid]; ok {
 		return t.ID
--- a/internal/core/placement/roster.go
+++ b/internal/core/placement/roster.go
@@ -8,7 +8,7 @@
 // TargetSet keeps targets for a while after their removal from the platform's target list. During a
 // store outage, entries expire although their targets work, and they are back soon after the
 // outage. Sending all requests elsewhere in the meantime would lose the caches of the whole pool. A
-// target that is really gone refuses connections, or another lifetime answers in its place, so a
+// target that has exited refuses connections, or another lifetime answers in its place, so a
 // request that is sent there is not executed.
 type TargetSet struct {
 	version      uint64                      // of the latest list
@@ -63,7 +63,7 @@
 		}
 	}
 	s.reapplyDepartures()
-	s.countRemoved()
+	s.refreshCaches()
 	return ended
 }
 
@@ -87,7 +87,8 @@
 	receivedAt time.Time
 }
 
-// ActiveTargets returns the listed targets that are not leaving, by ID.
+// ActiveTargets returns the listed targets that are not leaving, by ID. Evacuated data centres are
+// included.
 func (s *TargetSet) ActiveTargets() map[string]Target {
 	out := make(map[string]Target, len(s.entries))
 	for id, e := range s.entries {
@@ -135,13 +136,13 @@
 			}
 		}
 	}
-	s.countRemoved()
+	s.refreshCaches()
 	return news, ids
 }
 
-// countRemoved updates removedCount, which saves RemoveExpired from iterating over all entries ten
-// times a second, and resets the cache of lifetimes.
-func (s *TargetSet) countRemoved() {
+// refreshCaches must be called when entries have changed. It updates removedCount, which saves
+// RemoveExpired from iterating over all entries ten times a second, and clears lifetimes.
+func (s *TargetSet) refreshCaches() {
 	s.removedCount, s.lifetimes = 0, nil
 	for _, e := range s.entries {
 		if !e.target.RemovedAt.IsZero() {
@@ -208,7 +209,7 @@
 			dropped = true
 		}
 	}
-	s.countRemoved()
+	s.refreshCaches()
 	return dropped
 }
 
--- a/internal/core/placement/roster_test.go
+++ b/internal/core/placement/roster_test.go
@@ -125,20 +125,20 @@
 		testkit.Check("300", func(t *rapid.T) {
 			const targets = 3
 			// The history of the target list: each version sets one target to ready, leaving or
-			// gone.
+			// removed.
 			type change struct {
 				target int
 				state  string
 			}
 			history := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) change {
-				return change{rapid.IntRange(0, targets-1).Draw(t, "target"), rapid.SampledFrom([]string{"ready", "leaving", "gone"}).Draw(t, "state")}
+				return change{rapid.IntRange(0, targets-1).Draw(t, "target"), rapid.SampledFrom([]string{"ready", "leaving", "removed"}).Draw(t, "state")}
 			}), 1, 12).Draw(t, "history")
 			targetsAt := func(version int) map[string]placement.Target {
 				out := make(map[string]placement.Target)
 				for i := range version {
 					id := fmt.Sprint("t", history[i].target)
 					out[id] = placement.Target{UID: placement.UID(id, 0), ID: id, Leaving: history[i].state == "leaving"}
-					if history[i].state == "gone" {
+					if history[i].state == "removed" {
 						delete(out, id)
 					}
 				}
@@ -206,14 +206,14 @@
 	// Guards against targets that are used for too long after a store outage, and against pools
 	// that lose all targets in an outage.
 	DescribeTable("keep a target for as long as its entry may only have expired in a store outage", func(removed, kept time.Duration) {
-		out := start.Add(time.Minute) // start of the store outage
-		back := out.Add(10 * time.Second)
-		retention := placement.Retention{AfterRemoval: 700 * time.Millisecond, AfterOutageRemoval: 2500 * time.Millisecond, OutageStart: out, OutageEnd: back.Add(2500 * time.Millisecond)}
+		outageStart := start.Add(time.Minute)
+		outageEnd := outageStart.Add(10 * time.Second)
+		retention := placement.Retention{AfterRemoval: 700 * time.Millisecond, AfterOutageRemoval: 2500 * time.Millisecond, OutageStart: outageStart, OutageEnd: outageEnd.Add(2500 * time.Millisecond)}
 		s := placement.NewTargetSet()
 		s.Update(start, 1, map[string][]placement.Target{"p": {{UID: 7, ID: "a"}}}, nil)
-		s.Update(out.Add(removed), 2, nil, nil)
-		Expect(s.RemoveExpired(out.Add(kept-time.Millisecond), retention)).To(BeFalse())
-		Expect(s.RemoveExpired(out.Add(kept), retention)).To(BeTrue())
+		s.Update(outageStart.Add(removed), 2, nil, nil)
+		Expect(s.RemoveExpired(outageStart.Add(kept-time.Millisecond), retention)).To(BeFalse())
+		Expect(s.RemoveExpired(outageStart.Add(kept), retention)).To(BeTrue())
 	},
 		Entry("removed before the outage", -time.Second, -300*time.Millisecond),
 		Entry("removed during the outage", 5*time.Second, 7500*time.Millisecond),
--- a/internal/core/placement/said.go
+++ b/internal/core/placement/said.go
@@ -19,7 +19,7 @@
 	contradictionPeriod = time.Minute
 	// leavingNoticeTTL is how long the notice of a target that is not listed is kept.
 	leavingNoticeTTL = 10 * time.Minute
-	// maxLeavingNotices limits the number of notices.
+	// maxLeavingNotices limits the number of notices. Further ones are ignored.
 	maxLeavingNotices = 8192
 )
 
--- a/internal/core/placement/target.go
+++ b/internal/core/placement/target.go
@@ -68,7 +68,7 @@
 	RuleLeastLoaded Rule = "least_loaded" // no chat, or no target below the load bound
 	RuleRandom      Rule = "random"       // like least_loaded, but the reported loads are outdated
 	RuleCold        Rule = "cold"         // a cold one: the others have no free slot
-	RuleSuspect     Rule = "suspect"      // the remaining targets are suspended or ejected
+	RuleSuspect     Rule = "suspect"      // a suspended or ejected one, for lack of others
 	// RuleTicket marks requests placed by a ticket from the pool's owner, not by a Balancer.
 	RuleTicket Rule = "ticket"
 )
@@ -88,15 +88,16 @@
 
 type target struct {
 	Target
+	// joinedAt is when it was first listed; zero if that was in the first list of this router.
 	joinedAt time.Time
 	usedAt   time.Time // when a request was first seen at it; zero if never
-	seed     uint64
+	seed     uint64    // hash of its ID, for the chats' orders
 	ownOpen  int
 	peerOpen int // reported by all other routers
 	health   health
 	pause    pause
 	exitedAt time.Time // when its process was last reported to have exited; zero if it was not
-	// probedAt is when its port was last probed, see ExitedTargetsToProbe.
+	// probedAt is when its port was last probed, see TakeExitedTargetsToProbe.
 	probedAt time.Time
 
 	cold coldState
@@ -110,9 +111,9 @@
 	// peerCounts are the sums reported by all other routers.
 	peerCounts outcomeCounts
 	ejection   ejection
-	// reportedAt is when another router last reported failures of the target.
-	reportedAt time.Time
-	detectedAt time.Time // when a report last caused a check for an outlier
+	// failuresReportedAt is when another router last reported failures of the target.
+	failuresReportedAt time.Time
+	outlierCheckedAt   time.Time // when a report last caused an outlier check
 }
 
 func (t *target) totalOpen() int { return t.ownOpen + t.peerOpen }
--- a/internal/core/poison/detector.go
+++ b/internal/core/poison/detector.go
@@ -11,8 +11,9 @@
 // explains does not count against any other request.
 const (
 	exitsToSuspect = 3
-	// objectionPeriod is how long routers that have seen an answer to the request may report it. A
-	// report reaches the whole fleet within some tenths of a second.
+	// objectionPeriod is the time between the last of these exits and the suspicion. A router that
+	// has seen an answer to the request can report it until then. A report reaches the whole fleet
+	// within some tenths of a second.
 	objectionPeriod = 250 * time.Millisecond
 	// evidenceMaxAge bounds the time between two exits that count together, maxEvidence the number
 	// of requests with evidence.
@@ -73,14 +74,14 @@
 		d.clear(now, f, s)
 	}
 	if hasEvidence {
-		d.queue.add(item{kind: itemAnswer, request: f})
+		d.queue.add(queueEntry{kind: entryAnswer, request: f})
 	}
 }
 
 // RecordExit records that this router saw a target exit while a request was open there.
-func (d *Detector) RecordExit(now time.Time, f Fingerprint, uid uint64) { d.exited(now, f, uid, false) }
+func (d *Detector) RecordExit(now time.Time, f Fingerprint, uid uint64) { d.onExit(now, f, uid, false) }
 
-func (d *Detector) exited(now time.Time, f Fingerprint, target uint64, reported bool) {
+func (d *Detector) onExit(now time.Time, f Fingerprint, target uint64, reported bool) {
 	if s := d.suspects[f]; s != nil && s.level > 0 {
 		d.recordSuspectExit(now, f, s, target)
 		return
@@ -88,7 +89,7 @@
 	switch {
 	case d.answers.has(now, f):
 		if reported { // the router that reported the exit has not seen the answer
-			d.queue.add(item{kind: itemAnswer, request: f})
+			d.queue.add(queueEntry{kind: entryAnswer, request: f})
 		}
 		return
 	case d.isExplained(target):
@@ -110,7 +111,7 @@
 	if len(e.exits) >= exitsToSuspect && e.dueAt.IsZero() {
 		e.dueAt = now.Add(objectionPeriod)
 	}
-	d.queue.add(item{kind: itemExit, request: f, target: target, urgency: len(e.exits)})
+	d.queue.add(queueEntry{kind: entryExit, request: f, target: target, priority: len(e.exits)})
 }
 
 // isExplained reports whether a target exited while it executed a suspect.
--- a/internal/core/poison/news.go
+++ b/internal/core/poison/news.go
@@ -26,53 +26,53 @@
 func (r Report) Empty() bool { return len(r.Exits) == 0 && len(r.Answers) == 0 && len(r.Suspects) == 0 }
 
 const (
-	// digestsPerItem is the number of digests that repeat an entry. With three in ten digests lost,
-	// one of three arrives in 97 of 100 cases.
-	digestsPerItem = 3
+	// digestsPerEntry is the number of digests that contain an entry. With three in ten digests
+	// lost, at least one of three arrives in 97 of 100 cases.
+	digestsPerEntry = 3
 	// Limits of the entries in one digest: an exit takes 16 bytes, an answer 8, a suspect about 25.
 	// Further entries wait for the next digest.
 	exitsPerDigest    = 32
 	answersPerDigest  = 32
 	suspectsPerDigest = 12
-	// maxWaiting bounds the queue. The entries with the fewest exits are dropped.
+	// maxWaiting bounds the queue. The entries with the lowest priority are dropped.
 	maxWaiting = 1024
 )
 
-type itemKind int
+type entryKind int
 
 const (
-	itemSuspect itemKind = iota
-	itemAnswer
-	itemExit
-	itemKinds
+	entrySuspect entryKind = iota
+	entryAnswer
+	entryExit
+	entryKindCount
 )
 
-// item is an entry that waits to be sent.
-type item struct {
-	kind      itemKind
+// queueEntry is an entry of a report that waits to be sent.
+type queueEntry struct {
+	kind      entryKind
 	request   Fingerprint
 	target    uint64
-	urgency   int // number of exits of the request
-	remaining int // number of digests that still have to repeat the entry
+	priority  int // number of exits of the request; 0 for suspects and answers
+	remaining int // number of further digests that are to contain the entry
 }
 
-func (i item) same(o item) bool {
+func (i queueEntry) hasSameKey(o queueEntry) bool {
 	return i.kind == o.kind && i.request == o.request && i.target == o.target
 }
 
 // reportQueue holds the entries that wait to be sent.
 type reportQueue struct {
-	waiting []item
-	// urgent is true if a change of a suspicion waits that no digest has had yet. Exits and answers
+	waiting []queueEntry
+	// urgent is true while a change of a suspicion has not been in any digest. Exits and answers
 	// wait for the next regular digest: a target that exits has many open requests, each of another
 	// router, and an extra digest to all routers for each would fill the relays' links.
 	urgent bool
 }
 
-func (q *reportQueue) add(entry item) {
-	entry.remaining = digestsPerItem
-	q.urgent = q.urgent || entry.kind == itemSuspect
-	if i := slices.IndexFunc(q.waiting, entry.same); i >= 0 {
+func (q *reportQueue) add(entry queueEntry) {
+	entry.remaining = digestsPerEntry
+	q.urgent = q.urgent || entry.kind == entrySuspect
+	if i := slices.IndexFunc(q.waiting, entry.hasSameKey); i >= 0 {
 		q.waiting[i] = entry
 		return
 	}
@@ -83,19 +83,19 @@
 	}
 }
 
-// sort puts the entries first whose requests have the most exits.
+// sort puts the entries with the highest priority first.
 func (q *reportQueue) sort() {
-	slices.SortStableFunc(q.waiting, func(a, b item) int { return cmp.Compare(b.urgency, a.urgency) })
+	slices.SortStableFunc(q.waiting, func(a, b queueEntry) int { return cmp.Compare(b.priority, a.priority) })
 }
 
 // take returns the entries for the next digest, at most the given number of each kind.
-func (q *reportQueue) take(limits [itemKinds]int) []item {
+func (q *reportQueue) take(limits [entryKindCount]int) []queueEntry {
 	q.urgent = false
 	if len(q.waiting) == 0 {
 		return nil
 	}
 	q.sort()
-	var out, deferred, resend []item
+	var out, deferred, resend []queueEntry
 	for _, entry := range q.waiting {
 		if limits[entry.kind] == 0 {
 			deferred = append(deferred, entry)
@@ -111,20 +111,20 @@
 	return out
 }
 
-// HasUrgentReport reports whether an entry waits that should be sent without waiting for the next
-// regular digest.
+// HasUrgentReport reports whether an entry waits that should be sent before the next regular digest
+// is due.
 func (d *Detector) HasUrgentReport() bool { return d.queue.urgent }
 
 // NextReport returns the entries for the next digest.
 func (d *Detector) NextReport(now time.Time) Report {
 	var r Report
-	for _, entry := range d.queue.take([itemKinds]int{itemSuspect: suspectsPerDigest, itemAnswer: answersPerDigest, itemExit: exitsPerDigest}) {
+	for _, entry := range d.queue.take([entryKindCount]int{entrySuspect: suspectsPerDigest, entryAnswer: answersPerDigest, entryExit: exitsPerDigest}) {
 		switch entry.kind {
-		case itemExit:
+		case entryExit:
 			r.Exits = append(r.Exits, Exit{Request: entry.request, Target: entry.target})
-		case itemAnswer:
+		case entryAnswer:
 			r.Answers = append(r.Answers, entry.request)
-		case itemSuspect:
+		case entrySuspect:
 			if s := d.suspects[entry.request]; s != nil {
 				r.Suspects = append(r.Suspects, s.report(now, entry.request))
 			}
@@ -149,7 +149,7 @@
 		d.receiveSuspect(now, s)
 	}
 	for _, e := range r.Exits {
-		d.exited(now, e.Request, e.Target, true)
+		d.onExit(now, e.Request, e.Target, true)
 	}
 }
 
@@ -157,7 +157,7 @@
 	known := d.answers.has(now, f)
 	d.RecordAnswer(now, f)
 	if !known {
-		d.queue.add(item{kind: itemAnswer, request: f})
+		d.queue.add(queueEntry{kind: entryAnswer, request: f})
 	}
 }
 
@@ -165,7 +165,7 @@
 // two routers changed the suspicion at the same time, a clearance wins.
 func (d *Detector) receiveSuspect(now time.Time, received Suspect) {
 	s, ok := d.suspects[received.Request]
-	expiresAt := now.Add(min(received.ExpiresIn, refusalPeriods[len(refusalPeriods)-1]+probation))
+	expiresAt := now.Add(min(received.ExpiresIn, refusalPeriods[len(refusalPeriods)-1]+probationPeriod))
 	switch {
 	case !ok && received.ExpiresIn < minReportedExpiry:
 		return
@@ -195,10 +195,10 @@
 	case s.level > 0:
 		d.recordChange(received.Request, s, Suspected)
 	case previousLevel > 0:
-		s.trial = false
+		s.trialOpen = false
 		d.recordChange(received.Request, s, Cleared)
 	default:
-		d.queue.add(item{kind: itemSuspect, request: received.Request})
+		d.queue.add(queueEntry{kind: entrySuspect, request: received.Request})
 	}
 }
 
@@ -208,7 +208,7 @@
 	for _, s := range stored {
 		if s.Level > 0 {
 			s.RefusedFor = refusalPeriod(s.Level)
-			s.ExpiresIn = s.RefusedFor + probation
+			s.ExpiresIn = s.RefusedFor + probationPeriod
 			d.receiveSuspect(now, s)
 		}
 	}
@@ -219,8 +219,8 @@
 // each other for ever.
 const minReportedExpiry = 5 * time.Second
 
-// ListSuspects returns the suspects that do not expire soon, ordered by fingerprint. They are kept
-// in the store and sent to routers with another Checksum.
+// ListSuspects returns the suspects that do not expire soon, cleared ones included, ordered by
+// fingerprint. They are kept in the store and sent to routers with another Checksum.
 func (d *Detector) ListSuspects(now time.Time) []Suspect {
 	out := make([]Suspect, 0, len(d.suspects))
 	for f, s := range d.suspects {
--- a/internal/core/poison/ran.go
+++ b/internal/core/poison/ran.go
@@ -18,18 +18,18 @@
 	maxHistoryHalf = 1 << 14
 )
 
-func (m *answerHistory) add(now time.Time, f Fingerprint) {
-	if m.newer == nil || now.Sub(m.newerSince) >= historyHalf || len(m.newer) >= maxHistoryHalf {
-		m.older, m.newer, m.newerSince = m.newer, make(map[Fingerprint]struct{}), now
+func (h *answerHistory) add(now time.Time, f Fingerprint) {
+	if h.newer == nil || now.Sub(h.newerSince) >= historyHalf || len(h.newer) >= maxHistoryHalf {
+		h.older, h.newer, h.newerSince = h.newer, make(map[Fingerprint]struct{}), now
 	}
-	m.newer[f] = struct{}{}
+	h.newer[f] = struct{}{}
 }
 
-func (m *answerHistory) has(now time.Time, f Fingerprint) bool {
-	age := now.Sub(m.newerSince)
-	if _, ok := m.newer[f]; ok && age < 2*historyHalf {
+func (h *answerHistory) has(now time.Time, f Fingerprint) bool {
+	age := now.Sub(h.newerSince)
+	if _, ok := h.newer[f]; ok && age < 2*historyHalf {
 		return true
 	}
-	_, ok := m.older[f]
+	_, ok := h.older[f]
 	return ok && age < historyHalf
 }
--- a/internal/core/poison/suspect.go
+++ b/internal/core/poison/suspect.go
@@ -13,8 +13,8 @@
 var refusalPeriods = []time.Duration{10 * time.Second, 5 * time.Minute, time.Hour}
 
 const (
-	// probation is how long after its refusal period a suspect is kept that nobody sends.
-	probation = 10 * time.Minute
+	// probationPeriod is how long after its refusal period a suspect is kept that nobody sends.
+	probationPeriod = 10 * time.Minute
 	// clearedRetention is how long a cleared suspect is kept: routers that were cut off may still
 	// report the suspicion.
 	clearedRetention = time.Minute
@@ -26,11 +26,11 @@
 type suspect struct {
 	// generation rises with each change, so that all routers keep the newest state.
 	generation   uint32
-	level        int       // index into refusalPeriods, from 1; 0 if cleared
+	level        int       // see refusalPeriod; 0 if cleared
 	refusedUntil time.Time // end of the refusal period
 	expiresAt    time.Time // when the suspicion is forgotten
 	probation    bool      // the refusal period of this level is over
-	trial        bool      // this router has sent a trial that is still open
+	trialOpen    bool      // this router has sent a trial that is still open
 	exits        []uint64  // UIDs of the targets that exited while they executed the request
 }
 
@@ -50,7 +50,7 @@
 	s.generation++
 	s.level, s.probation = level, false
 	s.refusedUntil = now.Add(refusalPeriod(level))
-	s.expiresAt = s.refusedUntil.Add(probation)
+	s.expiresAt = s.refusedUntil.Add(probationPeriod)
 }
 
 // startSuspicion makes a request a suspect.
@@ -73,7 +73,7 @@
 		c.RefusedFor = refusalPeriod(s.level)
 	}
 	d.changes = append(d.changes, c)
-	d.queue.add(item{kind: itemSuspect, request: f})
+	d.queue.add(queueEntry{kind: entrySuspect, request: f})
 }
 
 // evictSuspect drops the suspect that would expire first if there are too many.
@@ -109,7 +109,7 @@
 		s.exits = slices.Delete(s.exits, 0, excess)
 	}
 	d.explainExit(target)
-	d.queue.add(item{kind: itemExit, request: f, target: target, urgency: exitsToSuspect})
+	d.queue.add(queueEntry{kind: entryExit, request: f, target: target, priority: exitsToSuspect})
 	s.extendExpiry(now)
 	if s.probation {
 		s.setLevel(now, s.level+1)
@@ -117,16 +117,16 @@
 	}
 }
 
-// extendExpiry keeps a suspect for another probation, since callers still send it.
+// extendExpiry keeps a suspect for another probationPeriod, since callers still send it.
 func (s *suspect) extendExpiry(now time.Time) {
-	if expiresAt := now.Add(probation); expiresAt.After(s.expiresAt) {
+	if expiresAt := now.Add(probationPeriod); expiresAt.After(s.expiresAt) {
 		s.expiresAt = expiresAt
 	}
 }
 
 func (d *Detector) clear(now time.Time, f Fingerprint, s *suspect) {
 	s.generation++
-	s.level, s.trial, s.refusedUntil, s.expiresAt = 0, false, now, now.Add(clearedRetention)
+	s.level, s.trialOpen, s.refusedUntil, s.expiresAt = 0, false, now, now.Add(clearedRetention)
 	d.recordChange(f, s, Cleared)
 }
 
@@ -163,10 +163,10 @@
 	switch {
 	case remaining > 0:
 		return Decision{Refused: true, RetryAfter: remaining}
-	case s.trial || !isHome():
+	case s.trialOpen || !isHome():
 		return Decision{Refused: true, RetryAfter: trialRetryAfter}
 	}
-	s.trial = true
+	s.trialOpen = true
 	return Decision{Trial: true}
 }
 
@@ -177,10 +177,10 @@
 // first refusal period begins again before the next trial.
 func (d *Detector) EndTrial(now time.Time, f Fingerprint) {
 	s := d.suspects[f]
-	if s == nil || !s.trial {
+	if s == nil || !s.trialOpen {
 		return
 	}
-	s.trial = false
+	s.trialOpen = false
 	if s.level > 0 && !now.Before(s.refusedUntil) {
 		s.refusedUntil = now.Add(refusalPeriods[0])
 	}
--- a/internal/core/retry/window.go
+++ b/internal/core/retry/window.go
@@ -5,20 +5,19 @@
 // Window limits the retries of one router to its part of a budget that the whole fleet shares. The
 // budget must hold in any span of time: retries <= ratio x requests + slack. The requests are those
 // of that span, of the span before it, or of the span that begins half a span earlier, whichever
-// has most. Each router uses the ratio of its own requests and an equal part of the slack. The
-// parts add up to the budget without any messages between routers. It is not safe for concurrent
-// use.
+// has most. Each router may use ratio x its own requests and an equal part of the slack. The parts
+// add up to the budget without any messages between routers. It is not safe for concurrent use.
 //
 // Callers move from routers that stop to other routers, so the sum of each router's largest span
 // can exceed the fleet's largest span. So each router uses the mean of the current span and the one
-// before it; the sum of the means is at most the larger of the fleet's two sums. A constant load
-// has the whole ratio, a router that has just started half of it.
+// before it; the sum of the means is at most the larger of the fleet's two sums. With a constant
+// load, a router has the whole ratio; in its first span after a start it has half of it.
 //
 // The parts of the ratio also add up over successive processes on one VM, as each counts its own
 // requests. The parts of the slack do not: see SlackDelay.
 type Window struct {
-	start   time.Time // slots count from here by the monotonic clock, as the wall clock may jump
-	width   time.Duration
+	start   time.Time     // slots count from here by the monotonic clock, as the wall clock may jump
+	width   time.Duration // of a slot
 	buckets [historyBuckets]bucket
 }
 
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -65,10 +65,10 @@
 	// MaxConnections is the number of connections that one target accepts from all routers
 	// together; 0 if unknown.
 	MaxConnections int
-	// ColdRequestsPerSecond is the rate of requests that a cold target can serve, 0 if not limited.
-	// WarmUpTime is how long a target is cold after its start.
-	ColdRequestsPerSecond float64
-	WarmUpTime            time.Duration
+	// ColdPerSecond is the rate of requests that a cold target can serve, 0 if not limited.
+	// ColdDuration is how long a target is cold after its start.
+	ColdPerSecond float64
+	ColdDuration  time.Duration
 }
 
 // Team is the customer that a request is charged to.
--- a/internal/core/routing/routing.go
+++ b/internal/core/routing/routing.go
@@ -252,8 +252,8 @@
 	return i, ok
 }
 
-// RankTargets fills top with the best targets for a chat, at most limit and without leaving
-// targets. It does not allocate.
+// RankTargets fills top with the first targets in the chat's rendezvous order, at most limit, and
+// leaves out leaving targets. It does not allocate.
 func (p *Pool) RankTargets(chat uint64, top *rendezvous.Top, limit int) {
 	top.Reset()
 	for i := range p.Targets {
