--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -134,7 +134,7 @@
 func (t *trafficState) exitedTargetsToProbe(now time.Time) []placement.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.balancer.ExitedTargetsToProbe(now)
+	return t.balancer.TakeExitedTargetsToProbe(now)
 }
 
 // recordProbe records whether a target believed to have exited accepts connections.
@@ -169,7 +169,7 @@
 func (t *trafficState) maySend(now time.Time, c placement.Choice) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.balancer.MaySend(now, c)
+	return t.balancer.ConfirmPlacement(now, c)
 }
 
 // noTargetCode returns the result code for a request that found no target.
