--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -208,7 +208,7 @@
 func (s *Server) streamChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	flusher := http.NewResponseController(w)
 	parts := 0
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.traffic.Forward(r.Context(), req, func(a target.Answer) error {
 		if parts == 0 {
 			w.Header().Set("Content-Type", "text/event-stream")
 			w.Header().Set(wire.HeaderRequest, req.ID)
@@ -239,7 +239,7 @@
 
 func (s *Server) wholeChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	var text strings.Builder
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.traffic.Forward(r.Context(), req, func(a target.Answer) error {
 		text.WriteString(a.Text)
 		return nil
 	})
@@ -287,7 +287,7 @@
 
 func (s *Server) runService(r *http.Request, req router.Request) (target.Answer, router.Result) {
 	var answer target.Answer
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.traffic.Forward(r.Context(), req, func(a target.Answer) error {
 		answer = a
 		return nil
 	})
--- a/internal/app/controller/burn.go
+++ b/internal/app/controller/burn.go
@@ -11,7 +11,7 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ticket"
 )
 
-// BurnReport sums up the service level counts of all routers that answer. Routers that don't answer
+// BurnReport sums up the service level counts of all routers that reply. Routers that don't reply
 // are missing from the sums, but count as listed.
 func (c *Controller) BurnReport(ctx context.Context) (burn.Report, error) {
 	objectives, err := c.teamObjectives(ctx)
--- a/internal/app/controller/controller.go
+++ b/internal/app/controller/controller.go
@@ -52,8 +52,8 @@
 }
 
 // callTimeout is the time for which a call to several routers waits for replies, while an operator
-// waits for the answer. Routers that a push has not reached by then get the change by gossip or by
-// polling the store.
+// waits for the answer. Routers that a push has not reached by then pull the change when gossip
+// shows them its revision, or read it from the store.
 const callTimeout = time.Second
 
 // PushFanout is the largest number of routers to which a controller pushes a change. These routers
@@ -99,7 +99,7 @@
 }
 
 // compareRevisions returns the status of a revision's rollout. revisions has the revision of each
-// router that answered.
+// router that replied.
 func (c *Controller) compareRevisions(revision uint64, revisions map[uint32]uint64) RolloutStatus {
 	out := RolloutStatus{Revision: revision, Listed: len(c.routers), Behind: []uint32{}}
 	for _, id := range c.routers {
--- a/internal/app/controller/matrix_test.go
+++ b/internal/app/controller/matrix_test.go
@@ -32,19 +32,19 @@
 	reconcilers []*controller.Reconciler
 	stopped     []bool // by controller
 
-	mu               sync.Mutex        // guards appliedRevisions, as calls are concurrent
-	appliedRevisions map[uint32]uint64 // by router
-	unreachable      map[uint32]bool   // by router
-	unreachableSince map[uint32]time.Time
-	openRequests     int    // at the target
-	checksFencing    bool   // the target checks fencing numbers
-	highestFencing   uint64 // highest fencing number of an order that the target accepted
-	orders           []order
-	refusedOrders    int
-	targetState      map[string]string
-	targetSilent     bool
-	loseNextReply    bool
-	duringOrder      func() // called once, before the next order arrives
+	mu                  sync.Mutex        // guards appliedRevisions, as calls are concurrent
+	appliedRevisions    map[uint32]uint64 // by router
+	unreachable         map[uint32]bool   // by router
+	unreachableSince    map[uint32]time.Time
+	openRequests        int    // at the target
+	checksFencing       bool   // the target checks fencing tokens
+	highestFencingToken uint64 // highest fencing token of an order that the target accepted
+	orders              []order
+	refusedOrders       int
+	targetState         map[string]string
+	targetSilent        bool
+	loseNextReply       bool
+	duringOrder         func() // called once, before the next order arrives
 
 	duringObserve func() // called once, before the next status of an idle target is returned
 	violation     string // violated rule; empty if there is none
@@ -52,9 +52,9 @@
 
 // order is an order that the target accepted.
 type order struct {
-	fencing uint64
-	action  string
-	at      time.Time
+	fencingToken uint64
+	action       string
+	at           time.Time
 }
 
 var errNoReply = errors.New("no reply")
@@ -93,7 +93,7 @@
 
 // Order implements controller.TargetClient. It accepts an order for the fake target and records a
 // violation if the target must not be ordered to exit yet.
-func (f *fakeFleet) Order(_ context.Context, _ string, fencing uint64, action, argument string, expires time.Time) error {
+func (f *fakeFleet) Order(_ context.Context, _ string, fencingToken uint64, action, argument string, expires time.Time) error {
 	if f.targetSilent {
 		return errNoReply
 	}
@@ -102,18 +102,18 @@
 		f.duringOrder = nil
 		stall()
 	}
-	if f.checksFencing && (f.now.After(expires) || fencing < f.highestFencing) {
+	if f.checksFencing && (f.now.After(expires) || fencingToken < f.highestFencingToken) {
 		f.refusedOrders++
 		return errors.New("refused")
 	}
 	if action == "drain" && f.openRequests > 0 {
 		f.violation = "a target with open requests was ordered to exit"
 	}
-	if f.hasUninformedRouter() {
+	if f.hasOutdatedRouter() {
 		f.violation = "a target was ordered to exit while a router may still send it requests"
 	}
-	f.highestFencing = max(f.highestFencing, fencing)
-	f.orders = append(f.orders, order{fencing, action, f.now})
+	f.highestFencingToken = max(f.highestFencingToken, fencingToken)
+	f.orders = append(f.orders, order{fencingToken, action, f.now})
 	f.targetState = map[string]string{action: argument}
 	if f.loseNextReply {
 		f.loseNextReply = false
@@ -122,9 +122,9 @@
 	return nil
 }
 
-// hasUninformedRouter reports whether a router that has been unreachable for less than 10 seconds,
+// hasOutdatedRouter reports whether a router that has been unreachable for less than 10 seconds,
 // or not at all, has not applied the current version of the target.
-func (f *fakeFleet) hasUninformedRouter() bool {
+func (f *fakeFleet) hasOutdatedRouter() bool {
 	target, err := f.store.Get(context.Background(), resource.Key{Kind: resource.KindTarget, Name: "t"})
 	if err != nil {
 		return false
@@ -277,8 +277,8 @@
 
 var _ = Describe("fault matrix of a planned change", func() {
 	// Each fault is injected at each step of a drain that two controllers carry out, with targets
-	// that check fencing numbers and targets that don't. Guards against a drain that hangs, an
-	// order to exit for a target with open requests, and an order of the previous lease holder that
+	// that check fencing tokens and targets that don't. Guards against a drain that hangs, an order
+	// to exit for a target with open requests, and an order of the previous lease holder that
 	// arrives after an order of the next one.
 	for _, fencing := range []bool{true, false} {
 		for _, step := range faultPoints {
@@ -297,7 +297,7 @@
 					Expect(f.violation).To(BeEmpty())
 					Expect(f.targetState).To(HaveKeyWithValue("drain", "true"))
 					for i := 1; i < len(f.orders); i++ {
-						Expect(f.orders[i].fencing).To(BeNumerically(">=", f.orders[i-1].fencing), "%v", f.orders)
+						Expect(f.orders[i].fencingToken).To(BeNumerically(">=", f.orders[i-1].fencingToken), "%v", f.orders)
 					}
 				})
 			}
@@ -305,17 +305,17 @@
 	}
 })
 
-var _ = Describe("targets that ignore fencing numbers and expiry", func() {
+var _ = Describe("targets that ignore fencing tokens and expiry", func() {
 	// Guards against a target that carries out an order of a previous lease holder. The holder
 	// stalls around its order and its lease expires. The next holder sends its order, and then the
-	// first holder goes on.
-	expectFencingInOrder := func(seconds int, pause func(f *fakeFleet, stall func())) {
+	// first holder continues.
+	expectAscendingTokens := func(seconds int, injectStall func(f *fakeFleet, stall func())) {
 		f := newFakeFleet(false)
 		for n := 0; f.appliedRevisions[1] < 2 && n < 60; n++ {
 			f.runPass()
 		}
 		stalled := false
-		pause(f, func() {
+		injectStall(f, func() {
 			stalled, f.stopped[0] = true, true
 			for range seconds {
 				f.runPass()
@@ -327,17 +327,17 @@
 		}
 		Expect(stalled).To(BeTrue())
 		for i := 1; i < len(f.orders); i++ {
-			Expect(f.orders[i].fencing).To(BeNumerically(">=", f.orders[i-1].fencing), "%v", f.orders)
+			Expect(f.orders[i].fencingToken).To(BeNumerically(">=", f.orders[i-1].fencingToken), "%v", f.orders)
 		}
 	}
 
 	// The order arrives late if the next holder doesn't wait until orders in transit have expired.
 	It("get no order of a previous holder after one of the next if the previous holder stalls for 6 seconds while it sends the order", func() {
-		expectFencingInOrder(6, func(f *fakeFleet, stall func()) { f.duringOrder = stall })
+		expectAscendingTokens(6, func(f *fakeFleet, stall func()) { f.duringOrder = stall })
 	})
 
 	// The order arrives late if the lease is checked only before the holder observes the target.
 	It("get no order of a holder that stalled while it observed the target", func() {
-		expectFencingInOrder(12, func(f *fakeFleet, stall func()) { f.duringObserve = stall })
+		expectAscendingTokens(12, func(f *fakeFleet, stall func()) { f.duringObserve = stall })
 	})
 })
--- a/internal/app/controller/reconciler.go
+++ b/internal/app/controller/reconciler.go
@@ -27,9 +27,9 @@
 	// Observe returns the number of a target's open requests and the state that its orders left it
 	// in.
 	Observe(ctx context.Context, address string) (open int, state map[string]string, err error)
-	// Order sends an order to a target. A target that checks fencing numbers refuses the order
-	// after expires, or if it has seen a higher fencing number.
-	Order(ctx context.Context, address string, fencing uint64, action, argument string, expires time.Time) error
+	// Order sends an order to a target. A target that checks fencing tokens refuses the order after
+	// expires, or if it has seen a higher fencing token.
+	Order(ctx context.Context, address string, fencingToken uint64, action, argument string, expires time.Time) error
 }
 
 // Reconciler carries out planned changes. Each controller has one. A change is carried out by the
@@ -208,17 +208,17 @@
 // because the target ignores an expired order.
 func (r *Reconciler) sendOrder(ctx context.Context, heldLease *lease.Lease, spec resource.PlannedChangeSpec, target resource.TargetSpec, next *plannedchange.Status) error {
 	now := r.now()
-	fencing, ok := heldLease.HeldFencingToken(now)
+	fencingToken, ok := heldLease.HeldFencingToken(now)
 	if !ok || heldLease.RemainingTime(now) < plannedchange.OrderValidity {
 		return nil
 	}
-	next.FencingToken = fencing
+	next.FencingToken = fencingToken
 	action, argument := plannedchange.DesiredState(spec)
-	return r.targets.Order(ctx, target.Address, fencing, action, argument, now.Add(plannedchange.OrderValidity))
+	return r.targets.Order(ctx, target.Address, fencingToken, action, argument, now.Add(plannedchange.OrderValidity))
 }
 
 // acquireLease acquires or renews the lease of a change. It returns nil if another process holds
-// the lease. If the target doesn't check fencing numbers, an expired lease is taken over only after
+// the lease. If the target doesn't check fencing tokens, an expired lease is taken over only after
 // the time for which an order is valid, as all orders of the previous holder have expired by then.
 func (r *Reconciler) acquireLease(ctx context.Context, name string, checksFencing bool) (*lease.Lease, error) {
 	l, ok := r.leases[name]
@@ -271,7 +271,7 @@
 }
 
 // writeStatus logs and stores a status. version is the version of the status that was read. The
-// status is not stored if another process has stored one since then.
+// status is not stored if another process has stored one meanwhile.
 func (r *Reconciler) writeStatus(ctx context.Context, name string, s plannedchange.Status, version uint64) error {
 	r.log.Line(eventlog.PlannedChange).Str("change", name).Str("phase", string(s.Phase)).Str("why", s.Message).Msg("")
 	return r.putJSON(ctx, statusPrefix+name, s, version)
--- a/internal/app/router/burn.go
+++ b/internal/app/router/burn.go
@@ -14,7 +14,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/eventlog"
 )
 
-// maxBurnSeries is the largest number of team and pool pairs that one router measures.
+// maxBurnSeries is the largest number of pairs of team and pool that one router measures
+// separately.
 const maxBurnSeries = 2000
 
 // BurnRecorder measures the service level of a router's requests and reports it to the controllers.
@@ -49,7 +50,7 @@
 	b.tracker.RecordRequest(b.now(), burn.Key{Pool: req.Pool.Name, Team: req.Team}, good, result.FirstPartLatency)
 }
 
-// Handle answers a BurnRequest with the counts and passes all other messages to the Control.
+// Handle replies to a BurnRequest with the counts and passes all other messages to the Control.
 func (b *BurnRecorder) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
 	if _, ok := m.(*peerv1.BurnRequest); !ok {
 		return b.control.Handle(ctx, m)
--- a/internal/app/router/claims_test.go
+++ b/internal/app/router/claims_test.go
@@ -38,7 +38,7 @@
 	// Guards against a notice that one router sends twice. Two requests with the same key arrive
 	// together, and their inserts share a transaction. The row does not exist when the conditions
 	// of the transaction are checked, so both inserts would count as committed.
-	It("let one of several requests with the same key proceed, also if their inserts share a transaction", func() {
+	It("let only one of several requests with the same key be dispatched, also if their inserts share a transaction", func() {
 		table := faketable.New()
 		firstCommitStarted, allowFirstCommit := make(chan struct{}), make(chan struct{})
 		var once sync.Once
@@ -57,13 +57,13 @@
 		time.AfterFunc(50*time.Millisecond, func() { close(allowFirstCommit) }) // by then the other inserts are queued
 		requests.Wait()
 		close(kinds)
-		proceeding := 0
+		dispatched := 0
 		for kind := range kinds {
 			if kind == claim.Dispatch {
-				proceeding++
+				dispatched++
 			}
 		}
-		Expect(proceeding).To(Equal(1))
+		Expect(dispatched).To(Equal(1))
 	})
 
 	It("insert the rows of concurrent requests in shared transactions", func() {
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -47,16 +47,16 @@
 // query.
 type inboxMessage struct {
 	event core.Event
-	// decisionCh receives the decision for an Arrived event.
+	// decisionCh receives the decision for a RequestArrived event.
 	decisionCh chan decision
-	// responseCh receives the response to a CallIn event.
-	responseCh chan core.AnswerCall
+	// responseCh receives the reply to a CallReceived event.
+	responseCh chan core.ReplyToCall
 	// query is called on the control goroutine.
 	query func(now time.Time, c *core.Core)
 }
 
 // inboxCapacity is the number of messages that the inbox holds. Senders block while the inbox is
-// full, as a dropped Ended event would leak a ticket.
+// full, as a dropped RequestEnded event would leak a ticket.
 const inboxCapacity = 1024
 
 // configReadTimeout is the timeout of one read of the configuration.
@@ -78,7 +78,7 @@
 
 	// The fields below belong to the control goroutine.
 	pendingDecisions map[uint64]chan decision
-	pendingCalls     map[core.CallID]chan core.AnswerCall
+	pendingCalls     map[core.CallID]chan core.ReplyToCall
 	lastCall         core.CallID
 	readInProgress   bool
 }
@@ -90,14 +90,14 @@
 		inbox:            make(chan inboxMessage, inboxCapacity),
 		stopped:          make(chan struct{}),
 		pendingDecisions: make(map[uint64]chan decision),
-		pendingCalls:     make(map[core.CallID]chan core.AnswerCall),
+		pendingCalls:     make(map[core.CallID]chan core.ReplyToCall),
 	}
 	control.table.Store(c.Table())
 	control.ready.Store(&core.Readiness{Reason: code.NotReady})
 	return control
 }
 
-// Table returns the routing table that traffic follows.
+// Table returns the routing table that is applied.
 func (c *Control) Table() *routing.Table { return c.table.Load() }
 
 // Ready returns whether the router accepts new requests, with the reason if it does not.
@@ -120,8 +120,8 @@
 	}
 }
 
-// handleMessage answers a query or passes an event to the core. For an Arrived or a CallIn event it
-// first stores the channel on which the answer is expected.
+// handleMessage runs a query or passes an event to the core. For a RequestArrived or CallReceived
+// event it first stores the channel on which the decision or the reply is expected.
 func (c *Control) handleMessage(ctx context.Context, in inboxMessage) {
 	switch ev := in.event.(type) {
 	case nil:
@@ -155,7 +155,7 @@
 		c.deliverDecision(a.ID, decision{refuse: &a})
 	case core.CallPeer:
 		go c.sendToPeer(ctx, a)
-	case core.AnswerCall:
+	case core.ReplyToCall:
 		c.pendingCalls[a.Call] <- a
 		delete(c.pendingCalls, a.Call)
 	case core.ProbeTarget:
@@ -194,8 +194,8 @@
 }
 
 // probeTarget reads the number of a target's open requests and passes it to the core. It passes
-// nothing if the target can't be reached or returns no count. The ledger then keeps the target's
-// ghosts until they expire.
+// nothing if the target can't be reached or returns no count. The ledger then keeps the orphaned
+// tickets of the target until they expire.
 func (c *Control) probeTarget(ctx context.Context, a core.ProbeTarget) {
 	open, _, err := c.prober.Observe(ctx, a.Target.Address)
 	if err != nil {
@@ -246,9 +246,9 @@
 	}
 }
 
-// Handle answers a message of another router or of a controller.
+// Handle processes a message of another router or of a controller and returns the reply.
 func (c *Control) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
-	responseCh := make(chan core.AnswerCall, 1)
+	responseCh := make(chan core.ReplyToCall, 1)
 	c.enqueue(inboxMessage{event: core.CallReceived{Message: m}, responseCh: responseCh})
 	select {
 	case response := <-responseCh:
@@ -267,12 +267,12 @@
 	return decisionCh
 }
 
-// releaseTicket releases the ticket of a request, or cancels the ticket request.
+// releaseTicket releases the ticket of a request, or withdraws the ticket request.
 func (c *Control) releaseTicket(ev core.RequestEnded) { c.enqueue(inboxMessage{event: ev}) }
 
-// Leave is the first step of a graceful shutdown. It makes the router unready until the process
-// exits.
-func (c *Control) Leave() { c.enqueue(inboxMessage{event: core.Shutdown{}}) }
+// BeginShutdown is the first step of a graceful shutdown. It makes the router unready until the
+// process exits.
+func (c *Control) BeginShutdown() { c.enqueue(inboxMessage{event: core.Shutdown{}}) }
 
 // Status is the state that a router reports about itself.
 type Status struct {
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -114,10 +114,10 @@
 	result            Result
 }
 
-// Do forwards a request and calls forward for each part of the answer. It returns when the request
-// has ended, its deadline has passed or ctx is cancelled. An error of forward counts as a
+// Forward forwards a request and calls forward for each part of the answer. It returns when the
+// request has ended, its deadline has passed or ctx is cancelled. An error of forward counts as a
 // disconnected caller.
-func (f *Forwarder) Do(ctx context.Context, req Request, forward func(target.Answer) error) Result {
+func (f *Forwarder) Forward(ctx context.Context, req Request, forward func(target.Answer) error) Result {
 	f.openRequests.Add(1)
 	defer f.openRequests.Add(-1)
 	r := &activeRequest{
--- a/internal/app/router/traffic_test.go
+++ b/internal/app/router/traffic_test.go
@@ -70,7 +70,7 @@
 		pool, _ := control.Table().Pool("p")
 		req := router.Request{ID: "r", Pool: pool, Team: "dealers", Chat: 1, Idempotent: true, Stream: true, Deadline: time.Now().Add(10 * time.Second)}
 		parts := 0
-		result := forwarder.Do(ctx, req, func(target.Answer) error {
+		result := forwarder.Forward(ctx, req, func(target.Answer) error {
 			parts++
 			time.Sleep(silenceTimeout + silenceTimeout/2)
 			return nil
--- a/internal/core/burn/burn.go
+++ b/internal/core/burn/burn.go
@@ -37,13 +37,14 @@
 	good, bad  uint64
 }
 
-// window counts requests in a ring of buckets.
+// window counts requests in a ring of buckets. slot is the time that one bucket
+// covers.
 type window struct {
 	slot    time.Duration
 	buckets [slotsPerWindow]bucket
 }
 
-func (w *window) add(age time.Duration, good bool) {
+func (w *window) addRequest(age time.Duration, good bool) {
 	slotNumber := w.slotNumber(age)
 	b := &w.buckets[slotNumber%slotsPerWindow]
 	if b.slotNumber != slotNumber {
@@ -95,8 +96,8 @@
 const OtherTeams = "(other teams)"
 
 // NewTracker returns an empty Tracker with at most max series, in addition to one series for
-// OtherTeams in each pool. At 31,000 teams, one series for each team would exceed the memory of
-// a small VM.
+// OtherTeams in each pool. At 31,000 teams, one series for each team would exceed the memory of a
+// small VM.
 func NewTracker(now time.Time, max int) *Tracker {
 	return &Tracker{startedAt: now, max: max, series: make(map[Key]*series)}
 }
@@ -106,7 +107,7 @@
 func (t *Tracker) RecordRequest(now time.Time, key Key, good bool, firstToken time.Duration) {
 	s := t.seriesFor(key)
 	for i := range s.windows {
-		s.windows[i].add(now.Sub(t.startedAt), good)
+		s.windows[i].addRequest(now.Sub(t.startedAt), good)
 	}
 	if firstToken > 0 {
 		ms := min(max(firstToken.Milliseconds(), minMs), maxMs)
--- a/internal/core/burn/report.go
+++ b/internal/core/burn/report.go
@@ -10,8 +10,7 @@
 
 // Report holds the burn rates of the fleet.
 type Report struct {
-	// Routers is how many of the listed routers answered. The requests of the others are
-	// missing.
+	// Routers is how many of the listed routers replied. The requests of the others are missing.
 	Routers int   `json:"routers"`
 	Listed  int   `json:"listed"`
 	Lines   []Row `json:"lines"`
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -28,7 +28,7 @@
 	Fingerprint string    `json:"fingerprint"`
 	State       State     `json:"state"`
 	ClaimedAt   time.Time `json:"at"`
-	// Status, ContentType and Body are the recorded response of a Done request.
+	// Status, ContentType and Body are the recorded answer to a Done request.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"contentType,omitempty"`
 	Body        []byte `json:"body,omitempty"`
@@ -56,7 +56,7 @@
 	ReadRow
 	// Dispatch dispatches the request, once.
 	Dispatch
-	// ReplayAnswer answers with the recorded response.
+	// ReplayAnswer answers with the recorded answer of the target.
 	ReplayAnswer
 	// RefuseRequest answers with Code. The request was not dispatched under this claim.
 	RefuseRequest
@@ -79,9 +79,9 @@
 // Machine is the state machine of one claim. The caller carries out the returned actions and
 // passes their results to the Handle methods. It is not safe for concurrent use.
 type Machine struct {
-	record           Record
-	insertCount      int
-	insertUnanswered bool // an insert got no reply
+	record             Record
+	insertCount        int
+	insertReplyMissing bool // an insert got no reply
 }
 
 // New returns the Machine for a record and its first action.
@@ -98,10 +98,10 @@
 	return Action{Kind: InsertRow, Record: m.record}
 }
 
-// HandleInsert processes the result of an insert and returns the next action. An insert without
-// a reply is repeated. If the first insert took effect, the second one conflicts with it, and
-// the row then shows its owner. Reading the row instead would not suffice, since a row that does
-// not exist yet may still appear.
+// HandleInsert processes the result of an insert and returns the next action. An insert without a
+// reply is repeated. If the first insert took effect, the second one conflicts with it, and the ID
+// in the row then shows that the row is this claim's. Reading the row instead would not suffice,
+// since a row that does not exist yet may still appear.
 func (m *Machine) HandleInsert(r InsertResult) Action {
 	switch r {
 	case Committed:
@@ -109,7 +109,7 @@
 	case Conflict:
 		return Action{Kind: ReadRow}
 	case NoReply:
-		m.insertUnanswered = true
+		m.insertReplyMissing = true
 		if m.insertCount < maxInserts {
 			return m.insertRow()
 		}
@@ -118,11 +118,11 @@
 }
 
 func (m *Machine) refuseRequest(c code.Code) Action {
-	return Action{Kind: RefuseRequest, Code: c, NeedsCleanup: m.insertUnanswered}
+	return Action{Kind: RefuseRequest, Code: c, NeedsCleanup: m.insertReplyMissing}
 }
 
-// HandleRow processes the row that caused a conflict. holderAlive reports whether the process
-// that holds the row's claim still runs.
+// HandleRow processes the row that caused a conflict and returns the next action. holderAlive
+// reports whether the process that holds the row's claim still runs.
 func (m *Machine) HandleRow(row Record, holderAlive bool) Action {
 	switch {
 	case row.ID == m.record.ID:
@@ -138,7 +138,7 @@
 	}
 }
 
-// HandleRowDeleted handles that the conflicting row was deleted meanwhile.
+// HandleRowDeleted returns the next action if the conflicting row was deleted meanwhile.
 func (m *Machine) HandleRowDeleted() Action {
 	if m.insertCount >= maxInserts {
 		return m.refuseRequest(code.ClaimStoreDown)
@@ -146,5 +146,5 @@
 	return m.insertRow()
 }
 
-// HandleReadFailure handles that the conflicting row can't be read.
+// HandleReadFailure returns the next action if the conflicting row can't be read.
 func (m *Machine) HandleReadFailure() Action { return m.refuseRequest(code.ClaimStoreDown) }
--- a/internal/core/claim/claim_test.go
+++ b/internal/core/claim/claim_test.go
@@ -128,7 +128,7 @@
 		return machine.HandleRow(row, alive)
 	}
 
-	It("replay a recorded response", func() {
+	It("replay a recorded answer", func() {
 		row := record(2, "same")
 		row.State, row.Status = claim.Done, 200
 		a := handleRow(row, true)
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -22,15 +22,16 @@
 	Invalid
 )
 
-// maxLogLength is how many recent changes are kept for peers that lag. At 11,000 changes a day
-// they cover more than two hours.
-const maxLogLength = 1024
+// maxRecentChanges is the maximum number of recent changes that are kept for peers that lag. When
+// there are more, the older half is dropped. At 11,000 changes a day, 1,024 changes cover more than
+// two hours, and the half that always remains more than one.
+const maxRecentChanges = 1024
 
 // State is the applied configuration. It is not safe for concurrent use.
 type State struct {
-	revision  uint64
-	resources map[resource.Key]resource.Resource
-	log       []resource.Change // consecutive changes, the last one at revision
+	revision      uint64
+	resources     map[resource.Key]resource.Resource
+	recentChanges []resource.Change // consecutive changes, the last one at revision
 }
 
 // New returns an empty State at revision 0.
@@ -59,9 +60,9 @@
 		s.applyResource(r)
 	}
 	s.revision = c.Revision
-	s.log = append(s.log, c)
-	if len(s.log) > maxLogLength {
-		s.log = append([]resource.Change(nil), s.log[len(s.log)-maxLogLength/2:]...)
+	s.recentChanges = append(s.recentChanges, c)
+	if len(s.recentChanges) > maxRecentChanges {
+		s.recentChanges = append([]resource.Change(nil), s.recentChanges[len(s.recentChanges)-maxRecentChanges/2:]...)
 	}
 	return Applied
 }
@@ -88,7 +89,7 @@
 	}
 	s.resources = next
 	s.revision = revision
-	s.log = nil
+	s.recentChanges = nil
 	return Applied
 }
 
@@ -99,10 +100,10 @@
 		return nil, true
 	}
 	missing := s.revision - after
-	if missing > uint64(len(s.log)) {
+	if missing > uint64(len(s.recentChanges)) {
 		return nil, false
 	}
-	return s.log[uint64(len(s.log))-missing:], true
+	return s.recentChanges[uint64(len(s.recentChanges))-missing:], true
 }
 
 // Resources returns every resource ordered by kind and name.
--- a/internal/core/fairqueue/fairqueue.go
+++ b/internal/core/fairqueue/fairqueue.go
@@ -124,9 +124,9 @@
 	q.queued[itemKey{it.Router, it.ID}] = true
 }
 
-// PopNext removes and returns the first item that decide accepts. It offers the head of each
-// team's backlog, ordered by class and virtual time. SkipTeam skips a team, StopClass skips the
-// rest of a class.
+// PopNext removes and returns the first item that decide accepts. It calls decide for the head of
+// each team's backlog, in the order of the classes and of virtual finish times. SkipTeam skips a
+// team, StopClass skips the rest of a class.
 func (q *Queue) PopNext(decide func(Item) Decision) (Item, bool) {
 	for p := numClasses - 1; p >= 0; p-- {
 		if it, ok := q.class[p].popNext(decide); ok {
@@ -137,7 +137,7 @@
 	return Item{}, false
 }
 
-// Decision is the answer of the function that PopNext offers an item to.
+// Decision is the result of the function that PopNext calls for an item.
 type Decision int
 
 const (
--- a/internal/core/ledger/bound.go
+++ b/internal/core/ledger/bound.go
@@ -14,25 +14,25 @@
 	if m.usable == 0 {
 		return 0
 	}
-	openLowerBound := max(m.open-l.releaseMargin(now), 0)
+	openLowerBound := max(m.openRequests-l.releaseMargin(now), 0)
 	bound := int(math.Ceil(l.pool.Spec.BoundMultiple * float64(openLowerBound+1) / float64(m.targets)))
-	return max(bound, (m.open+m.usable)/m.usable)
+	return max(bound, (m.openRequests+m.usable)/m.usable)
 }
 
 // releaseMargin returns an upper estimate of the number of releases that are still on their way
 // to the owner.
 func (l *Ledger) releaseMargin(now time.Time) int {
 	delayedReleases := l.releaseRate.perSecond(now) * l.settings.ReleaseDelay.Seconds()
-	// Twice the mean covers the variance of arrivals for all but small numbers. MeanMargin
-	// covers small numbers.
-	return l.settings.MeanMargin + int(math.Ceil(2*delayedReleases))
+	// Twice the expected number covers the variance for all but small numbers, which
+	// BaseReleaseMargin covers.
+	return l.settings.BaseReleaseMargin + int(math.Ceil(2*delayedReleases))
 }
 
 // meanLoad holds the numerator and the denominator of a lower estimate of the pool's mean load.
 type meanLoad struct {
-	targets int // targets that are not leaving
-	usable  int // of these, the targets that are not suspended
-	open    int // open requests at the targets that are not leaving
+	targets      int // targets that are not leaving
+	usable       int // of these, the targets that are not suspended
+	openRequests int // tickets of followers at the targets that are not leaving, and confirmed orphans
 }
 
 func (l *Ledger) meanLoad(now time.Time) meanLoad {
@@ -42,14 +42,14 @@
 			continue
 		}
 		m.targets++
-		m.open += t.open
+		m.openRequests += t.followerTickets
 		if !t.suspendedUntil.After(now) {
 			m.usable++
 		}
 	}
 	for _, o := range l.orphans {
 		if o.confirmed {
-			m.open++
+			m.openRequests++
 		}
 	}
 	return m
--- a/internal/core/ledger/ghosts.go
+++ b/internal/core/ledger/ghosts.go
@@ -25,7 +25,7 @@
 // orphanTimeout returns how long an orphan is kept.
 func (l *Ledger) orphanTimeout(o orphan) time.Duration {
 	if o.changedOwner || o.confirmed {
-		return l.settings.MovedOrphanTimeout
+		return l.settings.MaxOrphanTimeout
 	}
 	return l.settings.OrphanTimeout
 }
@@ -91,7 +91,7 @@
 	recent := t.grantsSince(takenAt.Add(-reportLag))
 	t.reportedOpen, t.grantsSinceReport = open, recent
 	isCovered := func(o orphan) bool { return o.target == uid && !o.changedOwner && o.departedAt.Before(takenAt) }
-	unaccounted := open - (t.open - recent)
+	unaccounted := open - (t.followerTickets - recent)
 	l.removeOrphans(func(o orphan) bool {
 		if !isCovered(o) {
 			return false
--- a/internal/core/ledger/ghosts_test.go
+++ b/internal/core/ledger/ghosts_test.go
@@ -18,8 +18,8 @@
 		return b
 	}
 
-	// Guards against overloading an engine after a router went silent: the router is only
-	// stalled and its requests still run, but their slots are granted again.
+	// Guards against overloading a target after a router went silent: the router is only stalled
+	// and its requests still run, but their slots are granted again.
 	It("hold their slots until a timeout", func() {
 		b := fullOfOrphans()
 		_, g := b.requestTicket(2, &peerv1.Ask{Team: busyTeam, Priority: normal})
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/ledger/ledger.go
@@ -29,20 +29,20 @@
 	// FleetSize is the number of listed routers. If only some of them follow an owner, that
 	// owner uses only their share of MaxPerTarget.
 	FleetSize int
-	// MeanMargin is subtracted from the pool's open count before the mean is computed. It covers
-	// releases that are still on their way to the owner. Without it the owner's mean would
-	// exceed the true mean for one round trip, and a grant in that time could exceed the bound
-	// by one request.
-	MeanMargin int
+	// BaseReleaseMargin is the constant part of the release margin, which is subtracted from the
+	// pool's open count before the mean is computed. It covers releases that are still on their way
+	// to the owner. Without it the owner's mean would exceed the true mean for one round trip, and
+	// a grant in that time could exceed the bound by one request.
+	BaseReleaseMargin int
 	// ReleaseDelay is how long routers delay releases in order to batch them. The release margin
 	// grows by twice the number of releases expected in that time.
 	ReleaseDelay time.Duration
 	// OrphanTimeout is how long the tickets of a departed router count against their targets
 	// while no load report confirms them.
 	OrphanTimeout time.Duration
-	// MovedOrphanTimeout is how long the tickets of a router that follows another owner count
-	// against their targets. It is also the longest time that a confirmed orphan is kept.
-	MovedOrphanTimeout time.Duration
+	// MaxOrphanTimeout is how long the tickets of a router that follows another owner count against
+	// their targets, and how long an orphan is kept that a load report confirms.
+	MaxOrphanTimeout time.Duration
 	// RebuildTimeout limits how long a new owner waits for the inventories of all routers.
 	// During the rebuild the ledger also takes the targets' own load reports into account.
 	RebuildTimeout time.Duration
@@ -60,14 +60,14 @@
 // uses.
 func DefaultSettings(fleetSize int) Settings {
 	return Settings{
-		FleetSize:     fleetSize,
-		MeanMargin:    4,
-		OrphanTimeout: 5 * time.Second,
+		FleetSize:         fleetSize,
+		BaseReleaseMargin: 4,
+		OrphanTimeout:     5 * time.Second,
 
-		MovedOrphanTimeout: time.Minute,
-		RebuildTimeout:     3 * time.Second,
-		MaxQueued:          10000,
-		ChatHistorySize:    100_000,
+		MaxOrphanTimeout: time.Minute,
+		RebuildTimeout:   3 * time.Second,
+		MaxQueued:        10000,
+		ChatHistorySize:  100_000,
 
 		CacheWaitTimeout: 300 * time.Millisecond,
 	}
@@ -127,7 +127,7 @@
 	teamOpen       map[uint64]int
 	queue          *fairqueue.Queue
 	cacheWaiters   []fairqueue.Item // requests that wait for a target with their chat's cache
-	historyCache   historyCache
+	chatHistories  chatHistories
 	releaseRate    rate
 	createdAt      time.Time
 	ranking        rendezvous.Top
@@ -136,15 +136,15 @@
 // New returns a Ledger for a pool. The ledger starts rebuilding: it has no followers yet.
 func New(now time.Time, s Settings, pool *routing.Pool, teams TeamLimiter, rnd *rand.Rand) *Ledger {
 	l := &Ledger{
-		settings:     s,
-		teams:        teams,
-		rand:         rnd,
-		targets:      make(map[uint64]*target),
-		followers:    make(map[uint32]*follower),
-		teamOpen:     make(map[uint64]int),
-		queue:        fairqueue.New(),
-		historyCache: newHistoryCache(s.ChatHistorySize),
-		createdAt:    now,
+		settings:      s,
+		teams:         teams,
+		rand:          rnd,
+		targets:       make(map[uint64]*target),
+		followers:     make(map[uint32]*follower),
+		teamOpen:      make(map[uint64]int),
+		queue:         fairqueue.New(),
+		chatHistories: newChatHistories(s.ChatHistorySize),
+		createdAt:     now,
 	}
 	for _, t := range pool.Targets {
 		l.targets[t.UID] = &target{warmedUp: true}
@@ -176,11 +176,11 @@
 	return 0
 }
 
-// HandleExchange processes one exchange of a follower. It returns the response and the grants
-// for other followers that became possible. It is idempotent: a repeated sequence number gets
-// the recorded response. A router that lost the response sends the exchange again, and counting
-// it twice would leak a ticket. The error is a *code.Error with code.OldIncarnation if the
-// router has restarted since.
+// HandleExchange processes one exchange of a follower. It returns the reply and the grants for
+// other followers that became possible. It is idempotent: a repeated sequence number gets the
+// recorded reply. A router that did not receive the reply sends the exchange again, and counting it
+// twice would leak a ticket. The error is a *code.Error with code.OldIncarnation if the router has
+// restarted since.
 func (l *Ledger) HandleExchange(now time.Time, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, []Delivery, error) {
 	f, err := l.registerFollower(now, req)
 	switch {
@@ -194,7 +194,7 @@
 	l.applyFollowerState(now, f, req)
 	resp := &peerv1.ExchangeResponse{Sequence: req.GetSequence()}
 	for _, a := range req.GetAsks() {
-		if g := l.requestTicket(now, req.GetRouter(), f, a); g != nil {
+		if g := l.handleTicketRequest(now, req.GetRouter(), f, a); g != nil {
 			resp.Grants = append(resp.Grants, g)
 		}
 	}
@@ -211,8 +211,8 @@
 }
 
 // registerFollower returns the follower that sent an exchange, or nil if the ledger needs the
-// router's inventory first. It refuses an earlier process of a router. A later process replaces
-// the earlier one, whose tickets become orphans.
+// router's inventory first. It refuses exchanges of an earlier process of the router. A later
+// process replaces the earlier one, whose tickets become orphans.
 func (l *Ledger) registerFollower(now time.Time, req *peerv1.ExchangeRequest) (*follower, error) {
 	router, incarnation := req.GetRouter(), req.GetIncarnation()
 	f := l.followers[router]
@@ -243,7 +243,7 @@
 	}
 	for _, p := range req.GetPlacements() {
 		placedAt := now.Add(-time.Duration(p.GetAgeSeconds()) * time.Second)
-		l.historyCache.put(p.GetChat(), placement{target: p.GetTarget(), placedAt: placedAt})
+		l.chatHistories.put(p.GetChat(), placement{target: p.GetTarget(), placedAt: placedAt})
 	}
 	for _, r := range req.GetReleases() {
 		l.handleRelease(now, req.GetRouter(), f, r)
@@ -271,18 +271,18 @@
 	}
 }
 
-// open adds a ticket of a follower.
+// open adds a ticket of a follower to the counts of its target and team.
 func (l *Ledger) open(f *follower, id uint64, t ticket) {
 	f.tickets[id] = t
-	l.target(t.target).open++
+	l.target(t.target).followerTickets++
 	l.teamOpen[t.team]++
 }
 
-// close removes a ticket of a follower.
+// close removes a ticket of a follower from the counts of its target and team.
 func (l *Ledger) close(f *follower, id uint64) {
 	t := f.tickets[id]
 	delete(f.tickets, id)
-	l.target(t.target).open--
+	l.target(t.target).followerTickets--
 	if l.teamOpen[t.team]--; l.teamOpen[t.team] <= 0 {
 		delete(l.teamOpen, t.team)
 	}
--- a/internal/core/ledger/ledger_test.go
+++ b/internal/core/ledger/ledger_test.go
@@ -63,7 +63,7 @@
 
 func newTestLedger(t *routing.Table, fleet int, configure func(*ledger.Settings)) *testLedger {
 	s := ledger.DefaultSettings(fleet)
-	s.MeanMargin = 0
+	s.BaseReleaseMargin = 0
 	if configure != nil {
 		configure(&s)
 	}
@@ -139,9 +139,8 @@
 )
 
 var _ = Describe("the load bound", func() {
-	// Guards against overloading one engine while others are idle. Any mix of requests and
-	// releases must keep the bound. The limit must be computed from the same counts that the
-	// grant changes.
+	// Guards against overloading one target while others are idle. Any mix of requests and releases
+	// must keep the bound. The limit must be computed from the same counts that the grant changes.
 	It("holds at every grant of one owner", func() {
 		testkit.Check("200", func(t *rapid.T) {
 			targets := rapid.IntRange(2, 6).Draw(t, "targets")
@@ -174,9 +173,9 @@
 		})
 	})
 
-	// Guards against an engine with twice the bound: views differ, and two routers both own the
-	// pool and both have followers. Each includes only its own followers' tickets in its mean,
-	// so the two bounds add up to the bound of the whole pool.
+	// Guards against a target with twice the bound: views differ, and two routers both own the pool
+	// and both have followers. Each includes only its own followers' tickets in its mean, so the
+	// two bounds add up to the bound of the whole pool.
 	It("is exceeded by at most one request when two owners exist at once", func() {
 		testkit.Check("200", func(t *rapid.T) {
 			const targets = 4
@@ -202,7 +201,7 @@
 	// Guards against a pool that grants nothing at low load: with as many open requests as
 	// targets, the release margin lowers the mean until no target has room.
 	It("always leaves room for one more request", func() {
-		b := newTestLedger(newTable(4, modelPool), 1, func(s *ledger.Settings) { s.MeanMargin = 3 })
+		b := newTestLedger(newTable(4, modelPool), 1, func(s *ledger.Settings) { s.BaseReleaseMargin = 3 })
 		b.addFollowers(1)
 		b.fillSlots(1, 50, busyTeam)
 	})
@@ -220,9 +219,9 @@
 })
 
 var _ = Describe("exchanges of a follower", func() {
-	// Guards against leaking tickets until the pool is full: a router resends an exchange
-	// because the response is slow, gets the response and releases the ticket. Then the
-	// duplicate arrives and must not be taken for a new request.
+	// Guards against leaking tickets until the pool is full: a router resends an exchange because
+	// the reply is slow, gets the reply and releases the ticket. Then the duplicate arrives and
+	// must not be taken for a new request.
 	It("change nothing when a late duplicate arrives", func() {
 		b := newTestLedger(newTable(2, modelPool), 1, nil)
 		b.addFollowers(1)
@@ -236,9 +235,9 @@
 		Expect(b.TicketCount(g.GetTarget())).To(BeZero())
 	})
 
-	// Guards against requests that wait for ever: the response with the grant is lost and the
-	// router resends the exchange. The duplicate must be answered.
-	It("get the recorded response when the sequence number is repeated", func() {
+	// Guards against requests that wait for ever: the reply with the grant is lost and the router
+	// resends the exchange. The duplicate must be answered.
+	It("get the recorded reply when the sequence number is repeated", func() {
 		b := newTestLedger(newTable(2, modelPool), 1, nil)
 		b.addFollowers(1)
 		exchange := &peerv1.ExchangeRequest{Router: 1, Incarnation: 1, Sequence: 7, Asks: []*peerv1.Ask{{Id: 1, Chat: 1, DeadlineMillis: 1000}}}
--- a/internal/core/ledger/memory.go
+++ b/internal/core/ledger/memory.go
@@ -35,18 +35,18 @@
 	return b
 }
 
-// historyCache remembers the last targets of chats. Two generations approximate
-// least-recently-used eviction at the cost of two plain maps.
-type historyCache struct {
+// chatHistories holds the last targets of chats. Two generations approximate least-recently-used
+// eviction at the cost of two plain maps.
+type chatHistories struct {
 	generationSize int
 	newer, older   map[uint64]history
 }
 
-func newHistoryCache(generationSize int) historyCache {
-	return historyCache{generationSize: generationSize, newer: make(map[uint64]history), older: make(map[uint64]history)}
+func newChatHistories(generationSize int) chatHistories {
+	return chatHistories{generationSize: generationSize, newer: make(map[uint64]history), older: make(map[uint64]history)}
 }
 
-func (m *historyCache) get(chat uint64) (history, bool) {
+func (m *chatHistories) get(chat uint64) (history, bool) {
 	if h, ok := m.newer[chat]; ok {
 		return h, true
 	}
@@ -54,7 +54,7 @@
 	return h, ok
 }
 
-func (m *historyCache) put(chat uint64, v placement) {
+func (m *chatHistories) put(chat uint64, v placement) {
 	if m.generationSize == 0 || chat == 0 {
 		return
 	}
--- a/internal/core/ledger/target.go
+++ b/internal/core/ledger/target.go
@@ -10,7 +10,7 @@
 
 // target is the owner's state of one target.
 type target struct {
-	open              int // tickets of followers
+	followerTickets   int // tickets of followers
 	orphans           int // tickets of departed routers
 	reportedOpen      int // the target's own count in its last load report
 	grantsSinceReport int // grants that reportedOpen may not include
@@ -24,7 +24,7 @@
 	warmedUp            bool
 }
 
-func (t *target) ticketCount() int { return t.open + t.orphans }
+func (t *target) ticketCount() int { return t.followerTickets + t.orphans }
 
 // expiredGrants returns how many entries of recentGrants are older than reportLag.
 func (t *target) expiredGrants(now time.Time) int {
@@ -96,7 +96,7 @@
 // only if the chat history is disabled.
 func (l *Ledger) chooseTarget(now time.Time, it fairqueue.Item) (uint64, bool) {
 	ticketLimit := l.ticketLimit(now, it.Priority)
-	placements, returning := l.historyCache.get(it.Chat)
+	placements, returning := l.chatHistories.get(it.Chat)
 	if returning {
 		for _, v := range placements {
 			if l.hasRoom(now, v.target, ticketLimit, it) {
@@ -125,7 +125,7 @@
 	if it.Priority == fairqueue.Urgent || now.Sub(it.ArrivedAt) >= l.settings.CacheWaitTimeout {
 		return false
 	}
-	placements, returning := l.historyCache.get(it.Chat)
+	placements, returning := l.chatHistories.get(it.Chat)
 	if !returning {
 		return false
 	}
@@ -140,7 +140,8 @@
 	return usable
 }
 
-// leastLoadedTarget returns the usable target with the lowest load estimate below the limit.
+// leastLoadedTarget returns the usable target with the lowest load estimate that would stay within
+// ticketLimit.
 func (l *Ledger) leastLoadedTarget(now time.Time, ticketLimit int, it fairqueue.Item) (uint64, bool) {
 	var best uint64
 	lowest := math.MaxInt
@@ -196,7 +197,8 @@
 	return len(l.followers) < l.settings.FleetSize && now.Sub(l.createdAt) < l.settings.RebuildTimeout
 }
 
-// hasRoom reports whether a request may be granted the target within the limit.
+// hasRoom reports whether a target accepts a request and would stay within ticketLimit, and within
+// its warm-up limit if it is cold.
 func (l *Ledger) hasRoom(now time.Time, uid uint64, ticketLimit int, it fairqueue.Item) bool {
 	i, ok := l.pool.TargetIndex(uid)
 	if !ok || !l.acceptsWork(now, int(i), it) {
--- a/internal/core/ledger/target_test.go
+++ b/internal/core/ledger/target_test.go
@@ -10,8 +10,8 @@
 )
 
 var _ = Describe("targets", func() {
-	// Guards against returning a repeatedly failing engine to full use at once: with each
-	// return, chats move to the engine and lose their cache when it fails again.
+	// Guards against returning a repeatedly failing target to full use at once: with each return,
+	// chats move to the target and lose their cache when it fails again.
 	It("are suspended after consecutive failures, longer each time, and return with a warm-up", func() {
 		b := newTestLedger(newTable(2, modelPool), 1, nil)
 		b.addFollowers(1)
--- a/internal/core/ledger/waiting.go
+++ b/internal/core/ledger/waiting.go
@@ -8,9 +8,9 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/fairqueue"
 )
 
-// requestTicket grants, refuses or queues one request. A nil result means that the request is
-// queued.
-func (l *Ledger) requestTicket(now time.Time, router uint32, f *follower, a *peerv1.Ask) *peerv1.Grant {
+// handleTicketRequest grants, refuses or queues one request for a ticket. A nil result means that
+// the request is queued.
+func (l *Ledger) handleTicketRequest(now time.Time, router uint32, f *follower, a *peerv1.Ask) *peerv1.Grant {
 	if t, ok := f.tickets[a.GetId()]; ok {
 		return &peerv1.Grant{Id: a.GetId(), Target: t.target}
 	}
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// allExcluded reports whether a request excludes every usable target. In a small pool each
-// target may have failed the request once. Waiting for another target would then last until the
-// deadline, so the caller of allExcluded allows all targets again.
+// allExcluded reports whether a request excludes every usable target. In a small pool each target
+// may have failed the request once. The request would then wait until its deadline, so
+// handleTicketRequest drops its exclusions.
 func (l *Ledger) allExcluded(now time.Time, it fairqueue.Item) bool {
 	if len(it.Excluded) == 0 {
 		return false
@@ -79,13 +79,12 @@
 	t := l.target(uid)
 	t.grantsSinceReport++
 	t.recentGrants = append(t.recentGrants[t.expiredGrants(now):], now)
-	l.historyCache.put(it.Chat, placement{target: uid, placedAt: now})
+	l.chatHistories.put(it.Chat, placement{target: uid, placedAt: now})
 	return &peerv1.Grant{Id: it.ID, Target: uid}
 }
 
 // shedRequest returns a refusal if the queue is full or the request can't be served before its
-// deadline, otherwise nil. The refusal is sent at once and carries the time after which the
-// queue will have drained.
+// deadline, otherwise nil. The refusal is sent at once. Its retry time is the estimated wait.
 func (l *Ledger) shedRequest(it fairqueue.Item) *peerv1.Grant {
 	wait := l.expectedWait(it)
 	remaining := it.Deadline.Sub(it.ArrivedAt)
@@ -99,8 +98,8 @@
 	}
 }
 
-// newRefusal returns a refusal. Its retry time has random jitter, so that refused callers do not
-// retry at the same time.
+// newRefusal returns a refusal. Its retry time is the wait, at least minRetryAfter, with random
+// jitter, so that refused callers do not retry at the same time.
 func (l *Ledger) newRefusal(it fairqueue.Item, c code.Code, wait time.Duration) *peerv1.Grant {
 	jitter := 1 + 0.5*l.rand.Float64()
 	after := time.Duration(float64(max(wait, minRetryAfter)) * jitter)
@@ -130,7 +129,8 @@
 	return false
 }
 
-// removeWaiting removes the waiting requests that match and returns them.
+// removeWaiting removes the requests that match from the queue and from the requests that wait for
+// a cache, and returns them.
 func (l *Ledger) removeWaiting(match func(fairqueue.Item) bool) []fairqueue.Item {
 	removed := l.queue.Remove(match)
 	kept := l.cacheWaiters[:0]
--- a/internal/core/ledger/waiting_test.go
+++ b/internal/core/ledger/waiting_test.go
@@ -93,8 +93,8 @@
 		Expect(b.releaseTicket(ids[0], peerv1.Outcome_OUTCOME_DONE)).To(HaveLen(1))
 	})
 
-	// Guards against computing a long prefix again although the engine with the cached prefix
-	// frees a slot at once.
+	// Guards against computing a long prefix again although the target with the cached prefix frees
+	// a slot at once.
 	It("wait for a short time for the target that holds their chat's cache", func() {
 		b := newTestLedger(newTable(2, `{"protocol":"model","boundMultiple":1.25,"maxPerTarget":2}`), 1, nil)
 		b.addFollowers(1)
--- a/internal/core/member/member.go
+++ b/internal/core/member/member.go
@@ -54,7 +54,7 @@
 // MarkLeaving marks this router as shutting down. The mark is part of its heartbeat.
 func (v *View) MarkLeaving() { v.peers[v.self].leaving = true }
 
-// Heartbeats returns the latest known heartbeat of every router that was heard, for a gossip
+// Heartbeats returns the latest known heartbeat of every router that has sent one, for a gossip
 // message.
 func (v *View) Heartbeats() []*peerv1.Heartbeat {
 	out := make([]*peerv1.Heartbeat, 0, len(v.ids))
@@ -116,9 +116,9 @@
 }
 
 // IsAlive reports whether a router's heartbeat advanced within the suspect timeout. The router
-// itself is always alive. A router that was never heard counts as alive for the suspect timeout
-// after the start. Otherwise a starting router would consider itself the only live one, own
-// every pool, count only its own requests and exceed the bound until it heard from the others.
+// itself is always alive. A router without a heartbeat yet counts as alive for the suspect timeout
+// after the start. Otherwise a starting router would consider itself the only live one, own every
+// pool, count only its own requests and exceed the bound until heartbeats of the others arrived.
 func (v *View) IsAlive(now time.Time, id uint32) bool {
 	if id == v.self {
 		return true
@@ -147,12 +147,12 @@
 }
 
 // HasHeardMajority reports whether the heartbeats of more than half of the listed routers,
-// including this one, advanced within the last span.
-func (v *View) HasHeardMajority(now time.Time, span time.Duration) bool {
+// including this one, advanced at most maxAge ago.
+func (v *View) HasHeardMajority(now time.Time, maxAge time.Duration) bool {
 	heard := 0
 	for _, id := range v.ids {
 		p := v.peers[id]
-		if id == v.self || (p.counter > 0 && now.Sub(p.advancedAt) <= span) {
+		if id == v.self || (p.counter > 0 && now.Sub(p.advancedAt) <= maxAge) {
 			heard++
 		}
 	}
--- a/internal/core/plannedchange/plannedchange.go
+++ b/internal/core/plannedchange/plannedchange.go
@@ -14,10 +14,10 @@
 
 // The phases.
 const (
-	Pending  Phase = "Pending"
-	Draining Phase = "Draining" // the target is marked as leaving; its open requests finish
-	Ordering Phase = "Ordering" // the order is sent until the target's state shows it
-	Done     Phase = "Done"
+	Pending      Phase = "Pending"
+	Draining     Phase = "Draining" // the target is marked as leaving; its open requests finish
+	SendingOrder Phase = "Ordering" // the order is sent until the target's state shows it
+	Done         Phase = "Done"
 )
 
 // Status is the stored state of a planned change.
@@ -76,7 +76,7 @@
 		return startChange(spec, s)
 	case Draining:
 		return stepDrain(s, o)
-	case Ordering:
+	case SendingOrder:
 		return stepOrder(spec, s, o)
 	default:
 		return s, Finish
@@ -88,7 +88,7 @@
 		s.Phase, s.Message = Draining, "marking the target as leaving"
 		return s, MarkLeaving
 	}
-	s.Phase, s.Message = Ordering, "sending the order"
+	s.Phase, s.Message = SendingOrder, "sending the order"
 	return s, SendOrder
 }
 
@@ -109,7 +109,7 @@
 		s.Message = "open requests are finishing"
 		return s, Wait
 	}
-	s.Phase, s.Message = Ordering, "sending the order"
+	s.Phase, s.Message = SendingOrder, "sending the order"
 	return s, SendOrder
 }
 
--- a/internal/core/plannedchange/plannedchange_test.go
+++ b/internal/core/plannedchange/plannedchange_test.go
@@ -12,7 +12,7 @@
 
 var drainSpec = resource.PlannedChangeSpec{Target: "t", Action: resource.ActionDrain}
 
-// idleTarget is the observation of a target that can be ordered.
+// idleTarget is the observation of a target that may be sent its order.
 var idleTarget = plannedchange.Observation{Leaving: true, AppliedEverywhere: true, Reachable: true}
 
 func targetState(action, argument string) plannedchange.Observation {
@@ -42,7 +42,7 @@
 
 	// Guards against a drain that stops half done: the VM that carries it out dies in any phase,
 	// before or after its status is written, and another VM continues.
-	It("completes from any phase on any VM, and orders only an idle target", func() {
+	It("completes from any phase on any VM, and sends its order only to an idle target", func() {
 		testkit.Check("1000", func(t *rapid.T) {
 			var s plannedchange.Status
 			o := plannedchange.Observation{Reachable: true, OpenRequests: 3, State: map[string]string{}}
@@ -62,7 +62,7 @@
 				if rapid.IntRange(0, 2).Draw(t, "status written") > 0 {
 					s = next
 				}
-				o.AppliedEverywhere = o.AppliedEverywhere || (o.Leaving && rapid.Bool().Draw(t, "in force"))
+				o.AppliedEverywhere = o.AppliedEverywhere || (o.Leaving && rapid.Bool().Draw(t, "applied"))
 				if o.OpenRequests > 0 && o.AppliedEverywhere {
 					o.OpenRequests--
 				}
@@ -87,7 +87,7 @@
 	// Guards against a change that is reported as done while the target has the old version: the
 	// order was lost, and the target's state has to be checked.
 	It("is repeated until the target shows it", func() {
-		s := plannedchange.Status{Phase: plannedchange.Ordering, ObservedGeneration: 1, FencingToken: 3}
+		s := plannedchange.Status{Phase: plannedchange.SendingOrder, ObservedGeneration: 1, FencingToken: 3}
 		s, action := plannedchange.Step(spec, 1, s, targetState("load", "v6"))
 		Expect(action).To(Equal(plannedchange.SendOrder))
 		s, action = plannedchange.Step(spec, 1, s, targetState("load", "v7"))
--- a/internal/core/resource/resource.go
+++ b/internal/core/resource/resource.go
@@ -40,9 +40,9 @@
 	Protocol Protocol `json:"protocol"`
 	// Model is the model name in chat completion requests; defaults to the pool's name.
 	Model string `json:"model,omitempty"`
-	// BoundMultiple caps a target's outstanding requests at this multiple of the pool's mean.
+	// BoundMultiple caps a target's open requests at this multiple of the pool's mean.
 	BoundMultiple float64 `json:"boundMultiple,omitempty"`
-	// MaxPerTarget caps a target's outstanding requests regardless of the mean; 0 means no cap.
+	// MaxPerTarget caps a target's open requests regardless of the mean; 0 means no cap.
 	MaxPerTarget int `json:"maxPerTarget,omitempty"`
 	// ChecksFencing is true if the targets refuse orders with an old fencing token.
 	ChecksFencing bool `json:"checksFencing,omitempty"`
@@ -50,11 +50,11 @@
 	IdempotentWrites bool `json:"idempotentWrites,omitempty"`
 }
 
-// TeamSpec declares a team and its service expectations.
+// TeamSpec declares a team, its share and limit, and its service level objective.
 type TeamSpec struct {
 	// Weight is the team's share in weighted fair queueing; defaults to 1.
 	Weight int `json:"weight,omitempty"`
-	// MaxOutstanding caps the team's requests in flight over the whole fleet; 0 means no cap.
+	// MaxOutstanding caps the team's open requests over the whole fleet; 0 means no cap.
 	MaxOutstanding int `json:"maxOutstanding,omitempty"`
 	// FirstTokenMillis is the objective for the time to the first token, in milliseconds.
 	FirstTokenMillis int `json:"firstTokenMillis,omitempty"`
--- a/internal/core/router/core.go
+++ b/internal/core/router/core.go
@@ -119,9 +119,9 @@
 	return c
 }
 
-// firstPollDelay gives the peers of a starting router time to send it the configuration before
-// it reads the store. A compressed answer of a peer costs a fraction of reading every row from
-// the table service, and all 31 routers of a new data centre would read the rows at once.
+// firstPollDelay gives the peers of a starting router time to send it the configuration before it
+// reads the store. A compressed reply of a peer costs a fraction of reading every row from the
+// table service, and all 31 routers of a new data centre would read the rows at once.
 const firstPollDelay = 400 * time.Millisecond
 
 // Step processes one event and returns the resulting actions. The slice is valid until the next
@@ -200,8 +200,9 @@
 	}
 }
 
-// isConfigCurrent reports whether the first configuration is known to be up to date: it came
-// from the store, or a majority of routers was heard and none has a higher revision.
+// isConfigCurrent reports whether the first configuration is known to be up to date: it came from
+// the store, or the heartbeats of a majority of routers advanced within FreshnessTimeout and none
+// has a higher revision.
 func (c *Core) isConfigCurrent(now time.Time) bool {
 	if c.loadedFromStore {
 		return true
@@ -210,8 +211,8 @@
 	return c.members.HasHeardMajority(now, c.settings.FreshnessTimeout) && c.config.Revision() >= highest
 }
 
-// isConfigFresh reports whether the store was read or a majority of routers was heard within
-// FreshnessTimeout.
+// isConfigFresh reports whether the store was read, or the heartbeats of a majority of routers
+// advanced, within FreshnessTimeout.
 func (c *Core) isConfigFresh(now time.Time) bool {
 	if !c.storeReadAt.IsZero() && now.Sub(c.storeReadAt) <= c.settings.FreshnessTimeout {
 		return true
@@ -236,7 +237,7 @@
 		c.emit(ReadStore{AfterRevision: c.config.Revision()})
 	}
 	c.refuseExpired(now)
-	c.sendDueCalls(now)
+	c.resendDueCalls(now)
 	c.updateOwners(now)
 	for _, name := range c.ledgerPools() {
 		c.removeSilentFollowers(now, name)
@@ -264,9 +265,9 @@
 // their load reports.
 const probeInterval = 500 * time.Millisecond
 
-// probeTargets requests load reports from the targets of ledgers that need them. Most of the
-// time no ledger does, so probes cost nothing then. Plain services report no load, and a probe
-// would be a request to their application.
+// probeTargets requests load reports from the targets of ledgers that need them. Most of the time
+// no ledger does, and no probe is sent. Plain services report no load, and a probe would be a
+// request to their application.
 func (c *Core) probeTargets(now time.Time) {
 	for _, name := range c.ledgerPools() {
 		p, ok := c.table.Pool(name)
@@ -281,9 +282,9 @@
 
 func (c *Core) sendGossip(now time.Time) { c.sendHeartbeats(now, c.settings.GossipFanout) }
 
-// broadcastHeartbeats tells every router at once that this router is ready or shutting down. By
-// gossip the news would take seconds. During that time the routers would follow different
-// owners, each of which may grant only a share of the slots.
+// broadcastHeartbeats sends the heartbeats to every router when this router becomes ready or shuts
+// down. Gossip would take seconds to spread them. During that time the routers would follow
+// different owners, each of which may grant only a share of the slots.
 func (c *Core) broadcastHeartbeats(now time.Time) { c.sendHeartbeats(now, c.members.Size()) }
 
 // sendHeartbeats advances this router's heartbeat and sends all known heartbeats to randomly chosen
--- a/internal/core/router/events.go
+++ b/internal/core/router/events.go
@@ -38,7 +38,7 @@
 		ID      uint64
 		Outcome peerv1.Outcome
 	}
-	// LoadReported reports a target's own count of open requests, the answer to ProbeTarget.
+	// LoadReported reports a target's own count of open requests, which ProbeTarget requested.
 	LoadReported struct {
 		Pool         string
 		Target       uint64
@@ -46,7 +46,7 @@
 	}
 )
 
-// CallID identifies an incoming call that is answered by an AnswerCall action.
+// CallID identifies an incoming call. A ReplyToCall action replies to it.
 type CallID uint64
 
 // Events from other processes.
@@ -115,8 +115,8 @@
 		To      uint32
 		Message proto.Message
 	}
-	// AnswerCall answers a CallReceived. Err is nil or a *code.Error.
-	AnswerCall struct {
+	// ReplyToCall replies to a CallReceived. Err is nil or a *code.Error.
+	ReplyToCall struct {
 		Call    CallID
 		Message proto.Message
 		Err     error
@@ -142,7 +142,7 @@
 func (GrantTarget) isAction()   {}
 func (RefuseRequest) isAction() {}
 func (CallPeer) isAction()      {}
-func (AnswerCall) isAction()    {}
+func (ReplyToCall) isAction()   {}
 func (ProbeTarget) isAction()   {}
 func (ReadStore) isAction()     {}
 func (PublishTable) isAction()  {}
--- a/internal/core/router/fleet_test.go
+++ b/internal/core/router/fleet_test.go
@@ -143,7 +143,7 @@
 func (f *fleet) pushChange(change resource.Change, to ...int) {
 	m := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
 	for _, node := range to {
-		f.net.Deliver(fakenet.OutsideCaller, node, m, func(core.AnswerCall) {})
+		f.net.Deliver(fakenet.OutsideCaller, node, m, func(core.ReplyToCall) {})
 	}
 }
 
--- a/internal/core/router/guards_test.go
+++ b/internal/core/router/guards_test.go
@@ -132,7 +132,7 @@
 		actions := l.step(core.CallReceived{Call: 1, Message: deliver})
 		_, granted := findAction(actions, matchAny[core.GrantTarget])
 		Expect(granted).To(BeFalse())
-		r, ok := findAction(actions, matchAny[core.AnswerCall])
+		r, ok := findAction(actions, matchAny[core.ReplyToCall])
 		Expect(ok).To(BeTrue())
 		Expect(r.Err).To(BeAssignableToTypeOf(&code.Error{}))
 		deliver.Incarnation = 7
@@ -145,7 +145,7 @@
 		for _, m := range []proto.Message{
 			&peerv1.ExchangeRequest{Protocol: 9}, &peerv1.GossipRequest{}, &peerv1.PushRequest{Protocol: 2},
 		} {
-			r, ok := findAction(l.step(core.CallReceived{Call: 1, Message: m}), matchAny[core.AnswerCall])
+			r, ok := findAction(l.step(core.CallReceived{Call: 1, Message: m}), matchAny[core.ReplyToCall])
 			Expect(ok).To(BeTrue())
 			Expect(r.Err).To(MatchError(ContainSubstring("7001")))
 		}
@@ -158,7 +158,7 @@
 			&peerv1.ExchangeRequest{Protocol: ticket.ProtocolVersion, Router: 99, HasInventory: true},
 			&peerv1.GossipRequest{Protocol: ticket.ProtocolVersion, Router: 99},
 		} {
-			r, _ := findAction(l.step(core.CallReceived{Call: 1, Message: m}), matchAny[core.AnswerCall])
+			r, _ := findAction(l.step(core.CallReceived{Call: 1, Message: m}), matchAny[core.ReplyToCall])
 			Expect(r.Err).To(MatchError(ContainSubstring("7002")))
 		}
 	})
@@ -173,7 +173,7 @@
 			Protocol: ticket.ProtocolVersion, Pool: poolName, Router: followerID, Incarnation: 3, Sequence: 2,
 			Releases: []*peerv1.Release{{Id: 1}},
 		}})
-		r, ok := findAction(actions, matchAny[core.AnswerCall])
+		r, ok := findAction(actions, matchAny[core.ReplyToCall])
 		Expect(ok).To(BeTrue())
 		resp := r.Message.(*peerv1.ExchangeResponse)
 		Expect(resp.GetGrants()).NotTo(BeEmpty())
--- a/internal/core/router/peers.go
+++ b/internal/core/router/peers.go
@@ -12,7 +12,7 @@
 
 func (c *Core) handleCall(now time.Time, ev CallReceived) {
 	reply, err := c.handleMessage(now, ev.Message)
-	c.emit(AnswerCall{Call: ev.Call, Message: reply, Err: err})
+	c.emit(ReplyToCall{Call: ev.Call, Message: reply, Err: err})
 }
 
 func (c *Core) handleMessage(now time.Time, m proto.Message) (proto.Message, error) {
@@ -117,9 +117,8 @@
 	}
 }
 
-// resendUnfollow resends a failed unfollow message to a former owner. If the message were lost
-// for good, the former owner would count the router's last tickets for as long as both processes
-// live.
+// resendUnfollow resends a failed unfollow message to a former owner. If the former owner never
+// received it, it would count the router's last tickets for as long as both processes live.
 func (c *Core) resendUnfollow(now time.Time, ev CallCompleted) {
 	req, ok := ev.Request.(*peerv1.ExchangeRequest)
 	if ok && ev.Reply == nil && c.clientFor(req.GetPool()).Owner() != ev.To && c.members.IsAlive(now, ev.To) {
@@ -139,16 +138,16 @@
 // resendDelay is the delay before a failed message is sent again.
 const resendDelay = 250 * time.Millisecond
 
-// scheduleResend schedules a failed message to be sent again after resendDelay. Without the
-// delay, a dead peer that refuses connections would be called thousands of times until it is
-// suspected.
+// scheduleResend schedules a failed message to be sent again after resendDelay. Without the delay,
+// a dead peer that refuses connections would be called thousands of times until it no longer counts
+// as alive.
 func (c *Core) scheduleResend(now time.Time, s CallPeer) {
 	c.pendingResends = append(c.pendingResends, delayedCall{dueAt: now.Add(c.jitter(resendDelay)), call: s})
 }
 
-// sendDueCalls resends the messages that are due. Messages to routers that are no longer alive
+// resendDueCalls resends the messages that are due. Messages to routers that are no longer alive
 // are dropped.
-func (c *Core) sendDueCalls(now time.Time) {
+func (c *Core) resendDueCalls(now time.Time) {
 	kept := c.pendingResends[:0]
 	for _, r := range c.pendingResends {
 		switch {
--- a/internal/core/router/property_test.go
+++ b/internal/core/router/property_test.go
@@ -20,9 +20,9 @@
 	fleetTargets = 4
 )
 
-// shortOrphanTimeout shortens the timeout of orphaned tickets, so that a schedule settles in
+// shortOrphanTimeout shortens the timeout of orphaned tickets, so that its tickets expire in
 // little simulated time.
-func shortOrphanTimeout(s *core.Settings) { s.Ledger.MovedOrphanTimeout = 10 * time.Second }
+func shortOrphanTimeout(s *core.Settings) { s.Ledger.MaxOrphanTimeout = 10 * time.Second }
 
 // scheduleActions returns the random actions of a schedule: those of every test and the given
 // faults.
--- a/internal/core/router/requests.go
+++ b/internal/core/router/requests.go
@@ -79,8 +79,8 @@
 	c.clientFor(r.pool).ReleaseTicket(ev.ID, ev.Outcome)
 }
 
-// refuseExpired refuses requests that still wait at their deadline. The owner refuses them too,
-// but the request or the refusal may be delayed in transit, or no owner may answer.
+// refuseExpired refuses requests that still wait at their deadline. The owner refuses them too, but
+// the request or the refusal may be delayed in transit, or no owner may reply.
 func (c *Core) refuseExpired(now time.Time) {
 	var expired []uint64
 	for id, r := range c.requests {
@@ -190,8 +190,8 @@
 	}
 }
 
-// exchangeWithSelf processes an exchange in this router's own ledger. It returns false if the
-// ledger does not answer the exchange.
+// exchangeWithSelf processes an exchange in this router's own ledger. It returns false if there is
+// no such pool or the ledger refuses the exchange.
 func (c *Core) exchangeWithSelf(now time.Time, pool string, req *peerv1.ExchangeRequest) bool {
 	l, ok := c.ledgerFor(now, pool)
 	if !ok {
--- a/internal/core/ticket/ticket.go
+++ b/internal/core/ticket/ticket.go
@@ -15,8 +15,8 @@
 // since the same fields may have another meaning in it.
 const ProtocolVersion = 1
 
-// retransmitTimeout is how long an exchange may stay unanswered before it is sent again. After
-// maxUnansweredSends unanswered sends the owner counts as failed.
+// retransmitTimeout is how long an exchange may remain without a reply before it is sent again. The
+// owner counts as failed once maxUnansweredSends sends of an exchange got no reply.
 const (
 	retransmitTimeout  = 250 * time.Millisecond
 	maxUnansweredSends = 2
@@ -24,8 +24,8 @@
 	failedCallDelay = 50 * time.Millisecond
 )
 
-// openTicket is a ticket that this router holds.
-type openTicket struct {
+// heldTicket is a ticket that this router holds.
+type heldTicket struct {
 	target uint64
 	team   uint64
 }
@@ -47,9 +47,9 @@
 
 	pending             map[uint64]*peerv1.Ask // requests that are neither granted nor refused yet
 	unsentRequests      map[uint64]bool
-	heldTickets         map[uint64]openTicket
+	heldTickets         map[uint64]heldTicket
 	releases            []*peerv1.Release
-	releaseWaitingSince time.Time // since when the oldest release waits, zero if none
+	oldestReleaseSeenAt time.Time // when releasesDue first saw a waiting release; zero if none waits
 	releaseDelay        time.Duration
 	deadlines           map[uint64]time.Time
 
@@ -63,7 +63,7 @@
 		pool: pool, self: self, incarnation: incarnation, releaseDelay: releaseDelay,
 		pending:        make(map[uint64]*peerv1.Ask),
 		unsentRequests: make(map[uint64]bool),
-		heldTickets:    make(map[uint64]openTicket),
+		heldTickets:    make(map[uint64]heldTicket),
 		deadlines:      make(map[uint64]time.Time),
 
 		placements: newPlacements(),
@@ -83,8 +83,9 @@
 func (c *Client) PendingRequests() int { return len(c.pending) }
 
 // SetOwner moves the client to another owner. The next exchange carries the inventory and all
-// pending requests to the new owner. Releases that were not sent are dropped: they are missing
-// from the inventory that the new owner gets, and the old owner removes this router.
+// pending requests to the new owner. Releases that were not sent are dropped, since neither owner
+// needs them: the released tickets are not in the inventory that the new owner gets, and the old
+// owner removes this router.
 func (c *Client) SetOwner(owner uint32) {
 	if owner == c.owner {
 		return
@@ -106,8 +107,9 @@
 	}
 }
 
-// Ask adds a request for a ticket. ReleaseTicket withdraws it. The exchange that carries the
-// request tells the owner the remaining time until the deadline.
+// Ask adds a request for a ticket, which is called Ask in the peer protocol. ReleaseTicket
+// withdraws it. The exchange that carries the request tells the owner the remaining time until the
+// deadline.
 func (c *Client) Ask(a *peerv1.Ask, deadline time.Time) {
 	c.pending[a.GetId()] = a
 	c.unsentRequests[a.GetId()] = true
@@ -129,15 +131,15 @@
 	}
 }
 
-// removePending removes a request that was answered or withdrawn.
+// removePending removes a request that was granted, refused or withdrawn.
 func (c *Client) removePending(id uint64) {
 	delete(c.pending, id)
 	delete(c.unsentRequests, id)
 	delete(c.deadlines, id)
 }
 
-// NextExchange returns the exchange to send now, or nil if there is none. An unanswered exchange
-// is returned again with the same sequence number and content.
+// NextExchange returns the exchange to send now, or nil if there is none. An exchange without a
+// reply is returned again after retransmitTimeout, with the same sequence number and content.
 func (c *Client) NextExchange(now time.Time) *peerv1.ExchangeRequest {
 	if c.owner == 0 {
 		return nil
@@ -163,10 +165,10 @@
 	if len(c.releases) == 0 {
 		return false
 	}
-	if c.releaseWaitingSince.IsZero() {
-		c.releaseWaitingSince = now
+	if c.oldestReleaseSeenAt.IsZero() {
+		c.oldestReleaseSeenAt = now
 	}
-	return now.Sub(c.releaseWaitingSince) >= c.releaseDelay
+	return now.Sub(c.oldestReleaseSeenAt) >= c.releaseDelay
 }
 
 func (c *Client) buildExchange(now time.Time) *peerv1.ExchangeRequest {
@@ -176,7 +178,7 @@
 		Sequence: c.sequence, Releases: c.releases, Placements: c.placements.nextBatch(now),
 	}
 	c.releases = nil
-	c.releaseWaitingSince = time.Time{}
+	c.oldestReleaseSeenAt = time.Time{}
 	for _, id := range sortedKeys(c.unsentRequests) {
 		a := c.pending[id]
 		a.DeadlineMillis = uint32(max(c.deadlines[id].Sub(now).Milliseconds(), 0))
@@ -239,8 +241,8 @@
 	return c.recordGrants(now, grants)
 }
 
-// recordGrants records grants and returns those of pending requests. If a request was withdrawn
-// meanwhile, its ticket is released: otherwise the owner would count it for ever.
+// recordGrants records grants and refusals and returns those of pending requests. If a request was
+// withdrawn meanwhile, its ticket is released: otherwise the owner would count it for ever.
 func (c *Client) recordGrants(now time.Time, grants []*peerv1.Grant) []*peerv1.Grant {
 	var out []*peerv1.Grant
 	for _, g := range grants {
@@ -253,7 +255,7 @@
 		}
 		c.removePending(g.GetId())
 		if g.GetTarget() != 0 {
-			c.heldTickets[g.GetId()] = openTicket{target: g.GetTarget(), team: a.GetTeam()}
+			c.heldTickets[g.GetId()] = heldTicket{target: g.GetTarget(), team: a.GetTeam()}
 			c.placements.record(a.GetChat(), g.GetTarget(), now)
 		}
 		out = append(out, g)
@@ -261,5 +263,5 @@
 	return out
 }
 
-// HasOwnerFailed reports whether the owner left several sends unanswered.
+// HasOwnerFailed reports whether maxUnansweredSends sends of the exchange in flight got no reply.
 func (c *Client) HasOwnerFailed() bool { return c.unansweredSends >= maxUnansweredSends }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -40,7 +40,7 @@
 	// checks.
 	balancerLag = 2100 * time.Millisecond
 	// drainPollInterval is the interval at which a shutdown checks whether the requests that came
-	// before FinishBy have ended.
+	// before SetShutdownDeadline was called have ended.
 	drainPollInterval = 20 * time.Millisecond
 	// graceMargin is the time between the latest end of a graceful shutdown and the kill.
 	graceMargin = 500 * time.Millisecond
@@ -97,10 +97,10 @@
 	g.digestSocket = digestSocket
 	targets := upstream.New(upstream.DefaultSettings(), time.Now, m.Dialed)
 	reporter := &linkReporter{digests: digestSocket, capacity: s.Gateway.LinkBytesPerSecond, log: log, metrics: m}
-	peers := &peerClient{Datagrams: digestSocket, Copier: peer.NewCopier(copyTimeout, reporter.fetched.Wrap)}
+	peers := &peerClient{Datagrams: digestSocket, Copier: peer.NewCopier(copyTimeout, reporter.fetchedCopies.Wrap)}
 	g.control = gateway.NewControl(s.Gateway, p.Store, p.Decoder, peers, targets, log, time.Now)
-	relay := gateway.NewProxy(g.control, p.Wire, targets, m, log, time.Now)
-	callerServer := gatewayhttp.New(relay, g.control, p.Wire, time.Now, m.Refused)
+	proxy := gateway.NewProxy(g.control, p.Wire, targets, m, log, time.Now)
+	callerServer := gatewayhttp.New(proxy, g.control, p.Wire, time.Now, m.Refused)
 	if err := g.startServers(callerServer, m, reporter); err != nil {
 		stop()
 		return nil, err
@@ -127,7 +127,7 @@
 	}
 }
 
-// Handle answers a copy request of another router.
+// Handle replies to a copy request of another router.
 func (g *Gateway) Handle(ctx context.Context, m proto.Message) (proto.Message, error) {
 	req, ok := m.(*peerv1.CopyRequest)
 	if !ok {
@@ -149,7 +149,7 @@
 			g.callerConnections.Listen},
 		{g.settings.ReadinessAddress, &http.Server{Handler: callerServer.Readiness(g.settings.ReadinessPath)}, nil},
 		{g.settings.Gateway.Address, &http.Server{Handler: peerMux, Protocols: peer.Protocols()},
-			func(l net.Listener) net.Listener { return peer.Listen(reporter.served.Listen(l)) }},
+			func(l net.Listener) net.Listener { return peer.Listen(reporter.servedCopies.Listen(l)) }},
 		{g.settings.MetricsAddress, &http.Server{Handler: m.Handler(g.control.Status)}, nil},
 	} {
 		listener, err := listen(entry.address)
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -21,14 +21,14 @@
 // delays departure reports and requests, and all requests at that router time out.
 type linkReporter struct {
 	digests *peer.Datagrams
-	// served counts the table copies that other routers requested, fetched those that this router
-	// requested.
-	served, fetched metrics.Traffic
-	capacity        int64 // bytes per second in each direction; 0 if unknown
-	log             *eventlog.Log
-	metrics         *metrics.Gateway
-	lastTotals      byteCounts
-	status          func() gateway.Status
+	// servedCopies counts the table copies that other routers requested, fetchedCopies those that
+	// this router requested.
+	servedCopies, fetchedCopies metrics.Traffic
+	capacity                    int64 // bytes per second in each direction; 0 if unknown
+	log                         *eventlog.Log
+	metrics                     *metrics.Gateway
+	lastTotals                  byteCounts
+	status                      func() gateway.Status
 }
 
 // byteCounts are numbers of bytes by kind and direction.
@@ -79,7 +79,7 @@
 func (r *linkReporter) totals() byteCounts {
 	var counts byteCounts
 	counts.digestsIn, counts.digestsOut = r.digests.Bytes()
-	counts.copiesIn = r.served.BytesIn.Load() + r.fetched.BytesIn.Load()
-	counts.copiesOut = r.served.BytesOut.Load() + r.fetched.BytesOut.Load()
+	counts.copiesIn = r.servedCopies.BytesIn.Load() + r.fetchedCopies.BytesIn.Load()
+	counts.copiesOut = r.servedCopies.BytesOut.Load() + r.fetchedCopies.BytesOut.Load()
 	return counts
 }
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -36,9 +36,9 @@
 	forwarder      *router.Forwarder
 	requestMetrics *metrics.Requests
 	peerTraffic    *metrics.Traffic
-	callers        *http.Server
-	peers          *http.Server
-	admin          *http.Server
+	callersServer  *http.Server
+	peersServer    *http.Server
+	adminServer    *http.Server
 	failures       chan error
 	stop           context.CancelFunc
 }
@@ -64,14 +64,14 @@
 	callerServer := callerhttp.New(callerhttp.Settings{
 		MaxBodyBytes: s.Limits.MaxBodyBytes, DefaultDeadline: s.Limits.DefaultDeadline.Std(),
 	}, r.control, r.forwarder, claims, observers{r.requestMetrics, burn}, log, time.Now)
-	r.callers = &http.Server{
+	r.callersServer = &http.Server{
 		Handler: callerServer.Handler(), MaxHeaderBytes: s.Limits.MaxHeaderBytes,
 		ReadTimeout: s.Limits.ReadTimeout.Std(), ReadHeaderTimeout: s.Limits.ReadTimeout.Std(),
 	}
 	peerMux := http.NewServeMux()
 	peerMux.Handle(peer.NewHandler(burn))
-	r.peers = &http.Server{Handler: peerMux, Protocols: peer.Protocols()}
-	r.admin = &http.Server{Handler: r.adminHandler()}
+	r.peersServer = &http.Server{Handler: peerMux, Protocols: peer.Protocols()}
+	r.adminServer = &http.Server{Handler: r.adminHandler()}
 	if err := r.startServers(); err != nil {
 		stop()
 		return nil, err
@@ -124,9 +124,9 @@
 		address string
 		wrap    func(net.Listener) net.Listener
 	}{
-		{r.callers, r.settings.Listen.Callers, nil},
-		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.Listen(r.peerTraffic.Listen(l)) }},
-		{r.admin, r.settings.Listen.Admin, nil},
+		{r.callersServer, r.settings.Listen.Callers, nil},
+		{r.peersServer, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.Listen(r.peerTraffic.Listen(l)) }},
+		{r.adminServer, r.settings.Listen.Admin, nil},
 	} {
 		listener, err := listen(entry.address)
 		if err != nil {
@@ -166,15 +166,15 @@
 func (r *Router) Shutdown(ctx context.Context) {
 	startedAt := time.Now()
 	r.log.Line(eventlog.Stopping).Msg("")
-	r.control.Leave()
+	r.control.BeginShutdown()
 	sleep(ctx, r.settings.Shutdown.BalancerLag.Std())
 	graceCtx, cancel := context.WithTimeout(ctx, r.settings.Shutdown.Grace.Std())
 	defer cancel()
-	if err := r.callers.Shutdown(graceCtx); err != nil {
+	if err := r.callersServer.Shutdown(graceCtx); err != nil {
 		r.log.Line(eventlog.RequestsCut).Int64("open", r.forwarder.OpenRequests()).Err(err).Msg("")
 	}
-	_ = r.peers.Shutdown(graceCtx)
-	_ = r.admin.Shutdown(graceCtx)
+	_ = r.peersServer.Shutdown(graceCtx)
+	_ = r.adminServer.Shutdown(graceCtx)
 	r.stop()
 	r.log.Line(eventlog.Stopped).Dur("after", time.Since(startedAt)).Msg("")
 }
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -150,7 +150,7 @@
 	f.changes = append(f.changes, change)
 	push := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
 	for i := range f.net.NodeCount() {
-		f.net.Deliver(0, i, push, func(core.AnswerCall) {})
+		f.net.Deliver(0, i, push, func(core.ReplyToCall) {})
 	}
 }
 
@@ -211,7 +211,7 @@
 }
 
 // onAnswerCall counts the bytes of a reply and the grants in it.
-func (f *fleet) onAnswerCall(_, caller int, a core.AnswerCall) {
+func (f *fleet) onAnswerCall(_, caller int, a core.ReplyToCall) {
 	if a.Err != nil {
 		return
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -41,7 +41,7 @@
 		fleetPolicy("hemlockdyke-no-patience", func(s *core.Settings) { s.Ledger.CacheWaitTimeout = 0 }),
 		fleetPolicy("hemlockdyke-patience-1s", func(s *core.Settings) { s.Ledger.CacheWaitTimeout = time.Second }),
 		fleetPolicy("hemlockdyke-no-memory", func(s *core.Settings) { s.Ledger.ChatHistorySize = 0 }),
-		fleetPolicy("hemlockdyke-no-margin", func(s *core.Settings) { s.Ledger.MeanMargin = 0 }),
+		fleetPolicy("hemlockdyke-no-margin", func(s *core.Settings) { s.Ledger.BaseReleaseMargin = 0 }),
 		fleetPolicy("hemlockdyke-hold-250ms", func(s *core.Settings) { s.ReleaseDelay = 250 * time.Millisecond }),
 		{Name: "hemlockdyke-partition", build: func(s *simulation, seed uint64) policy { return newPartitionedFleet(s, seed) }},
 	}
--- a/internal/experiment/spread.go
+++ b/internal/experiment/spread.go
@@ -176,7 +176,7 @@
 	push := &peerv1.PushRequest{Protocol: ticket.ProtocolVersion, Changes: core.EncodeChanges([]resource.Change{change})}
 	for _, node := range sp.rand.Perm(sp.settings.Routers)[:min(sp.settings.PushedRouters, sp.settings.Routers)] {
 		sp.bytesByKind["push"] += callBytes + float64(proto.Size(push))
-		sp.net.Deliver(fakenet.OutsideCaller, node, push, func(core.AnswerCall) {})
+		sp.net.Deliver(fakenet.OutsideCaller, node, push, func(core.ReplyToCall) {})
 	}
 }
 
@@ -203,7 +203,7 @@
 }
 
 // onAnswerCall counts the bytes of a reply.
-func (sp *spread) onAnswerCall(_, _ int, a core.AnswerCall) {
+func (sp *spread) onAnswerCall(_, _ int, a core.ReplyToCall) {
 	if a.Err == nil {
 		sp.bytesByKind[messageKind(a.Message)] += float64(proto.Size(a.Message))
 	}
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -22,7 +22,7 @@
 	PublishTable  func(node int, a core.PublishTable)
 	Readiness     func(node int, a core.Readiness)
 	// AnswerCall runs before a reply leaves node; caller is the node that receives the reply.
-	AnswerCall func(node, caller int, a core.AnswerCall)
+	AnswerCall func(node, caller int, a core.ReplyToCall)
 	// CallPeer runs before a call leaves node.
 	CallPeer func(node int, a core.CallPeer)
 }
@@ -44,7 +44,7 @@
 type call struct {
 	from        int
 	incarnation int // of the called node
-	respond     func(core.AnswerCall)
+	respond     func(core.ReplyToCall)
 }
 
 // Net is a network of routers. The ID of a router is the index of its node plus one.
@@ -159,7 +159,7 @@
 		runHook(h.PublishTable, node, a)
 	case core.Readiness:
 		runHook(h.Readiness, node, a)
-	case core.AnswerCall:
+	case core.ReplyToCall:
 		n.answerCall(node, a)
 	case core.CallPeer:
 		runHook(h.CallPeer, node, a)
@@ -175,7 +175,7 @@
 }
 
 // answerCall sends a reply to the caller of a.Call. A call from before a restart has no entry.
-func (n *Net) answerCall(node int, a core.AnswerCall) {
+func (n *Net) answerCall(node int, a core.ReplyToCall) {
 	c, ok := n.nodes[node].calls[a.Call]
 	if !ok {
 		return
@@ -205,7 +205,7 @@
 		return
 	}
 	n.Clock.AfterFunc(callTimeout, func() { complete(nil) })
-	n.Deliver(from, to, a.Message, func(r core.AnswerCall) {
+	n.Deliver(from, to, a.Message, func(r core.ReplyToCall) {
 		if r.Err != nil {
 			complete(nil)
 			return
@@ -217,7 +217,7 @@
 // Deliver carries a message from one node to another and the reply back to respond. Both may be
 // delayed or dropped; a message to a process that does not run is dropped. from may be
 // OutsideCaller.
-func (n *Net) Deliver(from, to int, m proto.Message, respond func(core.AnswerCall)) {
+func (n *Net) Deliver(from, to int, m proto.Message, respond func(core.ReplyToCall)) {
 	if n.IsLost(from, to) {
 		return
 	}
@@ -229,7 +229,7 @@
 		n.lastCallID++
 		id := n.lastCallID
 		incarnation := nd.incarnation
-		nd.calls[id] = call{from: from, incarnation: incarnation, respond: func(r core.AnswerCall) {
+		nd.calls[id] = call{from: from, incarnation: incarnation, respond: func(r core.ReplyToCall) {
 			if nd.incarnation != incarnation || n.IsLost(to, from) {
 				return
 			}
--- a/internal/port/port.go
+++ b/internal/port/port.go
@@ -48,8 +48,7 @@
 	Writes     []Write     `json:"writes"`
 }
 
-// Table is the platform's transactional table service. Implementations are
-// safe for concurrent use.
+// Table is the platform's transactional table service. Implementations are safe for concurrent use.
 type Table interface {
 	// Get returns one row. Its errors are ErrNotFound and ErrUnavailable.
 	Get(ctx context.Context, key string) (Row, error)
