--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -212,7 +212,7 @@
 func (s *Server) streamChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	controller := http.NewResponseController(w)
 	parts := 0
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.traffic.Forward(r.Context(), req, func(a target.Answer) error {
 		if parts == 0 {
 			w.Header().Set("Content-Type", "text/event-stream")
 			w.Header().Set(wire.HeaderRequestID, req.ID)
@@ -244,7 +244,7 @@
 // unstreamedChat answers with a single JSON body when all tokens have arrived.
 func (s *Server) unstreamedChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	var text strings.Builder
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.traffic.Forward(r.Context(), req, func(a target.Answer) error {
 		text.WriteString(a.Text)
 		return nil
 	})
@@ -295,7 +295,7 @@
 // runService sends a request to a service pool and returns the target's answer.
 func (s *Server) runService(r *http.Request, req router.Request) (target.Answer, router.Result) {
 	var answer target.Answer
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.traffic.Forward(r.Context(), req, func(a target.Answer) error {
 		answer = a
 		return nil
 	})
