--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -1,5 +1,6 @@
-// Package callerhttp is the router's HTTP interface for callers. It serves chat completions of
-// model pools, requests to service pools, and the health checks of the platform's balancer.
+// Package callerhttp is the HTTP interface for callers of the router outside the users' platform;
+// package gatewayhttp is that of the router on it. It serves chat completions of model pools,
+// requests to service pools, and the health checks of the platform's balancer.
 package callerhttp
 
 import (
@@ -29,7 +30,7 @@
 // Settings limits requests of callers.
 type Settings struct {
 	MaxBodyBytes    int64
-	DefaultDeadline time.Duration // for requests without a deadline of their own
+	DefaultDeadline time.Duration // from the arrival of a request that sets no deadline
 }
 
 // Observer records the result of each request.
@@ -39,18 +40,18 @@
 
 // Server serves callers. It is safe for concurrent use.
 type Server struct {
-	settings Settings
-	control  *router.Control
-	traffic  *router.Forwarder
-	claims   *router.Claims
-	observer Observer
-	log      *eventlog.Log
-	now      func() time.Time
+	settings  Settings
+	control   *router.Control
+	forwarder *router.Forwarder
+	claims    *router.Claims
+	observer  Observer
+	log       *eventlog.Log
+	now       func() time.Time
 }
 
 // New returns a Server.
-func New(s Settings, control *router.Control, traffic *router.Forwarder, claims *router.Claims, observer Observer, log *eventlog.Log, now func() time.Time) *Server {
-	return &Server{settings: s, control: control, traffic: traffic, claims: claims, observer: observer, log: log, now: now}
+func New(s Settings, control *router.Control, forwarder *router.Forwarder, claims *router.Claims, observer Observer, log *eventlog.Log, now func() time.Time) *Server {
+	return &Server{settings: s, control: control, forwarder: forwarder, claims: claims, observer: observer, log: log, now: now}
 }
 
 // Handler returns the HTTP handler for callers and the balancer.
@@ -58,18 +59,18 @@
 	r := mux.NewRouter()
 	r.HandleFunc("/livez", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
 	r.HandleFunc("/readyz", s.readyz)
-	r.HandleFunc("/v1/chat/completions", s.chat).Methods(http.MethodPost)
-	r.HandleFunc("/services/{pool}/{path:.*}", s.service)
+	r.HandleFunc("/v1/chat/completions", s.serveChat).Methods(http.MethodPost)
+	r.HandleFunc("/services/{pool}/{path:.*}", s.serveService)
 	r.NotFoundHandler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.fail(w, requestID(r), code.New(code.NotFound, "no such path"), 0)
 	})
-	return s.closeWhenStopping(r)
+	return s.closeWhenShuttingDown(r)
 }
 
-// closeWhenStopping closes each connection with its next answer while the router is shutting
-// down. If the server closed all idle connections at once, some would be closed while a request
-// is on its way, and the caller couldn't know whether that request was executed.
-func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
+// closeWhenShuttingDown closes each connection after its next answer while the router is
+// shutting down. If the server closed all idle connections at once, some would be closed while a
+// request is on its way, and the caller couldn't know whether that request was executed.
+func (s *Server) closeWhenShuttingDown(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.control.Ready().Reason == code.ShuttingDown {
 			w.Header().Set("Connection", "close")
@@ -105,7 +106,7 @@
 func (s *Server) parseRequest(r *http.Request) (router.Request, error) {
 	req := router.Request{ID: requestID(r), Team: r.Header.Get(wire.HeaderTeam), Method: r.Method}
 	if len(req.ID) > maxIDBytes {
-		return req, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderRequestID, maxIDBytes)
+		return req, code.New(code.BadHeader, "%s is longer than %d bytes", wire.HeaderRequestID, maxIDBytes)
 	}
 	if _, ok := s.control.Table().Team(req.Team); !ok {
 		return req, code.New(code.UnknownTeam, "no team %q", req.Team)
@@ -144,13 +145,14 @@
 // maxDeadline is the longest deadline that a caller may set.
 const maxDeadline = time.Hour
 
+// parseDeadline returns the time from the arrival of a request to its deadline.
 func (s *Server) parseDeadline(v string) (time.Duration, error) {
 	if v == "" {
 		return s.settings.DefaultDeadline, nil
 	}
 	ms, err := strconv.ParseInt(v, 10, 64)
 	if err != nil || ms <= 0 || ms > maxDeadline.Milliseconds() {
-		return 0, code.New(code.BadHeader, "%s is not between 1 and %d", wire.HeaderDeadline, maxDeadline.Milliseconds())
+		return 0, code.New(code.BadHeader, "%s is not between 1 and %d ms", wire.HeaderDeadline, maxDeadline.Milliseconds())
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
@@ -166,8 +168,8 @@
 	return body, nil
 }
 
-// chat serves requests to model pools.
-func (s *Server) chat(w http.ResponseWriter, r *http.Request) {
+// serveChat serves requests to model pools.
+func (s *Server) serveChat(w http.ResponseWriter, r *http.Request) {
 	req, err := s.parseRequest(r)
 	if err != nil {
 		s.fail(w, req.ID, err, 0)
@@ -205,14 +207,14 @@
 }
 
 // callerWriteTimeout bounds each write to a caller. If a middlebox has dropped the connection,
-// writes neither fail nor complete, and the request would occupy its place at a target forever.
+// writes neither fail nor complete, and the request would count as open at its target forever.
 const callerWriteTimeout = 30 * time.Second
 
 // streamChat answers with server-sent events, one for each token as it arrives.
 func (s *Server) streamChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	controller := http.NewResponseController(w)
 	parts := 0
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.forwarder.Do(r.Context(), req, func(a target.Answer) error {
 		if parts == 0 {
 			w.Header().Set("Content-Type", "text/event-stream")
 			w.Header().Set(wire.HeaderRequestID, req.ID)
@@ -244,7 +246,7 @@
 // unstreamedChat answers with a single JSON body when all tokens have arrived.
 func (s *Server) unstreamedChat(w http.ResponseWriter, r *http.Request, req router.Request, model string) {
 	var text strings.Builder
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.forwarder.Do(r.Context(), req, func(a target.Answer) error {
 		text.WriteString(a.Text)
 		return nil
 	})
@@ -258,8 +260,8 @@
 	_ = json.NewEncoder(w).Encode(wire.NewCompletion(req.ID, model, text.String()))
 }
 
-// service serves requests to service pools.
-func (s *Server) service(w http.ResponseWriter, r *http.Request) {
+// serveService serves requests to service pools.
+func (s *Server) serveService(w http.ResponseWriter, r *http.Request) {
 	req, err := s.parseRequest(r)
 	if err != nil {
 		s.fail(w, req.ID, err, 0)
@@ -295,7 +297,7 @@
 // runService sends a request to a service pool and returns the target's answer.
 func (s *Server) runService(r *http.Request, req router.Request) (target.Answer, router.Result) {
 	var answer target.Answer
-	result := s.traffic.Do(r.Context(), req, func(a target.Answer) error {
+	result := s.forwarder.Do(r.Context(), req, func(a target.Answer) error {
 		answer = a
 		return nil
 	})
@@ -334,11 +336,11 @@
 		Dur("budget", req.Deadline.Sub(s.now().Add(-result.TotalDuration))).Msg("")
 }
 
-// defaultRetryAfter is sent with status 503 if the failure has no delay of its own.
+// defaultRetryAfter is sent with status 503 if fail is called without a delay.
 const defaultRetryAfter = time.Second
 
-// fail answers with the result code of err. It sets a Retry-After header if retryAfter is not 0
-// or the status is 503. An error without a code is answered as code.OutcomeUnknown.
+// fail answers with the result code of err. It sets a Retry-After header if retryAfter is not
+// 0 or the status is 503. An error without a code is answered as code.OutcomeUnknown.
 func (s *Server) fail(w http.ResponseWriter, id string, err error, retryAfter time.Duration) {
 	var coded *code.Error
 	if !errors.As(err, &coded) {
--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -78,10 +78,10 @@
 	log := eventlog.Nop()
 	control := router.NewControl(core.New(time.Now(), core.DefaultSettings(1, []uint32{1})),
 		unreachablePeers{}, store, target.NewOrderClient(time.Second), log, time.Now)
-	traffic := router.NewForwarder(control, target.New(target.DefaultSettings()), log, time.Now, 300*time.Millisecond)
+	forwarder := router.NewForwarder(control, target.New(target.DefaultSettings()), log, time.Now, 300*time.Millisecond)
 	claims := router.NewClaims(r.table, control, 1, 1, log, time.Now)
 	s := callerhttp.New(callerhttp.Settings{MaxBodyBytes: 4096, DefaultDeadline: 5 * time.Second},
-		control, traffic, claims, nopObserver{}, log, time.Now)
+		control, forwarder, claims, nopObserver{}, log, time.Now)
 	r.callers = httptest.NewServer(s.Handler())
 	go control.Run(ctx)
 	DeferCleanup(func() {
@@ -102,7 +102,7 @@
 	return resp
 }
 
-// post sends a request of the team "dealers" and returns the response and its body. headers are
+// post sends a request of the team "dealers" and returns the answer and its body. headers are
 // pairs of name and value.
 func (r *testRouter) post(path, body string, headers ...string) (*http.Response, string) {
 	req, err := http.NewRequest(http.MethodPost, r.callers.URL+path, strings.NewReader(body))
@@ -223,7 +223,7 @@
 })
 
 var _ = Describe("service requests", func() {
-	It("are executed once per key and repeat the recorded answer", func() {
+	It("are executed once per key, and a repeated request gets the recorded answer", func() {
 		r := startTestRouter()
 		_, first := r.post("/services/notices/send", "x", wire.HeaderIdempotencyKey, "k1")
 		_, again := r.post("/services/notices/send", "x", wire.HeaderIdempotencyKey, "k1")
--- a/internal/adapter/callerhttp/keyed.go
+++ b/internal/adapter/callerhttp/keyed.go
@@ -11,11 +11,10 @@
 )
 
 // serveKeyed serves a request that is not idempotent and has an Idempotency-Key. The claim on the
-// key makes sure that the request is executed at most once. A repeated request gets the
-// recorded answer.
+// key ensures that the request is executed at most once. A retry gets the recorded answer.
 func (s *Server) serveKeyed(w http.ResponseWriter, r *http.Request, req router.Request, key string) {
 	if len(key) > maxIDBytes {
-		s.fail(w, req.ID, code.New(code.BadHeader, "%s is longer than %d", wire.HeaderIdempotencyKey, maxIDBytes), 0)
+		s.fail(w, req.ID, code.New(code.BadHeader, "%s is longer than %d bytes", wire.HeaderIdempotencyKey, maxIDBytes), 0)
 		return
 	}
 	heldClaim, decision := s.claims.Acquire(r.Context(), req, key)
--- a/internal/adapter/gatewayhttp/connections.go
+++ b/internal/adapter/gatewayhttp/connections.go
@@ -33,7 +33,7 @@
 	idle             bool      // the last answer is complete and nothing has been read since
 	readsInterrupted bool      // a read deadline in the past interrupts reads
 	drainingRead     bool      // an interrupted read is taking the bytes that had arrived
-	requestBegunAt   time.Time // of a request not yet reported as active; zero if none
+	requestBegunAt   time.Time // of a request that the server has not reported as active yet, or zero
 }
 
 // Wrap returns a listener whose connections are tracked.
@@ -188,9 +188,9 @@
 func (c *ConnTracker) closeIdle(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	remaining := false
+	checkAgain := false
 	for tracked := range c.open {
-		remaining = tracked.closeIfIdle(now) || remaining
+		checkAgain = tracked.closeIfIdle(now) || checkAgain
 	}
-	return remaining
+	return checkAgain
 }
--- a/internal/adapter/gatewayhttp/gatewayhttp.go
+++ b/internal/adapter/gatewayhttp/gatewayhttp.go
@@ -17,38 +17,38 @@
 
 // Decoder decodes callers' requests.
 type Decoder interface {
-	// Call decodes the request line and the headers of a request.
+	// Call decodes the request line and the headers of r into a gateway.Call.
 	Call(r *http.Request) *gateway.Call
 }
 
 // Server serves callers. It is safe for concurrent use.
 type Server struct {
-	relay   *gateway.Proxy
+	proxy   *gateway.Proxy
 	control *gateway.Control
 	decoder Decoder
 	now     func() time.Time
-	refused func(c code.Code) // called for each request that is refused before it has a route
+	refused func(c code.Code) // called for each request that ServeHTTP refuses itself
 }
 
 // New returns a Server. It calls refused for each request that it refuses itself.
-func New(relay *gateway.Proxy, control *gateway.Control, decoder Decoder, now func() time.Time, refused func(code.Code)) *Server {
-	return &Server{relay: relay, control: control, decoder: decoder, now: now, refused: refused}
+func New(proxy *gateway.Proxy, control *gateway.Control, decoder Decoder, now func() time.Time, refused func(code.Code)) *Server {
+	return &Server{proxy: proxy, control: control, decoder: decoder, now: now, refused: refused}
 }
 
 // defaultMaxBodyBytes applies if the desired state sets no limit.
 const defaultMaxBodyBytes = 4 << 20
 
-// ServeHTTP relays one request. It does not use a mux, since targets get the path unchanged and a
-// mux would redirect paths that are not in canonical form.
+// ServeHTTP forwards one request. It does not use a mux, which would redirect paths that are not in
+// canonical form, whereas targets get the path unchanged.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.control.ShuttingDown() {
-		// Each connection is closed with its next answer. If all idle connections were closed at
-		// once, requests that are on their way would be lost.
+		// Each connection is closed after its next answer. If all idle connections were closed at
+		// once, requests that are already on their way would be lost.
 		w.Header().Set("Connection", "close")
 	}
-	out := &responder{w: w, control: http.NewResponseController(w), now: s.now}
+	out := &responder{w: w, controller: http.NewResponseController(w), now: s.now}
 	call := s.decoder.Call(r)
-	match, refusal := s.relay.Match(call)
+	match, refusal := s.proxy.Match(call)
 	if refusal != code.OK {
 		s.refuse(out, call, refusal)
 		return
@@ -66,7 +66,7 @@
 		s.refuse(out, call, code.BodyTooLarge)
 		return
 	}
-	s.relay.Serve(r.Context(), match, body, out)
+	s.proxy.Serve(r.Context(), match, body, out)
 	if out.aborted {
 		panic(http.ErrAbortHandler) // closes the connection without completing the answer
 	}
@@ -92,11 +92,11 @@
 
 // responder writes the answer to one request.
 type responder struct {
-	w         http.ResponseWriter
-	control   *http.ResponseController
-	now       func() time.Time
-	streaming bool // the length of the body is not known
-	aborted   bool // the connection is closed without completing the answer
+	w          http.ResponseWriter
+	controller *http.ResponseController
+	now        func() time.Time
+	streaming  bool // the length of the body is not known
+	aborted    bool // the connection is closed without completing the answer
 }
 
 // callerWriteTimeout bounds each write to a caller, after which the caller counts as
@@ -130,12 +130,12 @@
 
 // Write sends a part of the body. It flushes each part of a body without a known length.
 func (o *responder) Write(p []byte) error {
-	_ = o.control.SetWriteDeadline(o.now().Add(callerWriteTimeout))
+	_ = o.controller.SetWriteDeadline(o.now().Add(callerWriteTimeout))
 	if _, err := o.w.Write(p); err != nil {
 		return err
 	}
 	if o.streaming {
-		return o.control.Flush()
+		return o.controller.Flush()
 	}
 	return nil
 }
--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -33,7 +33,7 @@
 
 	mu            sync.Mutex
 	registry      gometrics.Registry
-	series        int // counters in registry, up to maxSeries
+	series        int // counters added; from maxSeries on, new label values are not told apart
 	latencies     map[latencyKey]*latency
 	serviceLevels *burn.Tracker
 }
@@ -86,8 +86,9 @@
 	return l
 }
 
-// CountSignal counts a notice in a target's answer: that it leaves, a pause, or an invalid pause.
-func (g *Gateway) CountSignal(what string) { g.add("targets_said_total", "what", what, 1) }
+// CountSignal counts a signal in a target's answer: that the target is leaving, a pause, or an
+// invalid pause.
+func (g *Gateway) CountSignal(signal string) { g.add("targets_said_total", "what", signal, 1) }
 
 // CountRefusal counts a request that was refused before it had a route.
 func (g *Gateway) CountRefusal(c code.Code) { g.add("refused_total", "code", c.Lookup().Name, 1) }
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -18,7 +18,8 @@
 // unbounded registry would exceed the memory of a small VM.
 const maxSeries = 2000
 
-// RequestCounts counts requests by pool and result. It is safe for concurrent use.
+// RequestCounts holds the metrics of a router outside the users' platform: counts of requests by
+// pool and result, and their times to the first part. It is safe for concurrent use.
 type RequestCounts struct {
 	mu       sync.Mutex
 	registry gometrics.Registry
--- a/internal/adapter/operatorhttp/operatorhttp.go
+++ b/internal/adapter/operatorhttp/operatorhttp.go
@@ -26,7 +26,7 @@
 
 // ApplyRequest is the body of a request that changes resources.
 type ApplyRequest struct {
-	// Operation is a name that the client chooses. A second request with the same name changes
+	// Operation is a name that the caller chooses. A second request with the same name changes
 	// nothing and returns the outcome of the first.
 	Operation string              `json:"operation"`
 	Resources []resource.Resource `json:"resources"`
@@ -150,10 +150,10 @@
 
 // withStatus adds the observed state to a resource.
 func (s *Server) withStatus(ctx context.Context, res resource.Resource) DescribedResource {
-	applied := s.controller.RolloutStatus(ctx, res.Metadata.ResourceVersion)
-	out := DescribedResource{Resource: res, Status: Status{Applied: &applied}}
+	rollout := s.controller.RolloutStatus(ctx, res.Metadata.ResourceVersion)
+	out := DescribedResource{Resource: res, Status: Status{Applied: &rollout}}
 	condition := Condition{Type: "InForceEverywhere", Status: "True", Reason: "AllRouters"}
-	if applied.Applied < applied.Listed {
+	if rollout.Applied < rollout.Listed {
 		condition.Status, condition.Reason = "False", "RoutersBehind"
 	} else {
 		out.Status.ObservedGeneration = res.Metadata.Generation
--- a/internal/adapter/peer/coalesce.go
+++ b/internal/adapter/peer/coalesce.go
@@ -7,8 +7,9 @@
 
 // coalescingConn joins small writes that follow each other immediately. HTTP/2 writes the headers
 // and the data of a short message separately. In two packets, the packet headers of the second
-// would cost more than the message. A goroutine does the writing, which gives the second write
-// enough time to join the first. A timer would delay messages by about a millisecond.
+// would cost more than the message. A separate goroutine writes to the connection, and the
+// second write usually joins the first before that goroutine runs. A timer would delay messages by
+// about a millisecond.
 type coalescingConn struct {
 	net.Conn
 	wake    chan struct{} // receives a value after each Write; closed by Close
@@ -32,8 +33,8 @@
 	}
 }
 
-// Write queues p. If a queued write fails, the next Write returns the error. The reader of the
-// connection notices the failure earlier.
+// Write queues p. If a queued write fails, the next Write returns the error. The goroutine that
+// reads from the connection usually notices the failure before that.
 func (w *coalescingConn) Write(p []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,9 +74,9 @@
 	return w.Conn.Close()
 }
 
-// WrapListener returns a listener of the peer service whose connections coalesce the writes of
-// replies.
-func WrapListener(l net.Listener) net.Listener { return coalescingListener{l} }
+// CoalesceWrites returns a listener of the peer service whose connections join small writes, as
+// those of a Client do.
+func CoalesceWrites(l net.Listener) net.Listener { return coalescingListener{l} }
 
 type coalescingListener struct{ net.Listener }
 
--- a/internal/adapter/peer/datagram.go
+++ b/internal/adapter/peer/datagram.go
@@ -17,14 +17,14 @@
 const maxDatagramBytes = 64 << 10
 
 const (
-	// burstSize is the number of digests that are sent without a pause, and burstInterval the
-	// pause between two bursts. The queue of a small link holds about 40 datagrams. It drops the
-	// rest of a larger burst, always those to the same routers. 100 digests, as sent every 100
-	// ms, take 30 ms.
+	// burstSize is the number of datagrams that are sent without a pause, and burstInterval the
+	// pause between two bursts. The send queue of a small link holds about 40 datagrams. It would
+	// drop the rest of a larger burst, which always goes to the same routers. A digest to 100
+	// routers, as sent every 100 ms, takes 30 ms.
 	burstSize     = 16
 	burstInterval = 5 * time.Millisecond
-	// maxQueuedMessages bounds the messages that wait to be sent. A full queue means that the
-	// processor is overloaded. Further digests are dropped, and the next ones replace them.
+	// maxQueuedMessages bounds the messages that wait to be sent. The queue only fills up if the
+	// processor is overloaded. Further messages are then dropped; later digests replace them.
 	maxQueuedMessages = 64
 )
 
@@ -39,19 +39,19 @@
 // next one replaces it. Since UDP has no connections, none can go silent. It is safe for
 // concurrent use.
 type DigestSocket struct {
-	conn    *net.UDPConn
-	in, out atomic.Int64 // bytes with headers
-	lost    atomic.Int64 // digests that could not be sent
-	queue   chan message
-	closed  chan struct{}
-	close   sync.Once
+	conn              *net.UDPConn
+	bytesIn, bytesOut atomic.Int64 // including IP and UDP headers
+	unsent            atomic.Int64 // digests that could not be sent
+	queue             chan message
+	closed            chan struct{}
+	close             sync.Once
 }
 
 // datagramHeaderBytes is the size of the IPv4 and UDP headers of a datagram.
 const datagramHeaderBytes = 28
 
 // TrafficBytes returns the bytes received and sent since the start, including IP and UDP headers.
-func (d *DigestSocket) TrafficBytes() (in, out int64) { return d.in.Load(), d.out.Load() }
+func (d *DigestSocket) TrafficBytes() (in, out int64) { return d.bytesIn.Load(), d.bytesOut.Load() }
 
 // ListenDigests opens a socket at an IP address and port.
 func ListenDigests(address string) (*DigestSocket, error) {
@@ -68,8 +68,8 @@
 	return d, nil
 }
 
-// LostDigests returns the number of digests that could not be sent since the start.
-func (d *DigestSocket) LostDigests() int64 { return d.lost.Load() }
+// UnsentDigests returns the number of digests that could not be sent since the start.
+func (d *DigestSocket) UnsentDigests() int64 { return d.unsent.Load() }
 
 // run sends the queued messages until the socket is closed.
 func (d *DigestSocket) run() {
@@ -83,14 +83,14 @@
 	}
 }
 
-// SendDigest queues a digest to each address and returns immediately. If recipientReports is not empty,
-// its reports are added to the digest, each for the address at the same index. The arguments must
-// not be changed afterwards.
-func (d *DigestSocket) SendDigest(to []string, m *peerv1.Digest, recipientReports []*peerv1.Report) {
+// SendDigest queues a digest to each address and returns immediately. If recipientReports is not
+// empty, each of its reports is added to the digest for the address at the same index. The
+// arguments must not be changed afterwards.
+func (d *DigestSocket) SendDigest(to []string, digest *peerv1.Digest, recipientReports []*peerv1.Report) {
 	select {
-	case d.queue <- message{to, m, recipientReports}:
+	case d.queue <- message{to, digest, recipientReports}:
 	default:
-		d.lost.Add(int64(len(to)))
+		d.unsent.Add(int64(len(to)))
 	}
 }
 
@@ -98,7 +98,7 @@
 func (d *DigestSocket) send(m message) {
 	data, err := proto.Marshal(m.digest)
 	if err != nil {
-		d.lost.Add(int64(len(m.to)))
+		d.unsent.Add(int64(len(m.to)))
 		return
 	}
 	for i, address := range m.to {
@@ -110,7 +110,7 @@
 			datagram, err = proto.MarshalOptions{}.MarshalAppend(data[:len(data):len(data)], &peerv1.Digest{Yours: m.recipientReports[i]})
 		}
 		if err != nil || !d.sendOne(address, datagram) {
-			d.lost.Add(1)
+			d.unsent.Add(1)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 	if _, err := d.conn.WriteToUDPAddrPort(data, at); err != nil {
 		return false
 	}
-	d.out.Add(int64(len(data) + datagramHeaderBytes))
+	d.bytesOut.Add(int64(len(data) + datagramHeaderBytes))
 	return true
 }
 
@@ -139,7 +139,7 @@
 		if err != nil {
 			return err
 		}
-		d.in.Add(int64(n + datagramHeaderBytes))
+		d.bytesIn.Add(int64(n + datagramHeaderBytes))
 		m := &peerv1.Digest{}
 		if proto.Unmarshal(buffer[:n], m) != nil {
 			continue
--- a/internal/adapter/peer/datagram_test.go
+++ b/internal/adapter/peer/datagram_test.go
@@ -31,8 +31,8 @@
 		return out
 	}
 
-	// A relay encodes the fleet's report once for all routers that it feeds. To the digest of
-	// each router it adds the report for that router.
+	// A relay encodes the fleet's report once for all routers that it sends digests to. Each digest
+	// also carries the report for its recipient alone.
 	It("adds to each digest the report of its recipient", func() {
 		sender := listen("127.0.0.1:0")
 		a, b := receive(listen("127.0.0.2:17341")), receive(listen("127.0.0.3:17341"))
@@ -49,8 +49,8 @@
 		Expect(second.GetSequence()).To(BeEquivalentTo(7))
 	})
 
-	// Guards against routers that miss every digest, when one burst to all routers overflows the
-	// queue of a small link and the queue drops the end of it.
+	// Guards against routers that receive no digest at all, when one burst to all routers overflows
+	// the send queue of a small link, which always drops the end of the burst.
 	It("sends digests in bursts with pauses between them", func() {
 		sender := listen("127.0.0.1:0")
 		got := receive(listen("127.0.0.4:17341"))
@@ -66,10 +66,10 @@
 		Expect(time.Since(startedAt)).To(BeNumerically(">=", 20*time.Millisecond), "four pauses of 5 ms")
 	})
 
-	It("counts digests as lost if they can't be sent or the queue is full", func() {
+	It("counts digests as unsent if they can't be sent or the queue is full", func() {
 		sender := listen("127.0.0.1:0")
 		sender.SendDigest([]string{"nowhere"}, &peerv1.Digest{}, nil)
-		Eventually(sender.LostDigests).Should(Equal(int64(1)))
+		Eventually(sender.UnsentDigests).Should(Equal(int64(1)))
 		to := make([]string, 320) // 19 pauses
 		for i := range to {
 			to[i] = "127.0.0.9:9"
@@ -78,7 +78,7 @@
 		for range 80 {
 			sender.SendDigest(to, &peerv1.Digest{}, nil)
 		}
-		Expect(time.Since(startedAt)).To(BeNumerically("<", 2*time.Second), "Send does not wait for the digests to be sent, which takes at least 7.6 s")
-		Expect(sender.LostDigests()).To(BeNumerically(">=", 10*320), "the queue holds 64 messages")
+		Expect(time.Since(startedAt)).To(BeNumerically("<", 2*time.Second), "SendDigest does not wait for the digests to be sent, which takes at least 7.6 s")
+		Expect(sender.UnsentDigests()).To(BeNumerically(">=", 10*320), "the queue holds 64 messages")
 	})
 })
--- a/internal/adapter/peer/peer.go
+++ b/internal/adapter/peer/peer.go
@@ -20,9 +20,9 @@
 // maxMessageBytes bounds one message. A snapshot of 31,000 teams has about 6 MB.
 const maxMessageBytes = 32 << 20
 
-// HTTP/2 pings detect connections that have gone silent. Without them each call to a peer would
-// run into its timeout if a middlebox has dropped the connection, although a new connection would
-// work.
+// A connection that has received nothing for sendPingTimeout is pinged, and closed if the ping is
+// not answered within pingTimeout. Without these HTTP/2 pings, each call to a peer would run into
+// its timeout after a middlebox has dropped the connection, although a new connection would work.
 const (
 	sendPingTimeout = time.Second
 	pingTimeout     = 500 * time.Millisecond
--- a/internal/adapter/target/orders.go
+++ b/internal/adapter/target/orders.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// OrderClient reads the state of model engines and sends them the orders of planned changes, such as
-// a drain.
+// OrderClient reads the state of model engines and sends them the orders of planned changes, such
+// as a drain.
 type OrderClient struct{ client *http.Client }
 
 // NewOrderClient returns an OrderClient whose calls are bounded by timeout.
@@ -20,9 +20,9 @@
 	return &OrderClient{client: &http.Client{Timeout: timeout}}
 }
 
-// ErrStaleFencing means that a target refused an order because it has seen a newer fencing
-// number, or because the order had expired.
-var ErrStaleFencing = errors.New("target refused the order: stale fencing number or expired")
+// ErrStaleOrder means that a target refused an order because it has accepted one with a higher
+// fencing token, or because the order had expired.
+var ErrStaleOrder = errors.New("target refused the order: stale fencing token or expired")
 
 // Observe returns the number of a target's open requests and the state that its last orders set.
 // The keys of the state are actions, its values their arguments.
@@ -48,7 +48,7 @@
 }
 
 // Order sends an order to a target. The target refuses it after expires, or if it has accepted a
-// newer fencing number. Order then returns ErrStaleFencing.
+// higher fencing token. Order then returns ErrStaleOrder.
 func (o *OrderClient) Order(ctx context.Context, address string, fencing uint64, action, argument string, expires time.Time) error {
 	body, err := json.Marshal(struct {
 		Fencing  uint64    `json:"fencing"`
@@ -73,7 +73,7 @@
 	case http.StatusNoContent:
 		return nil
 	case http.StatusConflict:
-		return ErrStaleFencing
+		return ErrStaleOrder
 	default:
 		return errors.Newf("target answered %d", resp.StatusCode)
 	}
--- a/internal/adapter/target/target.go
+++ b/internal/adapter/target/target.go
@@ -1,5 +1,6 @@
-// Package target sends attempts to targets and reports their progress as events of the attempt
-// state machine.
+// Package target sends attempts to targets, for the router outside the users' platform (package
+// app/router), and reports their progress as events of the attempt state machine. The router on
+// the platform uses package upstream instead.
 package target
 
 import (
@@ -30,8 +31,8 @@
 	// RequestID and Number together identify the attempt.
 	RequestID string
 	Number    int
-	// ReceivedParts is the number of parts that the caller already has. A target resumes the
-	// stream after them.
+	// ReceivedParts is the number of parts of a stream, each of one token, that the caller already
+	// has. A target resumes the stream after them.
 	ReceivedParts int
 	// Stream reports whether the answer is a stream of chunks.
 	Stream bool
@@ -41,12 +42,13 @@
 	FreshConnection bool
 }
 
-// Answer is an event of an attempt. If the event is an attempt.Part, it also carries the content.
+// Answer is an event of an attempt. If the event is an attempt.Part, the other fields hold the part
+// of the target's answer: Text for a model engine, Status, Header and Body for a service.
 type Answer struct {
 	Event attempt.Event
-	// Text is the token of one part of a stream.
+	// Text is one token of a stream.
 	Text string
-	// Status, Header and Body are the whole answer of a service target.
+	// Status, Header and Body are the whole answer of a service.
 	Status int
 	Header http.Header
 	Body   []byte
@@ -98,68 +100,68 @@
 
 // Run sends an attempt and calls emit for each of its events. The last event ends the attempt.
 // Run returns after it, or when ctx ends.
-func (c *Client) Run(ctx context.Context, d AttemptRequest, emit func(Answer)) {
+func (c *Client) Run(ctx context.Context, r AttemptRequest, emit func(Answer)) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		// The transport may write bytes from here on. The event precedes the first byte, so an
 		// attempt that fails in between counts as possibly executed.
 		connected = true
-		emit(Answer{Event: attempt.WriteStarted{Attempt: d.Number}})
+		emit(Answer{Event: attempt.WriteStarted{Attempt: r.Number}})
 	}}
-	req, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), d)
+	req, err := c.newRequest(httptrace.WithClientTrace(ctx, trace), r)
 	if err != nil {
-		emit(Answer{Event: attempt.NotSent{Attempt: d.Number}})
+		emit(Answer{Event: attempt.NotSent{Attempt: r.Number}})
 		return
 	}
 	transport := c.pooled
-	if d.FreshConnection {
+	if r.FreshConnection {
 		transport = c.fresh
 	}
 	// http.Client.Do would follow redirects and send the request a second time.
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		if connected {
-			emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Number}})
+			emit(Answer{Event: attempt.ConnectionFailed{Attempt: r.Number}})
 		} else {
-			emit(Answer{Event: attempt.NotSent{Attempt: d.Number}})
+			emit(Answer{Event: attempt.NotSent{Attempt: r.Number}})
 		}
 		return
 	}
 	defer resp.Body.Close()
-	c.readAnswer(d, resp, emit)
+	c.readAnswer(r, resp, emit)
 }
 
-func (c *Client) newRequest(ctx context.Context, d AttemptRequest) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, d.Method, "http://"+d.Address+d.Path, bytes.NewReader(d.Body))
+func (c *Client) newRequest(ctx context.Context, r AttemptRequest) (*http.Request, error) {
+	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Address+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, errors.Wrap(err, "create request")
 	}
 	// Without GetBody the transport can't retry a request whose body it has sent.
 	req.GetBody = nil
-	req.Header = d.Header.Clone()
-	req.Header.Set(wire.HeaderRequestID, d.RequestID)
-	req.Header.Set(wire.HeaderAttemptID, AttemptID(d.RequestID, d.Number))
-	if d.ReceivedParts > 0 {
-		req.Header.Set(wire.HeaderResumeFrom, strconv.Itoa(d.ReceivedParts))
+	req.Header = r.Header.Clone()
+	req.Header.Set(wire.HeaderRequestID, r.RequestID)
+	req.Header.Set(wire.HeaderAttemptID, AttemptID(r.RequestID, r.Number))
+	if r.ReceivedParts > 0 {
+		req.Header.Set(wire.HeaderResumeFrom, strconv.Itoa(r.ReceivedParts))
 	}
 	return req, nil
 }
 
 // readAnswer emits the events of a target's answer.
-func (c *Client) readAnswer(d AttemptRequest, resp *http.Response, emit func(Answer)) {
+func (c *Client) readAnswer(r AttemptRequest, resp *http.Response, emit func(Answer)) {
 	if resp.Header.Get(wire.HeaderNotExecuted) != "" {
-		emit(Answer{Event: attempt.TargetRefused{Attempt: d.Number}})
+		emit(Answer{Event: attempt.TargetRefused{Attempt: r.Number}})
 		return
 	}
-	if !d.Stream {
-		c.readService(d, resp, emit)
+	if !r.Stream {
+		c.readService(r, resp, emit)
 		return
 	}
 	if resp.StatusCode != http.StatusOK {
-		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Number}})
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: r.Number}})
 		return
 	}
-	c.readStream(d, resp.Body, emit)
+	c.readStream(r, resp.Body, emit)
 }
 
 // errNoLastChunk means that a stream had its end marker, but no chunk with the number of its
@@ -167,7 +169,7 @@
 var errNoLastChunk = errors.New("stream has an end marker, but no last chunk")
 
 // readStream emits an event for each chunk of a stream and one for its end.
-func (c *Client) readStream(d AttemptRequest, body io.Reader, emit func(Answer)) {
+func (c *Client) readStream(r AttemptRequest, body io.Reader, emit func(Answer)) {
 	var last *wire.Chunk
 	err := wire.ReadEvents(body, func(data []byte) error {
 		var chunk wire.Chunk
@@ -179,7 +181,7 @@
 			return nil
 		}
 		emit(Answer{
-			Event: attempt.Part{Attempt: d.Number, Echo: d.echoedNumber(chunk.ID), Offset: chunk.Offset},
+			Event: attempt.Part{Attempt: r.Number, Echo: r.echoedNumber(chunk.ID), Offset: chunk.Offset},
 			Text:  chunk.Content(),
 		})
 		return nil
@@ -188,35 +190,35 @@
 		err = errNoLastChunk
 	}
 	if err != nil {
-		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Number}})
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: r.Number}})
 		return
 	}
-	emit(Answer{Event: attempt.End{Attempt: d.Number, Echo: d.echoedNumber(last.ID), Total: last.Offset}})
+	emit(Answer{Event: attempt.End{Attempt: r.Number, Echo: r.echoedNumber(last.ID), Total: last.Offset}})
 }
 
 // echoedNumber returns the attempt's number if an answer echoes the attempt's id, otherwise -1.
-func (d AttemptRequest) echoedNumber(id string) int {
-	if id == AttemptID(d.RequestID, d.Number) {
-		return d.Number
+func (r AttemptRequest) echoedNumber(id string) int {
+	if id == AttemptID(r.RequestID, r.Number) {
+		return r.Number
 	}
 	return -1
 }
 
 // readService reads the whole answer of a service target before it emits any of it. A truncated
 // body must not reach the caller as a complete one.
-func (c *Client) readService(d AttemptRequest, resp *http.Response, emit func(Answer)) {
+func (c *Client) readService(r AttemptRequest, resp *http.Response, emit func(Answer)) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.settings.MaxAnswerBytes+1))
 	if err != nil || int64(len(body)) > c.settings.MaxAnswerBytes {
-		emit(Answer{Event: attempt.ConnectionFailed{Attempt: d.Number}})
+		emit(Answer{Event: attempt.ConnectionFailed{Attempt: r.Number}})
 		return
 	}
-	echo := d.Number
+	echo := r.Number
 	if id := resp.Header.Get(wire.HeaderAttemptID); id != "" {
-		echo = d.echoedNumber(id)
+		echo = r.echoedNumber(id)
 	}
 	emit(Answer{
-		Event:  attempt.Part{Attempt: d.Number, Echo: echo, Offset: 0},
+		Event:  attempt.Part{Attempt: r.Number, Echo: echo, Offset: 0},
 		Status: resp.StatusCode, Header: resp.Header, Body: body,
 	})
-	emit(Answer{Event: attempt.End{Attempt: d.Number, Echo: echo, Total: 1}})
+	emit(Answer{Event: attempt.End{Attempt: r.Number, Echo: echo, Total: 1}})
 }
--- a/internal/adapter/upstream/conn.go
+++ b/internal/adapter/upstream/conn.go
@@ -21,9 +21,9 @@
 
 // Limits after which the kernel breaks a dead connection. A connection can go silent without a
 // reset while new ones still work, and a VM that loses power sends nothing at all. Keep-alive
-// probes detect this while a request waits for its answer. The user timeout detects a request
-// that is never acknowledged. Without them only the request's deadline would end the wait. The
-// kernel takes the probe times in whole seconds.
+// probes detect this while a request waits for its answer. TCP_USER_TIMEOUT detects that the bytes
+// of a request are not acknowledged. Without both only the request's deadline would end the wait.
+// The kernel takes the probe times in whole seconds.
 const (
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
@@ -64,8 +64,8 @@
 const readBufferBytes = 4 << 10
 
 // isReusable reports whether an idle connection is open and has no unread bytes. Bytes that
-// arrive between two requests are a second answer to the earlier request or the end of the
-// connection. The next request must not read them as its own answer.
+// arrive between two requests are a second answer to the earlier request, which the next request
+// must not read as its own. If the target has closed the connection, its end can be read as well.
 func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/adapter/upstream/upstream.go
+++ b/internal/adapter/upstream/upstream.go
@@ -1,6 +1,7 @@
-// Package upstream sends requests to targets over HTTP/1.1 and pools their connections. It does
-// not use http.Client, which retries some requests on its own and silently drops an answer to
-// another request. The router must know of both to decide whether a request may be retried.
+// Package upstream sends requests to targets over HTTP/1.1 and pools their connections, for the
+// router on the users' platform (package app/gateway). It does not use http.Client, which retries
+// some requests on its own and silently drops an answer to another request. The router must know of
+// both to decide whether a request may be retried.
 package upstream
 
 import (
@@ -27,8 +28,8 @@
 	// ErrConnectionBroken means that the connection failed after a byte may have reached the
 	// target.
 	ErrConnectionBroken = errors.New("connection broken")
-	// ErrAnswerMismatch means that the target answered another request on this connection, and
-	// that the answer to this request could not be read after it.
+	// ErrAnswerMismatch means that the connection carried the answer to another request, and that
+	// no answer to this request could be read after it.
 	ErrAnswerMismatch = errors.New("answer belongs to another request")
 )
 
@@ -80,12 +81,12 @@
 	onDial   func() // called before each new connection
 
 	mu   sync.Mutex
-	idle map[uint64][]*conn
+	idle map[uint64][]*conn // by UID of the target's lifetime, the last used last
 }
 
-// New returns a Client. It calls dialed before each new connection.
-func New(s Settings, now func() time.Time, dialed func()) *Client {
-	return &Client{settings: s, dialer: newDialer(s.DialTimeout), now: now, onDial: dialed, idle: make(map[uint64][]*conn)}
+// New returns a Client. It calls beforeDial before each new connection.
+func New(s Settings, now func() time.Time, beforeDial func()) *Client {
+	return &Client{settings: s, dialer: newDialer(s.DialTimeout), now: now, onDial: beforeDial, idle: make(map[uint64][]*conn)}
 }
 
 // Answer is a target's answer. Its header has been read, its body has not. The reader of the body
@@ -98,14 +99,14 @@
 	// recognised.
 	Framed bool
 
-	body    io.ReadCloser
-	client  *Client
-	target  uint64
-	conn    *conn
-	written chan error  // receives the result of the background write; nil if there is none
-	unwatch func() bool // stops closing the connection when the request's context ends
-	eof     bool        // the body was read to its end
-	closing bool        // the connection can't carry another request
+	body          io.ReadCloser
+	client        *Client
+	target        uint64
+	conn          *conn
+	writeDone     chan error  // receives the result of the background write; nil if there is none
+	stopAbort     func() bool // keeps the end of the request's context from closing the connection
+	bodyRead      bool        // the body was read to its end
+	mustCloseConn bool        // the connection can't carry another request
 }
 
 // Do sends a request and returns the answer as soon as its header has arrived. Until the answer
@@ -117,7 +118,7 @@
 		return nil, errors.Mark(err, ErrNotSent)
 	}
 	a := &Answer{client: c, target: r.TargetUID, conn: cn}
-	a.unwatch = context.AfterFunc(ctx, func() { _ = cn.Close() })
+	a.stopAbort = context.AfterFunc(ctx, func() { _ = cn.Close() })
 	if r.ConfirmSend != nil && !r.ConfirmSend() {
 		a.abort()
 		return nil, errors.Mark(ErrWithdrawn, ErrNotSent)
@@ -154,12 +155,12 @@
 func (c *Client) popIdle(target uint64) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	kept := c.idle[target]
-	if len(kept) == 0 {
+	conns := c.idle[target]
+	if len(conns) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	c.idle[target] = kept[:len(kept)-1]
+	last := conns[len(conns)-1]
+	c.idle[target] = conns[:len(conns)-1]
 	return last
 }
 
@@ -179,17 +180,17 @@
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for target, kept := range c.idle {
-		out := kept[:0]
-		for _, cn := range kept {
+	for target, conns := range c.idle {
+		usable := conns[:0]
+		for _, cn := range conns {
 			if listed(target) && now.Before(cn.usableUntil) {
-				out = append(out, cn)
+				usable = append(usable, cn)
 			} else {
 				_ = cn.Close()
 			}
 		}
-		c.idle[target] = out
-		if len(out) == 0 {
+		c.idle[target] = usable
+		if len(usable) == 0 {
 			delete(c.idle, target)
 		}
 	}
@@ -215,10 +216,10 @@
 		_, err := a.conn.Write(b.Bytes())
 		return err
 	}
-	a.written = make(chan error, 1)
+	a.writeDone = make(chan error, 1)
 	go func() {
 		_, err := a.conn.Write(b.Bytes())
-		a.written <- err
+		a.writeDone <- err
 	}()
 	return nil
 }
@@ -260,14 +261,14 @@
 func (a *Answer) setResponse(resp *http.Response) {
 	a.Status, a.Header, a.body = resp.StatusCode, resp.Header, resp.Body
 	a.Framed = isFramed(resp)
-	a.closing = resp.Close || !a.Framed
+	a.mustCloseConn = resp.Close || !a.Framed
 }
 
 // Read reads the body. If Framed is set, io.EOF means that the body is complete.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.eof = true
+		a.bodyRead = true
 	}
 	return n, err
 }
@@ -275,7 +276,7 @@
 // Close releases the answer. It keeps the connection for reuse only if the request was written
 // and the answer read completely.
 func (a *Answer) Close() {
-	if !a.unwatch() || !a.eof || a.closing || !a.isWritten() || a.conn.reader.Buffered() > 0 {
+	if !a.stopAbort() || !a.bodyRead || a.mustCloseConn || !a.isWritten() || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
@@ -287,17 +288,17 @@
 
 // abort closes the connection of a request without an answer.
 func (a *Answer) abort() {
-	a.unwatch()
+	a.stopAbort()
 	_ = a.conn.Close()
 }
 
 // isWritten reports whether the whole request was written without an error.
 func (a *Answer) isWritten() bool {
-	if a.written == nil {
+	if a.writeDone == nil {
 		return true
 	}
 	select {
-	case err := <-a.written:
+	case err := <-a.writeDone:
 		return err == nil
 	default:
 		return false
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -48,18 +48,19 @@
 // point is the value y of a figure at size x.
 type point struct{ x, y float64 }
 
-// printFigure prints the points of a figure and, for three or more, the line fitted to them. A
-// figure that does not grow linearly has a large residual, relative to the largest value.
-func printFigure(w io.Writer, role, figure, over string, points []point) {
+// printFigure prints the points of a figure and, for three or more, the line fitted to them.
+// sizeName says what the sizes count. A figure that does not grow linearly has a large residual,
+// relative to the largest value.
+func printFigure(w io.Writer, role, figure, sizeName string, points []point) {
 	for _, p := range points {
-		fmt.Fprintf(w, "capacity role=%s figure=%s %s=%.0f value=%.4g\n", role, figure, over, p.x, p.y)
+		fmt.Fprintf(w, "capacity role=%s figure=%s %s=%.0f value=%.4g\n", role, figure, sizeName, p.x, p.y)
 	}
 	if len(points) < 3 {
 		return
 	}
 	slope, intercept, residual := fitLine(points)
 	fmt.Fprintf(w, "fit role=%s figure=%s per=%s slope=%.4g intercept=%.4g residual=%.1f%%\n",
-		role, figure, over, slope, intercept, 100*residual)
+		role, figure, sizeName, slope, intercept, 100*residual)
 }
 
 // fitLine returns the least-squares line through points and the largest residual relative to the
--- a/internal/capacity/store.go
+++ b/internal/capacity/store.go
@@ -54,8 +54,8 @@
 // claimSeconds is the time in seconds for which each rate of claims is measured.
 const claimSeconds = 2
 
-// commitTime is the simulated duration of a commit.
-const commitTime = 5 * time.Millisecond
+// commitDuration is the simulated duration of a commit.
+const commitDuration = 5 * time.Millisecond
 
 // measureClaims measures the table service calls per request with an idempotency key on one router,
 // by request rate. Inserted claims share transactions; each settlement has a transaction of its
@@ -64,7 +64,7 @@
 	var writes []point
 	for _, rate := range []int{10, 100, 1000} {
 		table := newCountingTable()
-		table.BeforeCommit = func() { time.Sleep(commitTime) }
+		table.BeforeCommit = func() { time.Sleep(commitDuration) }
 		c := router.NewClaims(table, allHoldersAlive{}, 1, 1, eventlog.Nop(), time.Now)
 		req := router.Request{Method: http.MethodPost, Team: "t", Pool: &routing.Pool{Name: "p"}}
 		var pending sync.WaitGroup
--- a/internal/capacity/wire.go
+++ b/internal/capacity/wire.go
@@ -34,9 +34,10 @@
 
 func (e stub) Handle(context.Context, proto.Message) (proto.Message, error) { return e.reply, nil }
 
-// MeasureCall sends a request n times over a loopback connection and returns the mean cost of one
-// call. Every write counts as one packet with headers, and each reply is followed by one packet for
-// its acknowledgement. The acknowledgement of a request is part of the reply's packet.
+// MeasureCall sends a request n times over a loopback connection, after three calls that are not
+// measured, and returns the mean cost of one call. Every write counts as one
+// packet with headers, and each reply is followed by one packet for its acknowledgement. The
+// acknowledgement of a request is part of the reply's packet.
 func MeasureCall(request, reply proto.Message, n int) (WireCost, error) {
 	var server, client metrics.ConnectionTraffic
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +47,7 @@
 	mux := http.NewServeMux()
 	mux.Handle(peer.NewHandler(stub{reply}))
 	s := &http.Server{Handler: mux, Protocols: peer.Protocols()}
-	go func() { _ = s.Serve(peer.WrapListener(server.WrapListener(l))) }()
+	go func() { _ = s.Serve(peer.CoalesceWrites(server.WrapListener(l))) }()
 	defer s.Close()
 	caller := peer.NewClient(map[uint32]string{1: l.Addr().String()}, time.Second, client.WrapConn)
 	if err := repeatCall(caller, request, 3); err != nil {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -149,7 +149,7 @@
 			g.callerConnections.Wrap},
 		{g.settings.ReadinessAddress, &http.Server{Handler: callerServer.ReadinessHandler(g.settings.ReadinessPath)}, nil},
 		{g.settings.Gateway.Address, &http.Server{Handler: peerMux, Protocols: peer.Protocols()},
-			func(l net.Listener) net.Listener { return peer.WrapListener(reporter.served.WrapListener(l)) }},
+			func(l net.Listener) net.Listener { return peer.CoalesceWrites(reporter.served.WrapListener(l)) }},
 		{g.settings.MetricsAddress, &http.Server{Handler: m.Handler(g.control.Status)}, nil},
 	} {
 		listener, err := listen(entry.address)
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -66,7 +66,7 @@
 	}
 	status := r.status()
 	line := r.log.Line(eventlog.LinkUse).Int("peers", status.LivePeers).Int("heard", status.DirectPeers).Str("feeder", status.Feeder).Dur("fed_ago", status.FeedAge).
-		Int64("unsent", r.digests.LostDigests()).Int64("digests_in", delta.digestsIn).Int64("digests_out", delta.digestsOut).
+		Int64("unsent", r.digests.UnsentDigests()).Int64("digests_in", delta.digestsIn).Int64("digests_out", delta.digestsOut).
 		Int64("copies_in", delta.copiesIn).Int64("copies_out", delta.copiesOut)
 	if r.capacity > 0 {
 		busierDirection := max(delta.digestsIn+delta.copiesIn, delta.digestsOut+delta.copiesOut)
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -125,7 +125,7 @@
 		wrap    func(net.Listener) net.Listener
 	}{
 		{r.callers, r.settings.Listen.Callers, nil},
-		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.WrapListener(r.peerTraffic.WrapListener(l)) }},
+		{r.peers, r.settings.Listen.Peers, func(l net.Listener) net.Listener { return peer.CoalesceWrites(r.peerTraffic.WrapListener(l)) }},
 		{r.admin, r.settings.Listen.Admin, nil},
 	} {
 		listener, err := listen(entry.address)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -65,26 +65,26 @@
 	State           map[string]string `json:"state"`
 	FencingToken    uint64            `json:"fencing"`
 	OrdersExecuted  int               `json:"ordersDone"`
-	OrdersRejected  int               `json:"ordersStale"`
+	OrdersRefused   int               `json:"ordersStale"`
 }
 
 // Server is one engine. It is safe for concurrent use.
 type Server struct {
-	settings    Settings
-	faults      fault.Switch[Faults]
-	mu          sync.Mutex
-	status      Status
-	cache       prefixCache
-	builtTokens map[string]int // longest prompt of each chat so far, in tokens
+	settings       Settings
+	faults         fault.Setting[Faults]
+	mu             sync.Mutex
+	status         Status
+	cache          prefixCache
+	longestPrompts map[string]int // longest prompt of each chat so far, in tokens
 }
 
 // New returns an engine without requests.
 func New(s Settings) *Server {
 	return &Server{
-		settings:    s,
-		status:      Status{Name: s.Name, State: map[string]string{}},
-		cache:       newPrefixCache(s.CacheTokens),
-		builtTokens: make(map[string]int),
+		settings:       s,
+		status:         Status{Name: s.Name, State: map[string]string{}},
+		cache:          newPrefixCache(s.CacheTokens),
+		longestPrompts: make(map[string]int),
 	}
 }
 
@@ -162,8 +162,8 @@
 	cached := min(s.cache.getAndPut(chat, tokens), tokens)
 	s.status.PromptTokens += tokens
 	s.status.CachedTokens += cached
-	s.status.ReusableTokens += min(s.builtTokens[chat], tokens)
-	s.builtTokens[chat] = max(s.builtTokens[chat], tokens)
+	s.status.ReusableTokens += min(s.longestPrompts[chat], tokens)
+	s.longestPrompts[chat] = max(s.longestPrompts[chat], tokens)
 	if s.settings.PrefillTokensPerSecond == 0 {
 		return 0
 	}
@@ -229,7 +229,7 @@
 	defer s.mu.Unlock()
 	stale := s.settings.ChecksFencing && o.FencingToken < s.status.FencingToken
 	if stale || time.Now().After(o.ExpiresAt) {
-		s.status.OrdersRejected++
+		s.status.OrdersRefused++
 		http.Error(w, "order expired or its fencing token is out of date", http.StatusConflict)
 		return
 	}
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -26,7 +26,7 @@
 
 // Server is the service. All instances share its counts. It is safe for concurrent use.
 type Server struct {
-	faults     fault.Switch[Faults]
+	faults     fault.Setting[Faults]
 	mu         sync.Mutex
 	executions map[string]int // executions by request key
 }
@@ -38,7 +38,7 @@
 func (s *Server) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.Handle("/faults", &s.faults).Methods(http.MethodPut)
-	r.HandleFunc("/runs", s.handleRuns).Methods(http.MethodGet)
+	r.HandleFunc("/runs", s.handleExecutions).Methods(http.MethodGet)
 	r.PathPrefix("/").HandlerFunc(s.handleRequest)
 	return r
 }
@@ -86,7 +86,7 @@
 	return s.executions[key]
 }
 
-func (s *Server) handleRuns(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleExecutions(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_ = json.NewEncoder(w).Encode(s.executions)
--- a/internal/standin/table/table.go
+++ b/internal/standin/table/table.go
@@ -41,9 +41,9 @@
 	mu             sync.Mutex
 	rows           map[string]port.Row
 	objects        map[string][]byte
-	vms            fault.Switch[[]port.VM]
+	vms            fault.Setting[[]port.VM] // the VM list, which tests set like the faults
 	version        uint64
-	faults         fault.Switch[Faults]
+	faults         fault.Setting[Faults]
 	counts         Counts
 	currentSecond  time.Time // the second that writesInSecond counts
 	writesInSecond int       // writes of this second, while there is a limit
