--- a/cmd/hemlockdyke-bench/main.go
+++ b/cmd/hemlockdyke-bench/main.go
@@ -31,7 +31,7 @@
 	loadCmd.Flag("chats", "Number of chats.").Default("60").IntVar(&s.Chats)
 	loadCmd.Flag("turns", "Number of turns of each chat.").Default("6").IntVar(&s.TurnsPerChat)
 	loadCmd.Flag("parallel", "Number of concurrent chats.").Default("24").IntVar(&s.ConcurrentChats)
-	loadCmd.Flag("pause", "Mean time between two turns of a chat.").Default("100ms").DurationVar(&s.MeanPause)
+	loadCmd.Flag("pause", "Mean time between two turns of a chat.").Default("100ms").DurationVar(&s.MeanThinkTime)
 	loadCmd.Flag("seed", "Seed of the random numbers.").Default("1").Uint64Var(&s.Seed)
 	limit := loadCmd.Flag("limit", "Time limit of the run.").Default("50s").Duration()
 
--- a/cmd/hemlockdyke-router/main.go
+++ b/cmd/hemlockdyke-router/main.go
@@ -1,4 +1,4 @@
-// Command hemlockdyke-router relays callers' requests to targets.
+// Command hemlockdyke-router forwards callers' requests to targets.
 package main
 
 import (
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	app := kingpin.New("hemlockdyke-router", "Relays callers' requests to targets.")
+	app := kingpin.New("hemlockdyke-router", "Forwards callers' requests to targets.")
 	path := app.Flag("settings", "Path of the settings file; required without --platform.").String()
 	check := app.Flag("check-settings", "Print the effective settings and exit.").Bool()
 	onPlatform := app.Flag("platform", "Run on the users' platform, with the settings file that the platform provides.").Bool()
--- a/e2e/e2e_test.go
+++ b/e2e/e2e_test.go
@@ -22,7 +22,7 @@
 func (f *fleet) startLoad(chats, turns int) func() load.Report {
 	s := load.Settings{
 		ServiceURL: f.url(servicePort), Model: "drafter", ServicePool: "notices", Teams: []string{"dealers"},
-		Chats: chats, TurnsPerChat: turns, ConcurrentChats: 12, Seed: 1, MeanPause: 50 * time.Millisecond,
+		Chats: chats, TurnsPerChat: turns, ConcurrentChats: 12, Seed: 1, MeanThinkTime: 50 * time.Millisecond,
 	}
 	for i := 1; i <= routers; i++ {
 		s.RouterURLs = append(s.RouterURLs, f.url(callerPort+i))
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -27,7 +27,8 @@
 	http    *http.Client
 }
 
-// clientTimeout bounds one call. It must exceed the ten seconds that a watch waits for changes.
+// clientTimeout bounds one call. It must exceed the 10 s for which a controller lets a watch wait
+// for changes (watchTimeout of package operatorhttp).
 const clientTimeout = 20 * time.Second
 
 // NewClient returns a Client for the controllers at the given base URLs.
@@ -68,15 +69,15 @@
 	return out, err
 }
 
-// Watch waits for changes after a revision. It returns an empty list if there are none for some
-// seconds.
+// Watch waits for changes after a revision. It returns an empty list if there are none within
+// 10 s.
 func (c *Client) Watch(after uint64) ([]resource.Change, error) {
 	var out []resource.Change
 	err := c.call(http.MethodGet, fmt.Sprintf("/v1/watch?after=%d", after), nil, &out)
 	return out, err
 }
 
-// Burn returns the service-level burn of the fleet.
+// Burn returns the burn report of the fleet: how fast teams use up their error budgets.
 func (c *Client) Burn() (burn.Report, error) {
 	var out burn.Report
 	err := c.call(http.MethodGet, "/v1/burn", nil, &out)
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -18,9 +18,9 @@
 
 // lineCount counts the lines of one kind since the start of the current second.
 type lineCount struct {
-	since   time.Time
-	written int
-	dropped int
+	secondStartedAt time.Time
+	written         int
+	dropped         int
 }
 
 // New returns a Log that writes to out.
@@ -47,20 +47,20 @@
 
 func (l *Log) newEvent(k Kind) *zerolog.Event { return l.out.WithLevel(k.Level).Str("event", k.Name) }
 
-// countLine counts a line of a kind. It returns whether the line may be written, and how many
-// lines were dropped in the previous second if this line begins a new one.
+// countLine counts a line of a kind and returns whether it may be written. If the line begins a new
+// second, countLine also returns how many lines of the kind were dropped in the last one.
 func (l *Log) countLine(k Kind) (dropped int, write bool) {
 	now := l.now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c, ok := l.counts[k.Name]
 	if !ok {
-		c = &lineCount{since: now}
+		c = &lineCount{secondStartedAt: now}
 		l.counts[k.Name] = c
 	}
-	if now.Sub(c.since) >= time.Second {
+	if now.Sub(c.secondStartedAt) >= time.Second {
 		dropped = c.dropped
-		*c = lineCount{since: now}
+		*c = lineCount{secondStartedAt: now}
 	}
 	if c.written >= k.MaxPerSecond {
 		c.dropped++
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -45,8 +45,8 @@
 	return len(p), nil
 }
 
-// Close writes the queued lines and stops the Writer. It must be called only once. Later lines
-// are dropped.
+// Close writes the queued lines and stops the Writer. It must be called only once. Lines that
+// are written afterwards are dropped without being counted.
 func (w *Writer) Close() {
 	close(w.closing)
 	<-w.done
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -70,7 +70,7 @@
 	cached := min(e.cache.getAndPut(r.chat.id, r.prompt), r.prompt)
 	if !r.reuseRecorded {
 		r.reuseRecorded = true
-		e.sim.recorder.recordPrompt(r, min(cached, r.chat.builtTokens))
+		e.sim.recorder.recordPrompt(r, min(cached, r.chat.longestPromptSize))
 	}
 	prefill := time.Duration(float64(r.prompt-cached) / e.sim.scenario.PrefillTokensPerSecond * float64(time.Second))
 	first := prefill + e.sim.scenario.TimePerToken
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -32,7 +32,7 @@
 	sim            *simulation
 	net            *fakenet.Net
 	requests       map[attemptKey]*request // open requests
-	grantedTargets map[attemptKey]uint64   // target UID of each grant sent; 0 after a refusal
+	grantedTargets map[attemptKey]uint64   // target UID of each counted grant; 0 once its request is refused or its router killed
 	lastAttemptID  uint64
 	revision       uint64
 	lastSpecs      map[string]string     // last spec of each resource, by name
@@ -248,8 +248,8 @@
 	f.sim.engines[a.Target.UID-firstTargetUID].submit(r, func(ok bool) { f.requestEnded(key, r, a.Target.UID, ok) })
 }
 
-// countGrants counts each grant once, when its message leaves the owner or, for a grant of the
-// router itself, when the request gets it.
+// countGrants counts each grant once: when the message with it leaves the owner or, if the router
+// itself is the owner, when the request gets it.
 func (f *fleet) countGrants(router int, grants []*peerv1.Grant) {
 	for _, g := range grants {
 		key := attemptKey{router, g.GetId()}
--- a/internal/experiment/measure.go
+++ b/internal/experiment/measure.go
@@ -61,7 +61,7 @@
 
 // recordPrompt counts the prompt tokens of a request that could be and that were served from cache.
 func (m *recorder) recordPrompt(r *request, reusedTokens int) {
-	m.reusableTokens += r.chat.builtTokens
+	m.reusableTokens += r.chat.longestPromptSize
 	m.reusedTokens += reusedTokens
 }
 
--- a/internal/experiment/simulation.go
+++ b/internal/experiment/simulation.go
@@ -14,12 +14,12 @@
 
 // chat is a chat with several turns.
 type chat struct {
-	id          int
-	team        string
-	turn        int
-	promptSize  int  // prompt tokens of the last turn; the next turn adds its growth
-	builtTokens int  // largest number of prompt tokens of a finished request
-	busy        bool // whether a request is open
+	id                int
+	team              string
+	turn              int
+	promptSize        int  // prompt tokens of the last turn; the next turn adds its growth
+	longestPromptSize int  // largest number of prompt tokens of a finished request
+	busy              bool // whether a request is open
 }
 
 // policy is a routing policy. It reports the end of each request with finishRequest.
@@ -188,7 +188,7 @@
 
 // finishRequest marks the end of a request after its last attempt.
 func (s *simulation) finishRequest(r *request) {
-	r.chat.builtTokens = max(r.chat.builtTokens, r.prompt)
+	r.chat.longestPromptSize = max(r.chat.longestPromptSize, r.prompt)
 	r.chat.busy = false
 }
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,5 +1,5 @@
 // Package load drives a running fleet with multi-turn chats and plain service calls. It checks that
-// every answer is complete and belongs to its request, and that no service call ran twice.
+// every answer is complete and belongs to its request, and that no service call was executed twice.
 package load
 
 import (
@@ -35,8 +35,8 @@
 	TurnsPerChat    int
 	ConcurrentChats int
 	Seed            uint64
-	// MeanPause is the mean time between two turns of a chat.
-	MeanPause time.Duration
+	// MeanThinkTime is the mean time between two turns of a chat.
+	MeanThinkTime time.Duration
 }
 
 // Report is the result of a load.
@@ -134,7 +134,7 @@
 		if turn%3 == 0 {
 			d.callService(ctx, rnd, team, fmt.Sprintf("notice-%d-%d", chat, turn))
 		}
-		sleep(ctx, time.Duration(rnd.Float64()*2*float64(d.settings.MeanPause)))
+		sleep(ctx, time.Duration(rnd.Float64()*2*float64(d.settings.MeanThinkTime)))
 	}
 }
 
@@ -182,7 +182,7 @@
 	}, func(r *Report) { r.Complete++ })
 }
 
-// callWithRetries repeats a call through other routers until it succeeds or ends with an error that
+// callWithRetries retries a call through other routers until it succeeds or ends with an error that
 // is not retried. It counts the outcome in the report; recordSuccess counts a success.
 func (d *driver) callWithRetries(ctx context.Context, rnd *rand.Rand, call func(router string) error, recordSuccess func(*Report)) {
 	start := rnd.IntN(len(d.settings.RouterURLs))
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -60,7 +60,7 @@
 	Callers string `yaml:"callers"`
 	// Peers is the address that serves other routers and controllers.
 	Peers string `yaml:"peers"`
-	// Admin is the address that serves /metrics and /debug/status.
+	// Admin is the address that serves /metrics and /status.
 	Admin string `yaml:"admin"`
 }
 
@@ -86,8 +86,9 @@
 	GossipInterval Duration `yaml:"gossipInterval"`
 	// PollInterval is the mean time between two reads of the configuration's latest revision.
 	PollInterval Duration `yaml:"pollInterval"`
-	// SuspectTimeout is how long a silent router is still considered live. Heartbeats are passed
-	// on by other routers. In a fleet of 9 routers they are up to four gossip intervals old.
+	// SuspectTimeout is how long a silent router is still considered live. It is at least four
+	// gossip intervals: routers pass heartbeats on to each other, and in a fleet of 9 routers a
+	// heartbeat is up to four gossip intervals old when it arrives.
 	SuspectTimeout Duration `yaml:"suspectAfter"`
 	// FreshnessTimeout is how long a router goes on serving when it reaches neither the table
 	// service nor a majority of the listed routers.
--- a/internal/wire/chat.go
+++ b/internal/wire/chat.go
@@ -11,7 +11,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Names of the headers of requests and answers.
+// Names of the headers of requests and answers. HeaderDeadline holds the time from the arrival of a
+// request to its deadline.
 const (
 	HeaderTeam           = "X-Team"
 	HeaderChatID         = "X-Chat-Id"
