--- a/cmd/hemlockdyke-router/main.go
+++ b/cmd/hemlockdyke-router/main.go
@@ -55,7 +55,7 @@
 	}
 	m := metrics.NewGateway(time.Now)
 	gateway, err := daemon.StartGateway(s.Gateway, daemon.Platform{
-		Store: platform.NewStore(s.StoreAddress, m.StoreCall), Decoder: platform.Decoder{}, Wire: platform.Wire{},
+		Store: platform.NewStore(s.StoreAddress, m.StoreCall), Decoder: platform.Decoder{}, Wire: platform.HeaderCodec{},
 	}, m, log)
 	app.FatalIfError(err, "start")
 	daemon.RunGateway(gateway, reload, log)
