--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -150,7 +150,7 @@
 	}{
 		{"ready", toFloat(s.Ready)}, {"store_reading", toFloat(s.StoreReader)}, {"desired_state_version", float64(s.DesiredVersion)},
 		{"desired_state_age_seconds", s.DesiredAge.Seconds()}, {"targets_age_seconds", s.TargetsAge.Seconds()},
-		{"peers_alive", float64(s.LivePeers)}, {"peers_heard", float64(s.DirectPeers)}, {"relay", toFloat(s.IsRelay)},
+		{"peers_alive", float64(s.AlivePeers)}, {"peers_heard", float64(s.DirectPeers)}, {"relay", toFloat(s.IsRelay)},
 		{"feed_age_seconds", s.FeedAge.Seconds()}, {"suspects", float64(s.Suspects)}, {"evacuated_data_centres", float64(s.EvacuatedDataCentres)},
 		{"cold_targets", float64(s.ColdTargets)},
 	} {
--- a/internal/app/gateway/bench_test.go
+++ b/internal/app/gateway/bench_test.go
@@ -69,7 +69,7 @@
 // newControlWithTargets returns a Control that has a list of n targets.
 func newControlWithTargets(n int) (*Control, time.Time) {
 	now := time.Now()
-	c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: true, MaxApplyDelay: 2 * time.Second, MaxDepartureDelay: 2 * time.Second, LoadMultiple: 2, RetryWindow: 10 * time.Second},
+	c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: true, MaxApplyDelay: 2 * time.Second, MaxDepartureDelay: 2 * time.Second, LoadMultiple: 2, RetrySpan: 10 * time.Second},
 		silentStore{}, jsonDecoder{}, unreachablePeers{}, unreachableTargets{}, eventlog.Nop(), time.Now)
 	for t := range c.readCtx {
 		c.readCtx[t], c.cancelRead[t] = context.WithCancel(context.Background())
--- a/internal/app/gateway/budget_test.go
+++ b/internal/app/gateway/budget_test.go
@@ -14,13 +14,13 @@
 
 var _ = Describe("the retry budget of a fleet whose routers restart", func() {
 	const (
-		window = 10 * time.Second
-		slack  = 56.0
+		span  = 10 * time.Second
+		slack = 56.0
 	)
 
 	// Guards against more retries than the budget allows. They occur if a router gets its share of
 	// the slack again at each restart.
-	DescribeTable("grants the slack once per window, however often all routers restart", func(routers int, firstStart bool) {
+	DescribeTable("grants the slack once per span, however often all routers restart", func(routers int, firstStart bool) {
 		now := time.Now()
 		retries := 0
 		for start := range 4 {
@@ -29,7 +29,7 @@
 				var elapsed atomic.Int64 // nanoseconds
 				clock := func() time.Time { return startedAt.Add(time.Duration(elapsed.Load())) }
 				c := NewControl(Settings{Name: "r", Address: "10.0.0.1:1", FirstStart: firstStart && start == 0, MaxApplyDelay: 2 * time.Second,
-					MaxDepartureDelay: 2 * time.Second, LoadMultiple: 2, RetryRatio: 0.2, RetrySlack: slack, RetryWindow: window},
+					MaxDepartureDelay: 2 * time.Second, LoadMultiple: 2, RetryRatio: 0.2, RetrySlack: slack, RetrySpan: span},
 					silentStore{}, jsonDecoder{}, unreachablePeers{}, unreachableTargets{}, eventlog.Nop(), clock)
 				for t := range c.readCtx {
 					c.readCtx[t], c.cancelRead[t] = context.WithCancel(context.Background())
@@ -39,7 +39,7 @@
 					c.tick(context.Background(), clock())
 				}
 				for ok := true; ok; {
-					if _, ok = c.traffic.takeRetry(clock(), "p"); ok {
+					if _, ok = c.traffic.tryRetry(clock(), "p"); ok {
 						retries++
 					}
 				}
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -83,7 +83,7 @@
 		traffic: &trafficState{
 			balancer:     placement.New(placementSettings, rand.New(rand.NewPCG(incarnation, 1))),
 			gates:        make(map[string]*admission.Gate),
-			retryBudgets: make(map[string]*retry.Window), retryWindow: s.RetryWindow,
+			retryBudgets: make(map[string]*retry.Window), retrySpan: s.RetrySpan,
 			retryLimits:  retry.Limits{Ratio: s.RetryRatio, Slack: s.RetrySlack, Routers: initialSlackSharers(s.FirstStart)},
 			openAttempts: newAttemptRegistry(), poisonGuard: newPoisonGuard(s.Address, s.FirstStart),
 		},
@@ -132,7 +132,7 @@
 func (c *Control) tick(ctx context.Context, now time.Time) {
 	c.tickPoisonGuard(now)
 	content := c.traffic.digestContent(now)
-	content.UrgentReports = c.takeReports(now)
+	content.UrgentReports = c.takeUrgentReports(now)
 	c.handleEvent(ctx, now, content)
 	c.traffic.mu.Lock()
 	c.traffic.balancer.ExpireReports(now)
@@ -151,8 +151,8 @@
 	retention := placement.Retention{AfterRemoval: time.Duration(retentionShare * float64(c.settings.MaxDepartureDelay))}
 	outage := c.core.InStoreOutage(now)
 	if outage {
-		since, until := c.core.LastOutage()
-		retention.AfterOutageRemoval, retention.OutageStart, retention.OutageEnd = outageRetention, since, until.Add(outageRetention)
+		start, end := c.core.LastOutage()
+		retention.AfterOutageRemoval, retention.OutageStart, retention.OutageEnd = outageRetention, start, end.Add(outageRetention)
 	}
 	if ablate.IsOff(ablate.RemovalGrace) {
 		retention = placement.Retention{}
@@ -177,7 +177,7 @@
 // they may be partitioned.
 func (c *Control) updateSlackSharers(now time.Time) {
 	c.maxAlive = max(c.maxAlive, c.core.AliveCount(now)+1)
-	if !c.settings.FirstStart && (c.otherRouters == nil || now.Sub(c.startedAt) < retry.SlackDelay(c.settings.RetryWindow)) {
+	if !c.settings.FirstStart && (c.otherRouters == nil || now.Sub(c.startedAt) < retry.SlackDelay(c.settings.RetrySpan)) {
 		return
 	}
 	n := max(c.maxAlive, len(c.otherRouters)+1)
@@ -219,12 +219,12 @@
 	}
 	c.updateStaleness(now)
 	if c.departures.hasUnsent || c.poisonReportPending {
-		c.handleEvent(ctx, now, fleet.UrgentReportsPending{UrgentReports: c.takeReports(now)})
+		c.handleEvent(ctx, now, fleet.UrgentReportsPending{UrgentReports: c.takeUrgentReports(now)})
 	}
 }
 
-// takeReports returns the reports to send in the next digest.
-func (c *Control) takeReports(now time.Time) fleet.UrgentReports {
+// takeUrgentReports returns the departures and poison reports for the next digest.
+func (c *Control) takeUrgentReports(now time.Time) fleet.UrgentReports {
 	c.poisonReportPending = false
 	reports := c.traffic.poisonGuard.takeReport(now)
 	reports.Departures = c.departures.takeBatch()
@@ -235,7 +235,7 @@
 func (c *Control) reportDeparture(d placement.Departure) {
 	c.submit(func(now time.Time) {
 		c.departures.add([]placement.Departure{d})
-		c.handleEvent(c.ctx, now, fleet.UrgentReportsPending{UrgentReports: c.takeReports(now)})
+		c.handleEvent(c.ctx, now, fleet.UrgentReportsPending{UrgentReports: c.takeUrgentReports(now)})
 	})
 }
 
@@ -257,7 +257,7 @@
 	case fleet.ReportReceived:
 		c.applyReport(now, a)
 	case fleet.ReportsDiscarded:
-		c.traffic.forgetLoads(a.Sources)
+		c.traffic.forgetSources(a.Sources)
 	case fleet.SuspectsSynced:
 		c.traffic.poisonGuard.markSuspectsSynced()
 	case fleet.RoleChanged:
@@ -265,15 +265,15 @@
 	case fleet.PeerUp:
 		c.log.Line(eventlog.PeerUp).Str("peer", string(a.Peer)).Bool("restarted", a.Restarted).Msg("")
 	case fleet.PeerDown:
-		c.traffic.forgetLoads([]uint32{a.Source})
+		c.traffic.forgetSources([]uint32{a.Source})
 		c.log.Line(eventlog.PeerDown).Str("peer", string(a.Peer)).Dur("silent", a.SilentFor).Msg("")
 	case fleet.StoreStateChanged:
 		c.log.Line(eventlog.StoreChanged).Bool("reading", a.Reading).Bool("reachable", a.Reachable).Msg("")
 	}
 }
 
-// applyReport applies what another router reported: loads, outcomes, prefix reads, departures and
-// poison reports.
+// applyReport applies what a source reported: loads, outcomes, prefix reads, departures and poison
+// reports.
 func (c *Control) applyReport(now time.Time, a fleet.ReportReceived) {
 	var ejected []string
 	c.traffic.mu.Lock()
@@ -285,7 +285,7 @@
 	c.traffic.mu.Unlock()
 	c.applyDepartures(now, a.Departures)
 	if !a.Poison.Empty() {
-		c.poisonReportPending = c.traffic.poisonGuard.mergeReport(now, a.Poison) || c.poisonReportPending
+		c.poisonReportPending = c.traffic.poisonGuard.receiveReport(now, a.Poison) || c.poisonReportPending
 	}
 	for _, id := range ejected {
 		c.log.Line(eventlog.TargetSuspended).Str("target", id).Str("why", "outlier").Msg("")
@@ -314,7 +314,8 @@
 // SetShutdownDeadline was called.
 func (c *Control) OpenEarlyRequests() int64 { return c.traffic.earlyRequests.Load() }
 
-// ApplySettings applies the retry and load limits in s. All other settings need a restart.
+// ApplySettings applies the ratio and slack of the retry budget and the load bounds in s. All other
+// settings need a restart.
 func (c *Control) ApplySettings(s Settings) {
 	c.traffic.mu.Lock()
 	defer c.traffic.mu.Unlock()
--- a/internal/app/gateway/copies.go
+++ b/internal/app/gateway/copies.go
@@ -41,8 +41,8 @@
 }
 
 type packedCopy struct {
-	key   copyKey
-	reply *peerv1.CopyResponse
+	key      copyKey
+	response *peerv1.CopyResponse
 }
 
 func newCopyServer(budget *fleet.CopyBudget) *copyServer {
@@ -52,19 +52,19 @@
 // ServeCopy answers a copy request from another router.
 func (c *Control) ServeCopy(ctx context.Context, req *peerv1.CopyRequest) (*peerv1.CopyResponse, error) {
 	type answer struct {
-		reply   *peerv1.CopyResponse
-		holders []fleet.Address
+		response *peerv1.CopyResponse
+		holders  []fleet.Address
 	}
-	reply := make(chan answer, 1)
+	response := make(chan answer, 1)
 	c.submit(func(now time.Time) {
-		reply <- answer{c.core.ServeCopy(req), c.core.TableHolders(now, fleet.Table(req.GetTable()), fleet.Address(req.GetAsker()))}
+		response <- answer{c.core.ServeCopy(req), c.core.TableHolders(now, fleet.Table(req.GetTable()), fleet.Address(req.GetAsker()))}
 	})
 	select {
-	case result := <-reply:
+	case result := <-response:
 		if !req.GetReadsPacked() {
-			return result.reply, nil
+			return result.response, nil
 		}
-		return c.copyServer.prepareReply(c.now(), req.GetTable(), result.reply, result.holders)
+		return c.copyServer.prepareResponse(c.now(), req.GetTable(), result.response, result.holders)
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-c.stopped:
@@ -72,9 +72,9 @@
 	}
 }
 
-// prepareReply packs a large reply. It returns a busy reply with the other holders of the copy
-// if the link budget is exhausted.
-func (c *copyServer) prepareReply(now time.Time, table uint32, r *peerv1.CopyResponse, holders []fleet.Address) (*peerv1.CopyResponse, error) {
+// prepareResponse packs a large response. It returns a busy response with the other holders of the
+// copy if the copy budget is exhausted.
+func (c *copyServer) prepareResponse(now time.Time, table uint32, r *peerv1.CopyResponse, holders []fleet.Address) (*peerv1.CopyResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if proto.Size(r) >= minPackBytes {
@@ -90,11 +90,11 @@
 	return r, nil
 }
 
-// pack returns a reply with its rows compressed.
+// pack returns a response with its rows compressed.
 func (c *copyServer) pack(table uint32, r *peerv1.CopyResponse) (*peerv1.CopyResponse, error) {
 	key := copyKey{version: r.GetVersion(), whole: r.GetWhole(), rows: len(r.GetRows()), firstRowVersion: r.GetRows()[0].GetVersion()}
 	if last, ok := c.packed[table]; ok && last.key == key {
-		return last.reply, nil
+		return last.response, nil
 	}
 	data, err := proto.Marshal(&peerv1.CopyResponse{Rows: r.GetRows()})
 	if err != nil {
@@ -111,12 +111,12 @@
 	if err := w.Close(); err != nil {
 		return nil, errors.Wrap(err, "pack copy")
 	}
-	reply := &peerv1.CopyResponse{Version: r.GetVersion(), Whole: r.GetWhole(), Packed: b.Bytes()}
-	c.packed[table] = packedCopy{key: key, reply: reply}
-	return reply, nil
+	response := &peerv1.CopyResponse{Version: r.GetVersion(), Whole: r.GetWhole(), Packed: b.Bytes()}
+	c.packed[table] = packedCopy{key: key, response: response}
+	return response, nil
 }
 
-// unpack returns a reply with its rows uncompressed. It fails if the packed data is invalid or
+// unpack returns a response with its rows uncompressed. It fails if the packed data is invalid or
 // larger than maxUnpackedBytes.
 func unpack(r *peerv1.CopyResponse) (*peerv1.CopyResponse, error) {
 	if len(r.GetPacked()) == 0 {
--- a/internal/app/gateway/copies_test.go
+++ b/internal/app/gateway/copies_test.go
@@ -26,16 +26,16 @@
 	It("are received unchanged, and large ones are packed once for all requests", func() {
 		c := newCopyServer(fleet.NewCopyBudget(now, 0))
 		state := copyOfSize(7, 300_000)
-		first, err := c.prepareReply(now, 0, state, nil)
+		first, err := c.prepareResponse(now, 0, state, nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(proto.Size(first)).To(BeNumerically("<", 30_000))
-		second, err := c.prepareReply(now, 0, proto.Clone(state).(*peerv1.CopyResponse), nil)
+		second, err := c.prepareResponse(now, 0, proto.Clone(state).(*peerv1.CopyResponse), nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(second).To(BeIdenticalTo(first))
 		got, err := unpack(second)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(proto.Equal(got, state)).To(BeTrue())
-		next, err := c.prepareReply(now, 0, copyOfSize(8, 300_000), nil)
+		next, err := c.prepareResponse(now, 0, copyOfSize(8, 300_000), nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(next.GetVersion()).To(Equal(uint64(8)))
 	})
@@ -54,7 +54,7 @@
 					r.Rows = append(r.Rows, copyOfSize(v, size.Draw(t, "size")/10*10).GetRows()...)
 					r.Rows[len(r.Rows)-1].Value = []byte(strings.Repeat(string(rune('a'+v)), minPackBytes))
 				}
-				answer, err := c.prepareReply(now, 1, r, nil)
+				answer, err := c.prepareResponse(now, 1, r, nil)
 				Expect(err).NotTo(HaveOccurred())
 				got, err := unpack(answer)
 				Expect(err).NotTo(HaveOccurred())
@@ -65,7 +65,7 @@
 
 	It("cause an error if they can't be unpacked", func() {
 		c := newCopyServer(fleet.NewCopyBudget(now, 0))
-		whole, err := c.prepareReply(now, 0, copyOfSize(7, 100_000), nil)
+		whole, err := c.prepareResponse(now, 0, copyOfSize(7, 100_000), nil)
 		Expect(err).NotTo(HaveOccurred())
 		random := rand.New(rand.NewPCG(1, 2))
 		for range 200 {
@@ -80,7 +80,7 @@
 
 	// Load: 59 routers request the same large copy at once and retry every 100 ms while they are
 	// refused. The link carries 1.25 MB/s.
-	It("are refused when the link budget is exhausted, except small ones", func() {
+	It("are refused when the copy budget is exhausted, except small ones", func() {
 		c := newCopyServer(fleet.NewCopyBudget(now, link))
 		state := copyOfSize(7, 6)
 		random := rand.New(rand.NewPCG(3, 4))
@@ -93,7 +93,7 @@
 		for round := range 20 {
 			at := now.Add(time.Duration(round) * 100 * time.Millisecond)
 			for range 59 - served {
-				r, err := c.prepareReply(at, 0, state, nil)
+				r, err := c.prepareResponse(at, 0, state, nil)
 				Expect(err).NotTo(HaveOccurred())
 				if !r.GetBusy() {
 					served++
@@ -103,7 +103,7 @@
 			if round == 0 {
 				Expect(served).To(Equal(3), "three copies fit into 80 ms of the link")
 			}
-			small, err := c.prepareReply(at, 1, copyOfSize(9, 1000), nil)
+			small, err := c.prepareResponse(at, 1, copyOfSize(9, 1000), nil)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(small.GetBusy()).To(BeFalse())
 		}
--- a/internal/app/gateway/inforce.go
+++ b/internal/app/gateway/inforce.go
@@ -89,8 +89,8 @@
 }
 
 // staleAfterShare is the fraction of MaxApplyDelay after which a router stops serving if at least
-// half of the others have a newer desired state that it can't get. A change normally arrives within
-// milliseconds; the rest of the delay is left for requests that have already started.
+// half of those it hears have a newer desired state that it can't get. A change normally arrives
+// within milliseconds; the rest of the delay is left for requests that have already started.
 const staleAfterShare = 0.75
 
 // updateStaleness records whether other routers have a newer desired state, and whether they have
--- a/internal/app/gateway/keep.go
+++ b/internal/app/gateway/keep.go
@@ -46,7 +46,7 @@
 	switch {
 	case !guard.hasSyncedSuspects():
 		due = time.After(suspectLoadInterval)
-	case guard.suspectCount.Load() > 0 || len(st.storedLevels) > 0:
+	case guard.refusedCount.Load() > 0 || len(st.storedLevels) > 0:
 		due = time.After(suspectSaveInterval)
 	}
 	select {
@@ -141,7 +141,7 @@
 	defer g.mu.Unlock()
 	g.detector.Restore(now, stored)
 	g.suspectsSynced = true
-	g.updateSuspectCount()
+	g.updateRefusedCount()
 }
 
 // suspectsToSave returns the suspects that this router must write because it is their home router,
--- a/internal/app/gateway/leaving_test.go
+++ b/internal/app/gateway/leaving_test.go
@@ -226,7 +226,7 @@
 		start := func(address string, s gateway.Store) *gateway.Control {
 			c := gateway.NewControl(gateway.Settings{
 				Name: address, Address: address, Seeds: []string{"10.0.0.1:1", "10.0.0.2:1"}, ReadStoreAtStart: true,
-				MaxApplyDelay: maxDelay, MaxDepartureDelay: maxDelay, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
+				MaxApplyDelay: maxDelay, MaxDepartureDelay: maxDelay, LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetrySpan: 10 * time.Second,
 			}, s, stateDecoder{}, &meshPeers{from: address, mesh: m}, sent, eventlog.Nop(), time.Now)
 			m.mu.Lock()
 			m.routers[address] = c
@@ -277,10 +277,10 @@
 }
 
 var _ = Describe("a copy request", func() {
-	// Guards against packed or busy replies to routers of an earlier release, which can't read
+	// Guards against packed or busy responses to routers of an earlier release, which can't read
 	// them. While half of a fleet runs that release, such a router would read a newer version
 	// without rows and consider itself up to date.
-	It("is answered with uncompressed rows unless the requester reads packed replies", func() {
+	It("is answered with uncompressed rows unless the requester reads packed responses", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		c := gateway.NewControl(gateway.Settings{Name: "r", Address: "10.0.0.1:1", ReadStoreAtStart: true, MaxApplyDelay: time.Second, LinkBytesPerSecond: 1000},
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -23,8 +23,8 @@
 // passes it the reports of other routers. It is safe for concurrent use.
 type poisonGuard struct {
 	self string
-	// suspectCount is the number of refused requests. While it is 0, admit takes no lock.
-	suspectCount atomic.Int64
+	// refusedCount is the number of refused requests. While it is 0, admit takes no lock.
+	refusedCount atomic.Int64
 
 	mu             sync.Mutex
 	detector       *poison.Detector
@@ -40,7 +40,7 @@
 
 // admit decides whether a request may be sent to a target.
 func (g *poisonGuard) admit(now time.Time, f poison.Fingerprint) poison.Decision {
-	if g.suspectCount.Load() == 0 || ablate.IsOff(ablate.Poison) {
+	if g.refusedCount.Load() == 0 || ablate.IsOff(ablate.Poison) {
 		return poison.Decision{}
 	}
 	g.mu.Lock()
@@ -53,7 +53,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.detector.RecordAnswer(now, f)
-	g.updateSuspectCount()
+	g.updateRefusedCount()
 }
 
 func (g *poisonGuard) endTrial(now time.Time, f poison.Fingerprint) {
@@ -71,21 +71,22 @@
 	}
 }
 
-// mergeReport merges another router's poison report and reports whether entries must be forwarded
-// at once.
-func (g *poisonGuard) mergeReport(now time.Time, report poison.Report) (mustForward bool) {
+// receiveReport applies another router's poison report and reports whether entries must be
+// forwarded at once.
+func (g *poisonGuard) receiveReport(now time.Time, report poison.Report) (mustForward bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.detector.ReceiveReport(now, report)
-	g.updateSuspectCount()
+	g.updateRefusedCount()
 	return g.detector.HasUrgentReport()
 }
 
-// takeReport returns the poison report for the next digest, with all suspects of this router.
+// takeReport returns the poison report for the next digest, with all suspects that this router
+// holds. The caller adds the departures.
 func (g *poisonGuard) takeReport(now time.Time) fleet.UrgentReports {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return fleet.UrgentReports{Poison: g.detector.NextReport(now), HeldSuspects: g.detector.ListSuspects(now), SuspectsSynced: g.suspectsSynced}
+	return fleet.UrgentReports{Poison: g.detector.TakeReport(now), HeldSuspects: g.detector.ListSuspects(now), SuspectsSynced: g.suspectsSynced}
 }
 
 // tick expires probes and suspects, and sets the routers that are alive.
@@ -99,12 +100,12 @@
 		}
 	}
 	changes := g.detector.Tick(now)
-	g.updateSuspectCount()
+	g.updateRefusedCount()
 	return changes
 }
 
-// updateSuspectCount must be called with mu held, after each change of the detector.
-func (g *poisonGuard) updateSuspectCount() { g.suspectCount.Store(int64(g.detector.SuspectCount())) }
+// updateRefusedCount must be called with mu held, after each change of the detector.
+func (g *poisonGuard) updateRefusedCount() { g.refusedCount.Store(int64(g.detector.RefusedCount())) }
 
 // markSuspectsSynced records that this router has received the fleet's suspects.
 func (g *poisonGuard) markSuspectsSynced() {
@@ -225,7 +226,7 @@
 // requests again. Without the probe, a request would find out that the connection is refused, and
 // its caller would wait for another target.
 func (c *Control) probeExitedTargets(ctx context.Context, now time.Time) {
-	for _, t := range c.traffic.exitedTargetsToProbe(now) {
+	for _, t := range c.traffic.takeExitedTargetsToProbe(now) {
 		go func() {
 			err := probePort(ctx, t.Address)
 			c.traffic.recordProbe(c.now(), t.UID, err == nil)
--- a/internal/app/gateway/reads.go
+++ b/internal/app/gateway/reads.go
@@ -52,22 +52,22 @@
 	callCtx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
 	startedAt := c.now()
-	reply, err := c.peers.RequestCopy(callCtx, string(a.Peer), req)
-	size := proto.Size(reply)
+	response, err := c.peers.RequestCopy(callCtx, string(a.Peer), req)
+	size := proto.Size(response)
 	if err == nil {
-		reply, err = unpack(reply)
+		response, err = unpack(response)
 	}
 	switch {
 	case err != nil:
-		reply = nil
+		response = nil
 		c.log.Line(eventlog.TableCopyFailed).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Err(err).Msg("")
-	case reply.GetBusy():
+	case response.GetBusy():
 		c.log.Line(eventlog.TableCopyRefused).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Msg("")
-		c.postEvent(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Busy: true, Holders: fleet.DecodeAddresses(reply.GetHolders())})
+		c.postEvent(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Busy: true, Holders: fleet.DecodeAddresses(response.GetHolders())})
 		return
 	default:
-		c.log.Line(eventlog.TableCopied).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Uint64("row", reply.GetVersion()).
-			Bool("whole", reply.GetWhole()).Int("bytes", size).Dur("took", c.now().Sub(startedAt)).Msg("")
+		c.log.Line(eventlog.TableCopied).Str("peer", string(a.Peer)).Str("table", a.Table.String()).Uint64("row", response.GetVersion()).
+			Bool("whole", response.GetWhole()).Int("bytes", size).Dur("took", c.now().Sub(startedAt)).Msg("")
 	}
-	c.postEvent(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Response: reply})
+	c.postEvent(ctx, fleet.CopyCompleted{From: a.Peer, Table: a.Table, Response: response})
 }
--- a/internal/app/gateway/relay.go
+++ b/internal/app/gateway/relay.go
@@ -44,7 +44,8 @@
 	RetryDenied   bool
 	FirstByteTime time.Duration // time to the first byte of the answer; 0 if none
 	TotalTime     time.Duration
-	// Objective is the route's objective for the time to the first byte; 0 if none.
+	// Objective is the route's objective for the time to the answer, or to the first event of a
+	// stream; 0 if none.
 	Objective time.Duration
 }
 
@@ -120,8 +121,8 @@
 	return "rank_" + strconv.Itoa(*m.team.Priority)
 }
 
-// priority returns the request's priority, which admission calls its rank: the team's if it has
-// one, else the route's.
+// priority returns the request's priority: the team's if it has one, else the route's. Log lines
+// call it rank.
 func (m *MatchedRequest) priority() int {
 	if m.team != nil && m.team.Priority != nil {
 		return *m.team.Priority
@@ -219,7 +220,7 @@
 	var cancel context.CancelFunc
 	r.ctx, cancel = context.WithDeadline(ctx, r.deadline.Add(answerGrace))
 	defer cancel()
-	p.traffic.countRequest(m.startedAt, m.pool)
+	p.traffic.recordRequest(m.startedAt, m.pool)
 	action := r.attemptNext()
 	for action.Kind == attempt.RequestTicket {
 		action = r.retry()
--- a/internal/app/gateway/run.go
+++ b/internal/app/gateway/run.go
@@ -26,7 +26,7 @@
 	// owners, so it grants them itself, after placement and admission.
 	machine  *attempt.Machine
 	ctx      context.Context
-	deadline time.Time // until which the caller waits for an answer
+	deadline time.Time // start plus the timeout of the caller or the route, see Proxy.Serve
 
 	retries     int
 	retryDenied bool
@@ -55,7 +55,7 @@
 // retry sends the request to another target if the retry budget allows it.
 func (r *openRequest) retry() attempt.Action {
 	p := r.proxy
-	if headroom, ok := p.traffic.takeRetry(p.now(), r.match.pool); !ok {
+	if headroom, ok := p.traffic.tryRetry(p.now(), r.match.pool); !ok {
 		r.retryDenied = true
 		r.logLine(eventlog.RetryDenied).Str("pool", r.match.pool).Int("repeats", headroom.Retries).Float64("allowed", headroom.Allowed).
 			Float64("requests", headroom.Requests).Float64("slack", headroom.Slack).Msg("")
@@ -83,9 +83,9 @@
 		defer func() { p.traffic.poisonGuard.endTrial(p.now(), r.fingerprint) }()
 	}
 	choice, decision, ok := p.traffic.placeRequest(now, placement.Request{
-		Pool: r.match.pool, Chat: r.match.call.ChatHash, PromptPrefixes: r.match.call.PromptPrefixes, PromptTokens: r.match.call.PromptTokens,
+		Pool: r.match.pool, ChatHash: r.match.call.ChatHash, PromptPrefixes: r.match.call.PromptPrefixes, PromptTokens: r.match.call.PromptTokens,
 		Objective: r.match.route.Objective, Excluded: r.machine.Excluded(),
-	}, admission.Request{Team: r.match.teamName(), Rank: r.match.priority(), RouteRank: r.match.route.Priority, Remaining: r.deadline.Sub(now), Objective: r.match.route.Objective}, r.machine.MayHaveExecuted())
+	}, admission.Request{Team: r.match.teamName(), Priority: r.match.priority(), RoutePriority: r.match.route.Priority, Remaining: r.deadline.Sub(now), Objective: r.match.route.Objective}, r.machine.MayHaveExecuted())
 	switch {
 	case !ok:
 		return r.machine.Step(attempt.TicketRefused{Code: p.traffic.noTargetCode(now, r.match.pool)})
@@ -104,7 +104,7 @@
 	}
 	a.recordFirstEvent(false)
 	took := p.now().Sub(now)
-	if p.traffic.finishAttempt(p.now(), r.match.pool, r.match.teamName(), choice.Target.UID, a.finalOutcome(), took, a.loadSignal(took)) {
+	if p.traffic.finishAttempt(p.now(), r.match.pool, r.match.teamName(), choice.Target.UID, a.placementOutcome(), took, a.admissionOutcome(took)) {
 		r.logLine(eventlog.TargetSuspended).Str("target", choice.Target.ID).Str("why", a.failure).Msg("")
 	}
 	if a.failure != "" {
@@ -132,7 +132,7 @@
 		// The target's own error tells the caller more than a result code.
 		r.sendAnswer(r.targetError.status, r.targetError.header, r.targetError.body)
 	case r.firstByteAt.IsZero():
-		if wait := p.traffic.availableAfter(p.now(), r.match.pool); wait > 0 && r.minRetryAfter == 0 && isTargetUnavailable(c) {
+		if wait := p.traffic.unavailableRetryAfter(p.now(), r.match.pool); wait > 0 && r.minRetryAfter == 0 && isTargetUnavailable(c) {
 			r.minRetryAfter = wait
 		}
 		retryAfter := r.retryAfter
--- a/internal/app/gateway/said.go
+++ b/internal/app/gateway/said.go
@@ -29,7 +29,7 @@
 			p.observer.CountSignal(signal)
 		}
 	}
-	p.traffic.setPause(p.now(), t.choice.Target.UID, info.PauseDuration)
+	p.traffic.markPaused(p.now(), t.choice.Target.UID, info.PauseDuration)
 	if info.Leaving && p.traffic.markLeaving(p.now(), t.choice.Target.UID) {
 		p.reportDeparture(placement.Departure{Target: t.choice.Target.UID, Announced: true})
 	}
--- a/internal/app/gateway/said_test.go
+++ b/internal/app/gateway/said_test.go
@@ -57,7 +57,7 @@
 		up := &slowDialUpstream{sent: make(map[uint64]int)}
 		c := gateway.NewControl(gateway.Settings{
 			Name: "r", Address: "10.0.0.1:1", ReadStoreAtStart: true, FirstStart: true, MaxApplyDelay: time.Second, MaxDepartureDelay: time.Second,
-			LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second,
+			LoadMultiple: 2, LoadSlack: 3, RetryRatio: 0.2, RetrySlack: 58, RetrySpan: 10 * time.Second,
 		}, store, stateDecoder{}, &meshPeers{from: "10.0.0.1:1", mesh: &mesh{routers: make(map[string]*gateway.Control)}}, up, eventlog.Nop(), time.Now)
 		go c.Run(ctx)
 		Eventually(c.Ready, 3*time.Second).Should(BeTrue())
--- a/internal/app/gateway/settings.go
+++ b/internal/app/gateway/settings.go
@@ -21,11 +21,11 @@
 	// the time within which a leaving target must stop receiving requests.
 	MaxApplyDelay     time.Duration
 	MaxDepartureDelay time.Duration
-	// RetryRatio, RetrySlack and RetryWindow define the retry budget of the fleet: in any span of
-	// length RetryWindow, retries <= RetryRatio * requests + RetrySlack. See retry.Window.
-	RetryRatio  float64
-	RetrySlack  float64
-	RetryWindow time.Duration
+	// RetryRatio, RetrySlack and RetrySpan define the retry budget of the fleet: in any span of
+	// length RetrySpan, retries <= RetryRatio * requests + RetrySlack. See retry.Window.
+	RetryRatio float64
+	RetrySlack float64
+	RetrySpan  time.Duration
 	// LoadMultiple and LoadSlack bound the open requests of a target, see placement.Settings.
 	LoadMultiple float64
 	LoadSlack    float64
--- a/internal/app/gateway/status.go
+++ b/internal/app/gateway/status.go
@@ -13,7 +13,7 @@
 	DesiredVersion       uint64
 	DesiredAge           time.Duration  // time since the desired state was applied
 	TargetsAge           time.Duration  // time since the target list changed
-	LivePeers            int            // other routers alive
+	AlivePeers           int            // other routers alive
 	DirectPeers          int            // live peers heard directly
 	IsRelay              bool           // this router is a relay of its data centre
 	Feeder               string         // address of this router's feeder; empty if none
@@ -30,7 +30,7 @@
 	c.submitAndWait(func(now time.Time) {
 		s = Status{
 			Ready: c.Ready(), StoreReader: c.core.ReadsStore(), DesiredVersion: c.desiredVersion,
-			EvacuatedDataCentres: c.evacuatedCount, DesiredAge: now.Sub(c.desiredAppliedAt), TargetsAge: now.Sub(c.targetsChangedAt), LivePeers: c.core.AliveCount(now), DirectPeers: c.core.DirectPeerCount(now),
+			EvacuatedDataCentres: c.evacuatedCount, DesiredAge: now.Sub(c.desiredAppliedAt), TargetsAge: now.Sub(c.targetsChangedAt), AlivePeers: c.core.AliveCount(now), DirectPeers: c.core.DirectPeerCount(now),
 		}
 		var feeder fleet.Address
 		s.IsRelay, feeder = c.core.Role()
@@ -39,7 +39,7 @@
 			s.FeedAge = now.Sub(at)
 		}
 	})
-	s.Suspects = int(c.traffic.poisonGuard.suspectCount.Load())
+	s.Suspects = int(c.traffic.poisonGuard.refusedCount.Load())
 	c.traffic.mu.Lock()
 	defer c.traffic.mu.Unlock()
 	s.ColdTargets = c.traffic.balancer.CountCold(c.now())
--- a/internal/app/gateway/targets.go
+++ b/internal/app/gateway/targets.go
@@ -15,12 +15,12 @@
 	targets, rejected := c.cachedTargets.update(rows)
 	rejected = append(rejected, c.rejectUnknownPools(targets)...)
 	c.rejections.record(rejected, source)
-	activeBefore := c.targetSet.ActiveTargets()
-	restarted := c.targetSet.Update(now, version, targets, c.rejections.keys())
-	departures, departed := c.targetSet.DeparturesSince(activeBefore, c.cachedTargets.has)
+	nonLeavingBefore := c.targetSet.NonLeavingTargets()
+	ended := c.targetSet.Update(now, version, targets, c.rejections.keys())
+	departures, departed := c.targetSet.DeparturesSince(nonLeavingBefore, c.cachedTargets.has)
 	c.departures.add(departures)
 	c.publishTargets(now)
-	for _, t := range restarted {
+	for _, t := range ended {
 		n := c.traffic.openAttempts.cancelRestarted(t.UID)
 		c.log.Line(eventlog.TargetRestarted).Str("target", t.ID).Int64("started", t.StartedAtMs).Int("attempts", n).Msg("")
 	}
--- a/internal/app/gateway/try.go
+++ b/internal/app/gateway/try.go
@@ -43,11 +43,11 @@
 // errSilent cancels an attempt whose target was silent for too long.
 var errSilent = errors.New("target is silent")
 
-// finalOutcome returns the attempt's outcome for placement. It is Neutral if the target's silence
-// has already been recorded: recording the failure again seconds later, at the deadline, could
-// suspend a target that has recovered. It is also Neutral if the lifetime has ended, or if this
-// router cancelled the attempt because the request became suspected.
-func (t *targetAttempt) finalOutcome() placement.Outcome {
+// placementOutcome returns the attempt's outcome for placement. It is Neutral if the target's
+// silence has already been recorded: recording the failure again seconds later, at the deadline,
+// could suspend a target that has recovered. It is also Neutral if the lifetime has ended, or if
+// this router cancelled the attempt because the request became suspected.
+func (t *targetAttempt) placementOutcome() placement.Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if (t.silenceCounted && t.outcome == placement.Failed) || t.failure == failureRestarted || t.failure == failureSuspected {
@@ -56,8 +56,9 @@
 	return t.outcome
 }
 
-// loadSignal returns what the attempt shows about the target's load.
-func (t *targetAttempt) loadSignal(took time.Duration) admission.Outcome {
+// admissionOutcome returns the attempt's outcome for admission: what it shows about the target's
+// load.
+func (t *targetAttempt) admissionOutcome(took time.Duration) admission.Outcome {
 	objective := t.request.match.route.Objective
 	switch {
 	case t.failure == failureNotExecuted:
@@ -159,7 +160,7 @@
 // confirmSend reports whether the request may be sent now. Opening a connection may take some
 // tenths of a second; the target may have announced its shutdown or a pause meanwhile.
 func (t *targetAttempt) confirmSend() bool {
-	if !t.request.proxy.traffic.maySend(t.request.proxy.now(), t.choice) {
+	if !t.request.proxy.traffic.confirmPlacement(t.request.proxy.now(), t.choice) {
 		return false
 	}
 	t.request.machine.Step(attempt.WriteStarted{Attempt: t.number})
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -27,8 +27,9 @@
 	// earlyRequests is the number of open requests accepted before shutdownDeadline was set.
 	earlyRequests atomic.Int64
 	ready         atomic.Bool
-	// behind is true if any live router has a newer desired state. stale is true if at least half
-	// of them have had one for so long that this router must not serve by its own any more.
+	// behind is true if a router that this one receives digests from has a newer desired state.
+	// stale is true if at least half of these routers have had one for so long that this router
+	// must not serve by its own any more.
 	behind, stale atomic.Bool
 
 	// retentionNanos is how long targets remain in use after their removal from the target list, in
@@ -46,7 +47,7 @@
 	gates           map[string]*admission.Gate
 	retryBudgets    map[string]*retry.Window
 	retryLimits     retry.Limits
-	retryWindow     time.Duration
+	retrySpan       time.Duration
 	loadsReportedAt time.Time // when another router last reported its loads
 }
 
@@ -89,13 +90,13 @@
 	return fleet.TickInterval + now.Sub(t.loadsReportedAt)
 }
 
-// finishAttempt removes an attempt from the open requests of its target and records its outcome. It
-// reports whether the target is now suspended or ejected.
-func (t *trafficState) finishAttempt(now time.Time, pool, team string, target uint64, outcome placement.Outcome, took time.Duration, loadSignal admission.Outcome) (suspended bool) {
+// finishAttempt removes an attempt from the open requests of its target and records its outcome for
+// placement and for admission. It reports whether the target is suspended or ejected as a result.
+func (t *trafficState) finishAttempt(now time.Time, pool, team string, uid uint64, outcome placement.Outcome, took time.Duration, admissionOutcome admission.Outcome) (suspended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.poolGate(pool).RecordEnd(now, team, took, loadSignal)
-	return t.balancer.FinishRequest(now, target, outcome)
+	t.poolGate(pool).RecordEnd(now, team, took, admissionOutcome)
+	return t.balancer.FinishRequest(now, uid, outcome)
 }
 
 // poolGate returns the admission gate of a pool, which it creates on first use.
@@ -109,53 +110,54 @@
 }
 
 // isLeavingOrRemoved reports whether a target is leaving or was removed from the target list.
-func (t *trafficState) isLeavingOrRemoved(target uint64) bool {
+func (t *trafficState) isLeavingOrRemoved(uid uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.balancer.IsLeavingOrRemoved(target)
+	return t.balancer.IsLeavingOrRemoved(uid)
 }
 
 // markLeaving records that a target announced its shutdown and reports whether that is new.
-func (t *trafficState) markLeaving(now time.Time, target uint64) bool {
+func (t *trafficState) markLeaving(now time.Time, uid uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.balancer.MarkLeaving(now, target)
+	return t.balancer.MarkLeaving(now, uid)
 }
 
 // markExited records that a target's process has exited and reports whether that is new.
-func (t *trafficState) markExited(now time.Time, target uint64) bool {
+func (t *trafficState) markExited(now time.Time, uid uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.balancer.MarkExited(now, target)
+	return t.balancer.MarkExited(now, uid)
 }
 
-// exitedTargetsToProbe returns the targets that are believed to have exited and are due for a
-// probe.
-func (t *trafficState) exitedTargetsToProbe(now time.Time) []placement.Target {
+// takeExitedTargetsToProbe returns the targets that are believed to have exited and are due for a
+// probe, and counts them as probed.
+func (t *trafficState) takeExitedTargetsToProbe(now time.Time) []placement.Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.balancer.TakeExitedTargetsToProbe(now)
 }
 
 // recordProbe records whether a target believed to have exited accepts connections.
-func (t *trafficState) recordProbe(now time.Time, target uint64, accepts bool) {
+func (t *trafficState) recordProbe(now time.Time, uid uint64, accepts bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.balancer.RecordProbe(now, target, accepts)
+	t.balancer.RecordProbe(now, uid, accepts)
 }
 
-// setPause records a target's pause for this router; d is 0 if the target announced none.
-func (t *trafficState) setPause(now time.Time, target uint64, d time.Duration) {
+// markPaused records that a target wants no requests from this router for d. It has no effect if d
+// is 0.
+func (t *trafficState) markPaused(now time.Time, uid uint64, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.balancer.MarkPaused(now, target, d)
+	t.balancer.MarkPaused(now, uid, d)
 }
 
 // markCold records how long a target remains cold and reports whether that is new.
-func (t *trafficState) markCold(now time.Time, target uint64, d time.Duration) bool {
+func (t *trafficState) markCold(now time.Time, uid uint64, d time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.balancer.MarkCold(now, target, d)
+	return t.balancer.MarkCold(now, uid, d)
 }
 
 // setFleet sets the fleet, from which the routers that may send to a cold target are selected.
@@ -165,8 +167,9 @@
 	t.balancer.SetFleet(f)
 }
 
-// maySend reports whether a placed request may still be sent to its target.
-func (t *trafficState) maySend(now time.Time, c placement.Choice) bool {
+// confirmPlacement reports whether a placed request may still be sent to its target. If so and the
+// target is cold, it counts the request as sent.
+func (t *trafficState) confirmPlacement(now time.Time, c placement.Choice) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.balancer.ConfirmPlacement(now, c)
@@ -194,48 +197,48 @@
 	return t.balancer.SetEvacuated(now, dataCentres)
 }
 
-// availableAfter returns the time until the first target of a pool accepts requests if all of them
-// are paused or all are cold; 0 otherwise.
-func (t *trafficState) availableAfter(now time.Time, pool string) time.Duration {
+// unavailableRetryAfter returns when callers should retry, before jitter, if all active targets of
+// a pool are paused or all are cold; 0 otherwise.
+func (t *trafficState) unavailableRetryAfter(now time.Time, pool string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return max(t.balancer.PausedRetryAfter(now, pool), t.balancer.ColdRetryAfter(now, pool))
 }
 
 // targetID returns the ID of a target by its lifetime's UID; empty if unknown.
-func (t *trafficState) targetID(target uint64) string {
+func (t *trafficState) targetID(uid uint64) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.balancer.TargetID(target)
+	return t.balancer.TargetID(uid)
 }
 
 // recordSilence records that a target is silent while the request still waits. It reports whether
-// the target is now suspended.
-func (t *trafficState) recordSilence(now time.Time, target uint64) (suspended bool) {
+// the target is suspended or ejected as a result.
+func (t *trafficState) recordSilence(now time.Time, uid uint64) (suspended bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.balancer.RecordSilence(now, target)
+	return t.balancer.RecordSilence(now, uid)
 }
 
 // retryBudget returns the retry budget of a pool, which it creates on first use.
 func (t *trafficState) retryBudget(now time.Time, pool string) *retry.Window {
 	w, ok := t.retryBudgets[pool]
 	if !ok {
-		w = retry.NewWindow(now, t.retryWindow)
+		w = retry.NewWindow(now, t.retrySpan)
 		t.retryBudgets[pool] = w
 	}
 	return w
 }
 
-func (t *trafficState) countRequest(now time.Time, pool string) {
+func (t *trafficState) recordRequest(now time.Time, pool string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.retryBudget(now, pool).RecordRequest(now)
 }
 
-// takeRetry takes one retry from the pool's budget. If ok is false, the budget is exhausted and
-// headroom shows what it allows.
-func (t *trafficState) takeRetry(now time.Time, pool string) (headroom retry.Headroom, ok bool) {
+// tryRetry counts a retry if the pool's budget allows it. If ok is false, the budget is exhausted
+// and headroom shows what it allows.
+func (t *trafficState) tryRetry(now time.Time, pool string) (headroom retry.Headroom, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	w := t.retryBudget(now, pool)
@@ -245,15 +248,16 @@
 	return w.TightestHeadroom(now, t.retryLimits), false
 }
 
-// forgetLoads drops the loads reported by the given routers, or all reports if sources is empty.
-func (t *trafficState) forgetLoads(sources []uint32) {
+// forgetSources drops the loads that the given sources reported, or all reported loads if sources
+// is empty. See fleet.ReportReceived for sources.
+func (t *trafficState) forgetSources(sources []uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(sources) == 0 {
-		t.balancer.ForgetAllRouters()
+		t.balancer.ForgetAllSources()
 	}
 	for _, s := range sources {
-		t.balancer.ForgetRouter(s)
+		t.balancer.ForgetSource(s)
 	}
 }
 
@@ -267,14 +271,14 @@
 	return now.Sub(t.loadsReportedAt)
 }
 
-// maxPrefixReadsPerDigest bounds the prefix reads reported in a digest. They take 16 bytes each and
-// must fit into one packet.
-const maxPrefixReadsPerDigest = 32
+// maxOwnPrefixReadsPerDigest bounds this router's own prefix reads in a digest. They take 16 bytes
+// each and must fit into one packet. Package fleet bounds those that a relay passes on.
+const maxOwnPrefixReadsPerDigest = 32
 
 // digestContent returns the router's own loads, target outcomes and prefix reads for the next
 // digest.
 func (t *trafficState) digestContent(now time.Time) fleet.Tick {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return fleet.Tick{Loads: t.balancer.OwnLoads(), Outcomes: t.balancer.OutcomesToReport(now), PrefixReads: t.balancer.TakePrefixReads(maxPrefixReadsPerDigest)}
+	return fleet.Tick{Loads: t.balancer.OwnLoads(), Outcomes: t.balancer.OutcomesToReport(now), PrefixReads: t.balancer.TakePrefixReads(maxOwnPrefixReadsPerDigest)}
 }
--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,6 +1,6 @@
 // Package admission decides whether a request that has a target is sent to it or refused. A request
 // that can't be answered in its remaining time would only delay others. If it is refused at once,
-// its caller can come back when the target has free slots.
+// its caller can retry when the target has free slots.
 package admission
 
 import (
@@ -20,13 +20,13 @@
 
 // Request describes a request that asks for admission.
 type Request struct {
-	Team string // empty if the request has no team
-	Rank int    // 0 is the most urgent; the team's rank if it has one
-	// RouteRank is the rank of the route. It decides between requests of equal Rank.
-	RouteRank int
-	Remaining time.Duration // time until the caller gives up
-	// Objective is the longest time to the first byte that counts as in time; 0 if the route has no
-	// objective.
+	Team     string // empty if the request has no team
+	Priority int    // 0 is the most urgent; the team's priority if it has one
+	// RoutePriority is the priority of the route. It decides between requests of equal Priority.
+	RoutePriority int
+	Remaining     time.Duration // time until the request's deadline
+	// Objective is the route's objective for the time to the answer, or to the first event of a
+	// stream; 0 if it has none.
 	Objective time.Duration
 }
 
@@ -34,16 +34,16 @@
 type Decision struct {
 	Code code.Code     // OK if the request is sent
 	Wait time.Duration // estimated time until a slot is free
-	// RetryAfter is when a refused caller should come back, before jitter. For a request that is
-	// sent it applies if the target refuses it; 0 if the result code alone decides.
+	// RetryAfter is when a refused caller should retry, before jitter. For a request that is sent
+	// it applies if the target refuses it; 0 if the result code alone decides.
 	RetryAfter time.Duration
 }
 
 const (
-	// maxWaitShare is the share of its remaining time that a request of the most urgent rank may
-	// wait; the rest is for its execution. The share is divided by 2 for the next rank, by 3 for
-	// the one after it, and so on. So the less urgent requests are refused first under overload,
-	// and the queue keeps room for urgent ones that follow.
+	// maxWaitShare is the share of its remaining time that a request of the most urgent priority
+	// may wait; the rest is for its execution. The share is divided by 2 for the next priority, by
+	// 3 for the one after it, and so on. So the less urgent requests are refused first under
+	// overload, and the queue keeps room for urgent ones that follow.
 	maxWaitShare = 0.6
 	// objectiveShare is the share of its objective that a request may wait. A pool completes as
 	// many requests with a short queue as with a long one, but behind a long queue all answers are
@@ -51,14 +51,14 @@
 	objectiveShare = 0.25
 	// yieldShare is the share of a route's requests that are refused instead of waiting, for each
 	// more urgent route with recent requests at the pool. It orders the routes without starving the
-	// last one. A shorter wait per rank would starve it: one more urgent request in the queue would
-	// keep out all others.
+	// last one. A shorter wait per priority would starve it: one more urgent request in the queue
+	// would keep out all others.
 	yieldShare = 0.15
-	// shortWorkRetryShare is the share of the objective after which a caller comes back to a pool
-	// of short work, see HasShortWork.
+	// shortWorkRetryShare is the share of the objective after which a caller retries at a pool of
+	// short work, see HasShortWork.
 	shortWorkRetryShare = 0.35
-	// retryShare is the share of a refused caller's remaining time after which it comes back at the
-	// earliest. Overload lasts for seconds, so a caller that has time should come back later.
+	// retryShare is the share of a refused caller's remaining time after which it retries at the
+	// earliest. Overload lasts for seconds, so a caller that has time should retry later.
 	retryShare = 0.25
 	// maxTeamMultiple is the multiple of the mean open requests per team from which a team is over
 	// its share. 2 leaves room for large teams, and none for a team that sends many times its
@@ -72,8 +72,8 @@
 	minTeamRequests = 4
 	// demandWindow is how long a team or a route counts as active after its last request.
 	demandWindow = 5 * time.Second
-	// maxRank is the last rank that is distinguished. It bounds the size of Gate.demands.
-	maxRank = 9
+	// maxPriority is the last priority that is distinguished. It bounds the size of Gate.demands.
+	maxPriority = 9
 	// durationWeight is the weight of one request in the moving average of durations: about the
 	// last thirty requests count.
 	durationWeight = 0.033
@@ -99,11 +99,12 @@
 	throttleDebt  float64 // fraction of a request still to be refused by the throttle
 }
 
-// urgency orders requests by rank, and requests of equal rank by the ranks of their routes.
-type urgency struct{ rank, route int }
+// urgency orders requests by priority, and requests of equal priority by the priorities of their
+// routes.
+type urgency struct{ priority, routePriority int }
 
 func (u urgency) isMoreUrgentThan(o urgency) bool {
-	return u.rank < o.rank || (u.rank == o.rank && u.route < o.route)
+	return u.priority < o.priority || (u.priority == o.priority && u.routePriority < o.routePriority)
 }
 
 type team struct {
@@ -120,7 +121,7 @@
 func (g *Gate) Decide(now time.Time, r Request, l Load) Decision {
 	t := g.team(r.Team)
 	t.lastRequestAt = now
-	u := urgency{rank: min(max(r.Rank, 0), maxRank), route: min(max(r.RouteRank, 0), maxRank)}
+	u := urgency{priority: min(max(r.Priority, 0), maxPriority), routePriority: min(max(r.RoutePriority, 0), maxPriority)}
 	d := g.recordDemand(now, u, r.Objective)
 	if g.HasShortWork(l.ReportAge) && !ablate.IsOff(ablate.ShortWork) {
 		return g.decideByOutcomes(now, d, u, t, r)
@@ -163,9 +164,9 @@
 	return decision
 }
 
-// shortWorkRetryAfter returns when a caller should come back to a pool of short work that has no
-// free slot. Its queues are empty again within the time of a few requests, and a caller that comes
-// back within its objective still gets its answer in time.
+// shortWorkRetryAfter returns when a caller should retry at a pool of short work that has no free
+// slot. Its queues are empty again within the time of a few requests, and a caller that comes back
+// within its objective still gets its answer in time.
 func shortWorkRetryAfter(r Request) time.Duration {
 	if r.Objective > 0 {
 		return min(time.Duration(shortWorkRetryShare*float64(r.Objective)), r.Remaining)
@@ -175,7 +176,7 @@
 
 // mostUrgent returns the highest urgency with a recent request.
 func (g *Gate) mostUrgent(now time.Time) urgency {
-	highest := urgency{rank: maxRank, route: maxRank}
+	highest := urgency{priority: maxPriority, routePriority: maxPriority}
 	for u, d := range g.demands {
 		if u.isMoreUrgentThan(highest) && now.Sub(d.lastRequestAt) <= demandWindow {
 			highest = u
@@ -207,15 +208,15 @@
 	if ablate.IsOff(ablate.Rank) {
 		return maxWait
 	}
-	return maxWait / float64(1+u.rank)
+	return maxWait / float64(1+u.priority)
 }
 
 // mustYield reports whether a request that would have to wait is refused in favour of more urgent
-// routes of the same rank.
+// routes of the same priority.
 func (g *Gate) mustYield(now time.Time, u urgency) bool {
 	moreUrgent := 0
 	for o, d := range g.demands {
-		if o.rank == u.rank && o.route < u.route && now.Sub(d.lastRequestAt) <= demandWindow {
+		if o.priority == u.priority && o.routePriority < u.routePriority && now.Sub(d.lastRequestAt) <= demandWindow {
 			moreUrgent++
 		}
 	}
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -17,14 +17,14 @@
 
 // kind is one kind of request of a simulated load.
 type kind struct {
-	team   string
-	rank   int
-	perSec float64
-	budget time.Duration
-	work   time.Duration
-
-	routeRank int
-	objective time.Duration
+	team     string
+	priority int
+	perSec   float64
+	budget   time.Duration
+	work     time.Duration
+
+	routePriority int
+	objective     time.Duration
 }
 
 // outcome counts the results of the requests of one kind.
@@ -78,7 +78,7 @@
 			}
 			out[i].requested++
 			if gate != nil {
-				decision := gate.Decide(start.Add(now), admission.Request{Team: k.team, Rank: k.rank, RouteRank: k.routeRank, Remaining: k.budget, Objective: k.objective}, admission.Load{Open: len(running), Slots: slots})
+				decision := gate.Decide(start.Add(now), admission.Request{Team: k.team, Priority: k.priority, RoutePriority: k.routePriority, Remaining: k.budget, Objective: k.objective}, admission.Load{Open: len(running), Slots: slots})
 				if decision.Code != code.OK {
 					out[i].refused++
 					continue
@@ -103,7 +103,7 @@
 	const slots, work = 6, 15 * time.Millisecond
 
 	It("refuses nothing while slots are free", func() {
-		got := simulate(admission.NewGate(), slots, []kind{{team: "a", rank: 2, perSec: 200, budget: time.Second, work: work}})
+		got := simulate(admission.NewGate(), slots, []kind{{team: "a", priority: 2, perSec: 200, budget: time.Second, work: work}})
 		Expect(got[0].refused).To(BeZero())
 		Expect(got[0].inTimeShare()).To(BeNumerically(">", 0.98))
 	})
@@ -112,7 +112,7 @@
 	// each waits behind all earlier ones and is executed after its caller has given up: a tenth of
 	// the callers are served. Admission serves nearly as many as the target can execute.
 	It("serves as many requests as the target can execute under twice that load", func() {
-		kinds := []kind{{team: "a", rank: 2, perSec: 800, budget: time.Second, work: work}}
+		kinds := []kind{{team: "a", priority: 2, perSec: 800, budget: time.Second, work: work}}
 		none, gated := simulate(nil, slots, kinds)[0], simulate(admission.NewGate(), slots, kinds)[0]
 		Expect(none.inTimeShare()).To(BeNumerically("<", 0.35))
 		Expect(gated.inTimeShare()).To(BeNumerically(">", 0.45))
@@ -121,20 +121,20 @@
 
 	It("refuses the less urgent requests first", func() {
 		got := simulate(admission.NewGate(), slots, []kind{
-			{team: "a", rank: 0, perSec: 200, budget: time.Second, work: work}, {team: "b", rank: 2, perSec: 800, budget: time.Second, work: work},
+			{team: "a", priority: 0, perSec: 200, budget: time.Second, work: work}, {team: "b", priority: 2, perSec: 800, budget: time.Second, work: work},
 		})
 		Expect(got[0].inTimeShare()).To(BeNumerically(">", 0.95))
 		Expect(got[1].refused).To(BeNumerically(">", 3000))
 	})
 
 	// Guards against the most urgent route being refused more than the least urgent one under a
-	// burst. All teams have the same rank, which takes precedence over the routes' ranks. Requests
-	// with a longer objective may wait longer, and fill the queue until those with a short one are
-	// refused.
-	It("refuses the less urgent routes first where all teams have the same rank", func() {
-		chat := kind{team: "a", rank: 1, perSec: 316, budget: 8 * time.Second, work: 500 * time.Millisecond, routeRank: 0, objective: 300 * time.Millisecond}
-		draft := kind{team: "a", rank: 1, perSec: 84, budget: 10 * time.Second, work: 600 * time.Millisecond, routeRank: 1, objective: 600 * time.Millisecond}
-		tag := kind{team: "a", rank: 1, perSec: 228, budget: 2500 * time.Millisecond, work: 80 * time.Millisecond, routeRank: 2, objective: 400 * time.Millisecond}
+	// burst. All teams have the same priority, which takes precedence over the routes' priorities.
+	// Requests with a longer objective may wait longer, and fill the queue until those with a short
+	// one are refused.
+	It("refuses the less urgent routes first where all teams have the same priority", func() {
+		chat := kind{team: "a", priority: 1, perSec: 316, budget: 8 * time.Second, work: 500 * time.Millisecond, routePriority: 0, objective: 300 * time.Millisecond}
+		draft := kind{team: "a", priority: 1, perSec: 84, budget: 10 * time.Second, work: 600 * time.Millisecond, routePriority: 1, objective: 600 * time.Millisecond}
+		tag := kind{team: "a", priority: 1, perSec: 228, budget: 2500 * time.Millisecond, work: 80 * time.Millisecond, routePriority: 2, objective: 400 * time.Millisecond}
 		got := simulate(admission.NewGate(), 64, []kind{chat, draft, tag})
 		fmt.Fprintf(GinkgoWriter, "served: chat %.2f, draft %.2f, tag %.2f\n", got[0].inTimeShare(), got[1].inTimeShare(), got[2].inTimeShare())
 		Expect(got[0].inTimeShare()).To(BeNumerically(">", got[1].inTimeShare()))
@@ -144,11 +144,11 @@
 	})
 
 	// Guards against a pool that refuses a third of the load that it has slots for: its routes, all
-	// of the same low rank, yield to more urgent routes that send no requests.
+	// of the same low priority, yield to more urgent routes that send no requests.
 	It("yields nothing to routes without requests", func() {
-		low := kind{team: "a", rank: 1, perSec: 800, budget: time.Second, work: work, routeRank: 5}
+		low := kind{team: "a", priority: 1, perSec: 800, budget: time.Second, work: work, routePriority: 5}
 		first := low
-		first.routeRank = 0
+		first.routePriority = 0
 		Expect(simulate(admission.NewGate(), slots, []kind{low})).To(Equal(simulate(admission.NewGate(), slots, []kind{first})))
 	})
 
@@ -156,7 +156,7 @@
 	// load, as slots would go to whoever asks first.
 	It("keeps a team with a surge from taking the other teams' slots", func() {
 		got := simulate(admission.NewGate(), slots, []kind{
-			{team: "surge", rank: 2, perSec: 1000, budget: time.Second, work: work}, {team: "b", rank: 2, perSec: 60, budget: time.Second, work: work}, {team: "c", rank: 2, perSec: 60, budget: time.Second, work: work},
+			{team: "surge", priority: 2, perSec: 1000, budget: time.Second, work: work}, {team: "b", priority: 2, perSec: 60, budget: time.Second, work: work}, {team: "c", priority: 2, perSec: 60, budget: time.Second, work: work},
 		})
 		Expect(got[1].inTimeShare()).To(BeNumerically(">", 0.85))
 		Expect(got[2].inTimeShare()).To(BeNumerically(">", 0.85))
--- a/internal/core/admission/retryafter.go
+++ b/internal/core/admission/retryafter.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// stoppingRetryAfter is for callers of a router that is stopping: they come back at once, since
+	// stoppingRetryAfter is for callers of a router that is stopping: they retry at once, since
 	// another router serves them.
 	stoppingRetryAfter = 20 * time.Millisecond
 	// startingRetryAfter is for callers of a router that has just started or lags behind: other
@@ -16,11 +16,11 @@
 	startingRetryAfter = 250 * time.Millisecond
 )
 
-// RetryAfter returns when a caller that is refused with a code should come back, before jitter; 0
-// if coming back does not help. remaining is the time until the caller gives up.
+// RetryAfter returns when a caller that is refused with a code should retry, before jitter; 0 if
+// retrying does not help. remaining is the time until the request's deadline.
 //
-// A pool without targets stays unavailable for seconds, and nobody knows for how many. Callers come
-// back once or twice, so a caller that has time should come back later. Its answer misses the
+// A pool without targets stays unavailable for seconds, and nobody knows for how many. Callers
+// retry once or twice, so a caller that has time should retry later. Its answer misses the
 // objective in either case.
 func RetryAfter(c code.Code, remaining time.Duration) time.Duration {
 	switch c {
--- a/internal/core/admission/retryafter_test.go
+++ b/internal/core/admission/retryafter_test.go
@@ -12,8 +12,8 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/code"
 )
 
-// served simulates callers that arrive evenly during an outage and come back once after the time
-// from retryAfterFor, with jitter. It returns the share that is served in its remaining time.
+// served simulates callers that arrive evenly during an outage and retry once after the time from
+// retryAfterFor, with jitter. It returns the share that is served in its remaining time.
 func served(outage, budget time.Duration, retryAfterFor func(remaining time.Duration) time.Duration) float64 {
 	const callers = 10_000
 	rnd := rand.New(rand.NewPCG(3, 4))
@@ -32,7 +32,7 @@
 
 var _ = Describe("the Retry-After of a refused caller", func() {
 	// Guards against callers that get no answer during an outage of all targets although they have
-	// eight seconds. If the Retry-After ignores their remaining time, they come back after half a
+	// eight seconds. If the Retry-After ignores their remaining time, they retry after half a
 	// second, which is what the restart of a target takes, are refused again and give up.
 	DescribeTable("lets more callers be served after an outage of all targets",
 		func(outage time.Duration, least float64) {
@@ -48,7 +48,7 @@
 		Entry("for eight seconds", 8*time.Second, 0.2),
 	)
 
-	It("is short if another router serves at once, and 0 if coming back does not help", func() {
+	It("is short if another router serves at once, and 0 if retrying does not help", func() {
 		Expect(admission.RetryAfter(code.ShuttingDown, 8*time.Second)).To(BeNumerically("<", 50*time.Millisecond))
 		Expect(admission.RetryAfter(code.NotReady, 8*time.Second)).To(BeNumerically("<", time.Second))
 		Expect(admission.RetryAfter(code.NotFound, 8*time.Second)).To(BeZero())
--- a/internal/core/admission/short_test.go
+++ b/internal/core/admission/short_test.go
@@ -49,7 +49,7 @@
 	routers, targets int
 	work             time.Duration
 	objective        time.Duration
-	// perSec is the rate of requests of each rank, the most urgent rank first.
+	// perSec is the rate of requests of each priority, the most urgent priority first.
 	perSec []float64
 	// reportAge is the load report age. If exact is set, routers treat the reports as exact.
 	reportAge time.Duration
@@ -71,12 +71,12 @@
 
 // answer is an answer on its way back to its router.
 type answer struct {
-	at     time.Duration
-	router int
-	choice placement.Choice
-	sent   time.Duration
-	ok     bool
-	rank   int
+	at       time.Duration
+	router   int
+	choice   placement.Choice
+	sent     time.Duration
+	ok       bool
+	priority int
 }
 
 type answers []answer
@@ -92,8 +92,8 @@
 	return last
 }
 
-// simulateShort returns the results of each rank's requests in ten seconds, after two seconds of
-// warm-up, and how many requests targets refused.
+// simulateShort returns the results of each priority's requests in ten seconds, after two seconds
+// of warm-up, and how many requests targets refused.
 func simulateShort(l shortLoad, seed uint64) (got []outcome, refusedByTargets int) {
 	const slots, queue, hop, step, span = 6, 24, 3 * time.Millisecond, time.Millisecond, 12 * time.Second
 	rnd := rand.New(rand.NewPCG(seed, 9))
@@ -142,22 +142,22 @@
 			}
 			gates[a.router].RecordEnd(at, "", took, end)
 			balancers[a.router].FinishRequest(at, a.choice.Target.UID, o)
-			rank := a.rank
+			priority := a.priority
 			switch {
 			case a.sent < 2*time.Second:
 			case !a.ok:
-				got[rank].refused++
+				got[priority].refused++
 				refusedByTargets++
 			case took <= l.objective:
-				got[rank].inTime++
+				got[priority].inTime++
 			default:
-				got[rank].late++
+				got[priority].late++
 			}
 		}
-		for rank, perSec := range l.perSec {
+		for priority, perSec := range l.perSec {
 			for range l.arrivals(perSec*step.Seconds(), rnd) {
 				if now >= 2*time.Second {
-					got[rank].requested++
+					got[priority].requested++
 				}
 				r := rnd.IntN(l.routers)
 				c, ok := balancers[r].Place(at, placement.Request{Pool: "p", LoadsOutdated: !l.exact && gates[r].HasShortWork(l.reportAge)})
@@ -166,12 +166,12 @@
 				if l.exact {
 					age = 0
 				}
-				decision := gates[r].Decide(at, admission.Request{Rank: 1, RouteRank: rank, Remaining: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, ReportAge: age})
+				decision := gates[r].Decide(at, admission.Request{Priority: 1, RoutePriority: priority, Remaining: time.Second, Objective: l.objective}, admission.Load{Open: c.Open, Slots: slots, ReportAge: age})
 				if decision.Code != code.OK {
 					balancers[r].FinishRequest(at, c.Target.UID, placement.Neutral)
 					Expect(decision.RetryAfter).To(BeNumerically(">", 0))
 					if now >= 2*time.Second {
-						got[rank].refused++
+						got[priority].refused++
 					}
 					continue
 				}
@@ -181,7 +181,7 @@
 				if !ok {
 					endsAt = now + hop
 				}
-				heap.Push(&running, answer{at: endsAt + hop, router: r, choice: c, sent: now, ok: ok, rank: rank})
+				heap.Push(&running, answer{at: endsAt + hop, router: r, choice: c, sent: now, ok: ok, priority: priority})
 			}
 		}
 	}
@@ -247,9 +247,9 @@
 		Entry("half of its capacity", 0.5, 0.98), Entry("0.8", 0.8, 0.96), Entry("its capacity", 1.0, 0.88), Entry("1.5", 1.5, 0.6),
 	)
 
-	// Guards against callers of short work that come back only when their answer would be late,
-	// though there are free slots a moment later.
-	It("has refused callers come back within their objective", func() {
+	// Guards against callers of short work that retry only when their answer would be late, though
+	// there are free slots a moment later.
+	It("has refused callers retry within their objective", func() {
 		g := admission.NewGate()
 		load := admission.Load{Slots: 6, ReportAge: 200 * time.Millisecond}
 		request := admission.Request{Remaining: time.Second, Objective: 120 * time.Millisecond}
--- a/internal/core/fleet/away.go
+++ b/internal/core/fleet/away.go
@@ -118,7 +118,7 @@
 
 // LastOutage returns when some router was last known to read the store before the last store
 // outage, and the last tick in that outage; both are zero if there was none.
-func (c *Core) LastOutage() (since, until time.Time) { return c.outages.startedAt, c.outages.endedAt }
+func (c *Core) LastOutage() (start, end time.Time) { return c.outages.startedAt, c.outages.endedAt }
 
 // hasReader reports whether some router is known to read the store.
 func (c *Core) hasReader(now time.Time) bool {
--- a/internal/core/fleet/net_test.go
+++ b/internal/core/fleet/net_test.go
@@ -286,7 +286,7 @@
 
 // urgentReports returns the reports to be sent immediately.
 func (x *node) urgentReports(now time.Time) fleet.UrgentReports {
-	return fleet.UrgentReports{Departures: x.takeDepartures(), Poison: x.detector.NextReport(now), HeldSuspects: x.detector.ListSuspects(now), SuspectsSynced: x.suspectsSynced}
+	return fleet.UrgentReports{Departures: x.takeDepartures(), Poison: x.detector.TakeReport(now), HeldSuspects: x.detector.ListSuspects(now), SuspectsSynced: x.suspectsSynced}
 }
 
 // handleReport processes the reports of other routers and passes departures on, as the gateway
--- a/internal/core/fleet/report.go
+++ b/internal/core/fleet/report.go
@@ -10,14 +10,15 @@
 
 // sourceReport is the last report of a source.
 type sourceReport struct {
-	at         time.Time // when the loads were reported; zero if there are none
-	loads      []placement.Load
-	outcomes   []placement.TargetOutcomes
-	outcomesAt time.Time // when outcomes were reported
-	counted    int       // number of routers that a data centre's sum covers
+	at             time.Time // when the loads were reported; zero if there are none
+	loads          []placement.Load
+	outcomes       []placement.TargetOutcomes
+	outcomesAt     time.Time // when outcomes were reported
+	countedRouters int       // number of routers that a data centre's sum covers
 }
 
-// reportTTL is how long a report counts. Placement uses the same time for reports that it receives.
+// reportTTL is how long a report counts. It equals LoadReportTTL in placement.DefaultSettings,
+// which applies to the loads that placement receives.
 const reportTTL = 1500 * time.Millisecond
 
 func (r *sourceReport) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < reportTTL }
--- a/internal/core/fleet/sums.go
+++ b/internal/core/fleet/sums.go
@@ -62,10 +62,10 @@
 		s = &sourceReport{}
 		c.centreSums[dataCentre] = s
 	}
-	if float64(counted) < minCountShare*float64(s.counted) && now.Sub(s.at) < minCountPeriod {
+	if float64(counted) < minCountShare*float64(s.countedRouters) && now.Sub(s.at) < minCountPeriod {
 		return false
 	}
-	s.counted = counted
+	s.countedRouters = counted
 	if !s.fresh(now) {
 		var discarded []uint32
 		for _, p := range c.sortedPeers() {
--- a/internal/core/fleet/suspects.go
+++ b/internal/core/fleet/suspects.go
@@ -9,9 +9,9 @@
 
 const (
 	// suspectSyncInterval is the shortest time between two transmissions of all suspects to one
-	// router. suspectsPerDigest is the largest number of suspects in a digest.
-	suspectSyncInterval = 400 * time.Millisecond
-	suspectsPerDigest   = 32
+	// router. maxSuspectsPerSyncDigest is the largest number of suspects in each of its digests.
+	suspectSyncInterval      = 400 * time.Millisecond
+	maxSuspectsPerSyncDigest = 32
 	// suspectSyncSenders is how many of a relay's followers, on average, send it the suspects that
 	// it lacks. All of them see the same difference.
 	suspectSyncSenders = 3
@@ -59,7 +59,7 @@
 	c.suspectSyncPeers = nil
 	held := c.suspects.held
 	for len(held) > 0 {
-		n := min(len(held), suspectsPerDigest)
+		n := min(len(held), maxSuspectsPerSyncDigest)
 		d := c.newDigest(now)
 		d.Suspects = encodeSuspects(held[:n])
 		held = held[n:]
--- a/internal/core/fleet/sweep.go
+++ b/internal/core/fleet/sweep.go
@@ -1,7 +1,6 @@
 package fleet
 
-// Sweep finds outdated entries in the store's list of routers. The zero Sweep has no earlier
-// result.
+// Sweep finds stale entries in the store's router list. The zero Sweep has no earlier result.
 type Sweep struct{ silent map[Address]bool }
 
 // Stale returns the listed routers that were neither heard nor vouched for at this sweep and at the
--- a/internal/core/fleet/tell.go
+++ b/internal/core/fleet/tell.go
@@ -24,11 +24,11 @@
 	// relayOutcomesInterval is how often a relay sends outcomes. It is shorter than
 	// outcomesInterval, because each level adds to the delay of outcomes.
 	relayOutcomesInterval = 200 * time.Millisecond
-	// maxPrefixReadsPerDigest limits the prefix reads in a relay's digest, at 16 bytes each.
+	// maxRelayPrefixReadsPerDigest limits the prefix reads in a relay's digest, at 16 bytes each.
 	// maxQueuedPrefixReads limits the queue. The oldest reads are dropped: they are lost for the
 	// recipients, because no other router reports them.
-	maxPrefixReadsPerDigest = 64
-	maxQueuedPrefixReads    = 1024
+	maxRelayPrefixReadsPerDigest = 64
+	maxQueuedPrefixReads         = 1024
 )
 
 // outbox holds the prefix reads that a relay has to pass on to one group of routers, and when it
@@ -49,7 +49,7 @@
 
 // takePrefixReads removes and returns the prefix reads of the next digest.
 func (o *outbox) takePrefixReads() []placement.PrefixRead {
-	n := min(len(o.prefixReads), maxPrefixReadsPerDigest)
+	n := min(len(o.prefixReads), maxRelayPrefixReadsPerDigest)
 	out := o.prefixReads[:n:n]
 	o.prefixReads = o.prefixReads[n:]
 	return out
--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -13,7 +13,7 @@
 		b.Run(fmt.Sprint(n, " targets"), func(b *testing.B) {
 			balancer := newBalancer(targets(n)...)
 			for i := range b.N {
-				c, ok := balancer.Place(start, placement.Request{Pool: pool, Chat: uint64(i + 1)})
+				c, ok := balancer.Place(start, placement.Request{Pool: pool, ChatHash: uint64(i + 1)})
 				if !ok {
 					b.Fatal("no target")
 				}
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -17,11 +17,11 @@
 	return max(b.settings.LoadMultiple*p.meanOpen()+b.settings.LoadSlack-b.settings.LoadMargin, 1)
 }
 
-// suspensionPanicThreshold is the share of suspended targets above which suspensions are ignored,
-// except for targets that accept no connections. If most of a pool fails, the targets themselves
-// are often not the cause, and avoiding them would overload the few others and lose the caches of
-// the suspended ones. Exactly half of a pool does not exceed the threshold: if one of two targets
-// is suspended, the other one is known to answer.
+// suspensionPanicThreshold is the share of suspended ones among the eligible targets, see
+// skipFilter, above which suspensions are ignored, except for targets that accept no connections.
+// If most of a pool fails, the targets themselves are often not the cause, and avoiding them would
+// overload the few others and lose the caches of the suspended ones. Exactly half of a pool does
+// not exceed the threshold: if one of two targets is suspended, the other one is known to answer.
 const suspensionPanicThreshold = 0.5
 
 // ejectionPanicThreshold is the share of suspended and ejected targets above which ejections are
@@ -31,12 +31,13 @@
 
 // skipFilter returns a function that reports whether a target must get no new requests now.
 func skipFilter(now time.Time, p *pool) func(*target) bool {
-	active, suspended, ejected := 0, 0, 0
+	// The eligible targets are not closed and accept connections, as far as this router knows.
+	eligible, suspended, ejected := 0, 0, 0
 	for _, t := range p.targets {
 		if t.isClosed(now) || (t.health.unreachable && t.health.isSuspended(now)) {
 			continue
 		}
-		active++
+		eligible++
 		switch {
 		case t.health.isSuspended(now):
 			suspended++
@@ -45,8 +46,8 @@
 		}
 	}
 	ignoreThresholds := ablate.IsOff(ablate.PanicThreshold)
-	applySuspensions := ignoreThresholds || float64(suspended) <= suspensionPanicThreshold*float64(active)
-	applyEjections := ignoreThresholds || float64(suspended+ejected) <= ejectionPanicThreshold*float64(active)
+	applySuspensions := ignoreThresholds || float64(suspended) <= suspensionPanicThreshold*float64(eligible)
+	applyEjections := ignoreThresholds || float64(suspended+ejected) <= ejectionPanicThreshold*float64(eligible)
 	return func(t *target) bool {
 		if t.pause.isOn(now) || t.isCold(now) {
 			return true
@@ -69,13 +70,13 @@
 	if t != nil {
 		return t, rule
 	}
-	return b.chooseLeastLoaded(now, p, r, func(*target) bool { return false }), RuleSuspect
+	return b.chooseLeastLoaded(now, p, r, func(*target) bool { return false }), RuleSuspendedOrEjected
 }
 
-// chooseWarm chooses among the targets that are available and not cold, suspended or ejected.
+// chooseWarm chooses among the targets that are not closed and that skipFilter does not skip.
 func (b *Balancer) chooseWarm(now time.Time, p *pool, r Request, bound float64) (*target, Rule) {
 	skip := skipFilter(now, p)
-	if r.Chat != 0 {
+	if r.ChatHash != 0 {
 		if t, rule := b.chooseByChat(now, p, r, bound, skip); t != nil {
 			return t, rule
 		}
@@ -118,7 +119,7 @@
 // in the chat's order. Targets above the load given by spillLoadFactor come last, except the home.
 func (p *pool) collectCandidates(c *candidates, r Request, limit float64, skip func(*target) bool) {
 	var top rendezvous.Top
-	order := p.chatOrder(r.Chat, skip)
+	order := p.chatOrder(r.ChatHash, skip)
 	for i, t := range p.targets {
 		if t.isActive() && !r.excludes(t.UID) {
 			top.Insert(int32(i), order.weight(t), rendezvous.MaxTopNodes)
--- a/internal/core/placement/cold.go
+++ b/internal/core/placement/cold.go
@@ -84,7 +84,7 @@
 	}
 	var best *target
 	var bestWeight uint64
-	order := p.chatOrder(r.Chat, func(*target) bool { return false })
+	order := p.chatOrder(r.ChatHash, func(*target) bool { return false })
 	for _, t := range p.targets {
 		if !t.isCold(now) || t.isClosed(now) || r.excludes(t.UID) || t.health.isSuspended(now) || t.isEjected(now) || !t.hasFreeSlot() {
 			continue
--- a/internal/core/placement/cold_test.go
+++ b/internal/core/placement/cold_test.go
@@ -87,7 +87,7 @@
 			return true
 		})
 		b := f.balancers[f.rnd.IntN(len(f.balancers))]
-		c, ok := b.Place(now, placement.Request{Pool: pool, Chat: chat()})
+		c, ok := b.Place(now, placement.Request{Pool: pool, ChatHash: chat()})
 		switch {
 		case !ok:
 			f.unplaced++
@@ -238,7 +238,7 @@
 		f := newColdFleet(1, 3, 9)
 		f.balancers[0].SetFleet(nil)
 		f.makeCold(start, func(int) bool { return true })
-		_, ok := f.balancers[0].Place(start.Add(2*time.Second), placement.Request{Pool: pool, Chat: 7})
+		_, ok := f.balancers[0].Place(start.Add(2*time.Second), placement.Request{Pool: pool, ChatHash: 7})
 		Expect(ok).To(BeFalse())
 	})
 })
--- a/internal/core/placement/inventory_test.go
+++ b/internal/core/placement/inventory_test.go
@@ -15,7 +15,7 @@
 // newRequest returns a request of a chat whose prompt begins with a root of 2,000 tokens that other
 // chats share. The chat's own prefix has 6,000 more.
 func newRequest(root, chat uint64) placement.Request {
-	return placement.Request{Pool: pool, Chat: chat, PromptPrefixes: []placement.Prefix{{Hash: root, Tokens: 2000}, {Hash: chat, Tokens: 8000}}}
+	return placement.Request{Pool: pool, ChatHash: chat, PromptPrefixes: []placement.Prefix{{Hash: root, Tokens: 2000}, {Hash: chat, Tokens: 8000}}}
 }
 
 // serve places a request that is answered at once.
@@ -42,7 +42,7 @@
 // false, another one.
 func findChat(b *placement.Balancer, first uint64, uid uint64, wantHome bool) uint64 {
 	for chat := first; ; chat++ {
-		c, ok := b.Place(start, placement.Request{Pool: pool, Chat: chat})
+		c, ok := b.Place(start, placement.Request{Pool: pool, ChatHash: chat})
 		Expect(ok).To(BeTrue())
 		b.FinishRequest(start, c.Target.UID, placement.Neutral)
 		if (c.Target.UID == uid) == wantHome {
@@ -114,7 +114,7 @@
 			b.SetTargets(start.Add(time.Duration(n)*time.Millisecond), map[string][]placement.Target{pool: targets(n)})
 		}
 		for chat := uint64(1); chat < 50; chat++ {
-			Expect(serve(b, start.Add(time.Second), placement.Request{Pool: pool, Chat: chat}).CacheSource).To(BeEmpty())
+			Expect(serve(b, start.Add(time.Second), placement.Request{Pool: pool, ChatHash: chat}).CacheSource).To(BeEmpty())
 		}
 	})
 
--- a/internal/core/placement/loads.go
+++ b/internal/core/placement/loads.go
@@ -6,14 +6,15 @@
 	"github.com/hemlockdyke/hemlockdyke/internal/core/ablate"
 )
 
-// ReceiveReport replaces what another router reported before: its open requests, and the outcomes
-// of its requests at failing or slow targets. outcomes is nil if this report contains none; the
-// earlier ones then stay. It returns the IDs of the targets that are ejected as a result.
-func (b *Balancer) ReceiveReport(now time.Time, router uint32, loads []Load, outcomes []TargetOutcomes) (ejected []string) {
-	p, ok := b.peers[router]
+// ReceiveReport replaces what a source reported before: its open requests, and the outcomes of its
+// requests at failing or slow targets. A source is another router, a data centre or the rest of the
+// fleet. outcomes is nil if this report contains none; the earlier ones then stay. It returns the
+// IDs of the targets that are ejected as a result.
+func (b *Balancer) ReceiveReport(now time.Time, source uint32, loads []Load, outcomes []TargetOutcomes) (ejected []string) {
+	p, ok := b.reports[source]
 	if !ok {
-		p = &peerReport{}
-		b.peers[router] = p
+		p = &sourceReport{}
+		b.reports[source] = p
 	}
 	for _, l := range p.loads {
 		b.addPeerLoad(l, -1)
@@ -45,39 +46,39 @@
 	for _, t := range b.byUID {
 		t.peerOpen = 0
 	}
-	for _, p := range b.peers {
+	for _, p := range b.reports {
 		for _, l := range p.loads {
 			b.addPeerLoad(l, 1)
 		}
 	}
 }
 
-// ExpireReports drops the loads of routers that have been silent for too long, and the leaving
+// ExpireReports drops the loads of sources that have been silent for too long, and the leaving
 // notices that no longer count.
 func (b *Balancer) ExpireReports(now time.Time) {
-	for id, p := range b.peers {
+	for id, p := range b.reports {
 		if now.Sub(p.receivedAt) > b.settings.LoadReportTTL {
-			b.ForgetRouter(id)
+			b.ForgetSource(id)
 		}
 	}
 	b.expireLeavingNotices(now)
 }
 
-// ForgetRouter drops the loads reported by a router that has exited or restarted. The outcomes that
-// it reported stay and decay.
-func (b *Balancer) ForgetRouter(router uint32) {
-	if p, ok := b.peers[router]; ok {
+// ForgetSource drops the loads that a source reported, if it has exited or another source covers it
+// now. The outcomes that it reported stay and decay.
+func (b *Balancer) ForgetSource(source uint32) {
+	if p, ok := b.reports[source]; ok {
 		for _, l := range p.loads {
 			b.addPeerLoad(l, -1)
 		}
-		delete(b.peers, router)
+		delete(b.reports, source)
 	}
 }
 
-// ForgetAllRouters drops the loads that all other routers reported.
-func (b *Balancer) ForgetAllRouters() {
-	for id := range b.peers {
-		b.ForgetRouter(id)
+// ForgetAllSources drops the loads that all sources reported.
+func (b *Balancer) ForgetAllSources() {
+	for id := range b.reports {
+		b.ForgetSource(id)
 	}
 }
 
--- a/internal/core/placement/model_test.go
+++ b/internal/core/placement/model_test.go
@@ -200,7 +200,7 @@
 		b := s.routers[0]
 		home := serve(b, s.now, newRequest(1<<50, 9000))
 		for i := range 6 {
-			long := placement.Request{Pool: pool, Chat: 9000, PromptTokens: 30000, Objective: simObjective}
+			long := placement.Request{Pool: pool, ChatHash: 9000, PromptTokens: 30000, Objective: simObjective}
 			c, ok := b.Place(s.now, long)
 			Expect(ok).To(BeTrue())
 			s.now = s.now.Add(790 * time.Millisecond)
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -12,7 +12,7 @@
 	name         string
 	seed         uint64
 	relativeSize float64
-	active       float64 // number of active targets
+	activeCount  float64 // number of active targets
 }
 
 // maxDataCentres is how many data centres of a pool are ranked; the targets in any others rank
@@ -53,7 +53,7 @@
 	}
 	mean := float64(active) / float64(max(used, 1))
 	for i := range out {
-		out[i].active = out[i].relativeSize
+		out[i].activeCount = out[i].relativeSize
 		if out[i].relativeSize > 0 {
 			out[i].relativeSize = math.Exp2(math.Round(math.Log2(out[i].relativeSize / mean)))
 		}
@@ -67,10 +67,10 @@
 	switch {
 	case skipped == 0:
 		return c.relativeSize
-	case skipped >= c.active:
+	case skipped >= c.activeCount:
 		return 0
 	}
-	return c.relativeSize * math.Exp2(math.Round(math.Log2(1-skipped/c.active)))
+	return c.relativeSize * math.Exp2(math.Round(math.Log2(1-skipped/c.activeCount)))
 }
 
 // chatOrder is a chat's order of the targets of a pool: by data centre first, then by target. The
--- a/internal/core/placement/order_test.go
+++ b/internal/core/placement/order_test.go
@@ -19,7 +19,7 @@
 	b := newBalancer(list...)
 	out := make(map[uint64]placement.Target)
 	for chat := uint64(1); chat <= chats; chat++ {
-		out[chat] = serve(b, start, placement.Request{Pool: pool, Chat: chat}).Target
+		out[chat] = serve(b, start, placement.Request{Pool: pool, ChatHash: chat}).Target
 	}
 	return out
 }
@@ -133,7 +133,7 @@
 			other := rapid.Permutation(list).Draw(t, "list")
 			one, two := newBalancer(list...), newBalancer(other...)
 			for chat := uint64(1); chat < 50; chat++ {
-				request := placement.Request{Pool: pool, Chat: chat}
+				request := placement.Request{Pool: pool, ChatHash: chat}
 				if serve(one, start, request).Target.UID != serve(two, start, request).Target.UID {
 					t.Fatalf("the routers place chat %d at different targets", chat)
 				}
@@ -148,7 +148,7 @@
 		}
 		b := newBalancer(list...)
 		for chat := uint64(1); chat < 200; chat++ {
-			_, ok := b.Place(start.Add(time.Second), placement.Request{Pool: pool, Chat: chat})
+			_, ok := b.Place(start.Add(time.Second), placement.Request{Pool: pool, ChatHash: chat})
 			Expect(ok).To(BeTrue())
 		}
 	})
--- a/internal/core/placement/outlier.go
+++ b/internal/core/placement/outlier.go
@@ -180,10 +180,10 @@
 	}
 }
 
-// receiveOutcomes replaces the outcomes that a router reported before, and returns the IDs of the
+// receiveOutcomes replaces the outcomes that a source reported before, and returns the IDs of the
 // targets that are ejected as a result. Each target keeps the sum over all routers, which is
 // possible because all parts of the sum decay alike.
-func (b *Balancer) receiveOutcomes(now time.Time, p *peerReport, outcomes []TargetOutcomes) (ejected []string) {
+func (b *Balancer) receiveOutcomes(now time.Time, p *sourceReport, outcomes []TargetOutcomes) (ejected []string) {
 	b.subtractOutcomes(now, p)
 	p.outcomesReceivedAt, p.outcomes = now, outcomes
 	for _, o := range outcomes {
@@ -209,8 +209,8 @@
 	return ejected
 }
 
-// subtractOutcomes subtracts what a router reported before from the sums.
-func (b *Balancer) subtractOutcomes(now time.Time, p *peerReport) {
+// subtractOutcomes subtracts what a source reported before from the sums.
+func (b *Balancer) subtractOutcomes(now time.Time, p *sourceReport) {
 	factor := halfLifeDecay(now.Sub(p.outcomesReceivedAt), outcomeHalfLife)
 	for _, o := range p.outcomes {
 		if t, ok := b.byUID[o.Target]; ok {
--- a/internal/core/placement/pause_test.go
+++ b/internal/core/placement/pause_test.go
@@ -17,7 +17,7 @@
 		b   *placement.Balancer
 		now time.Time
 	)
-	place := func() (placement.Choice, bool) { return b.Place(now, placement.Request{Pool: "p", Chat: 7}) }
+	place := func() (placement.Choice, bool) { return b.Place(now, placement.Request{Pool: "p", ChatHash: 7}) }
 	end := func(c placement.Choice, answered bool) {
 		b.RecordFirstEvent(now, c, answered)
 		o := placement.Answered
@@ -108,7 +108,7 @@
 			for range rapid.IntRange(5, 80).Draw(t, "steps") {
 				switch rapid.IntRange(0, 3).Draw(t, "action") {
 				case 0:
-					if c, ok := b.Place(now, placement.Request{Pool: "p", Chat: uint64(rapid.IntRange(0, 3).Draw(t, "chat"))}); ok {
+					if c, ok := b.Place(now, placement.Request{Pool: "p", ChatHash: uint64(rapid.IntRange(0, 3).Draw(t, "chat"))}); ok {
 						if now.Before(paused[c.Target.UID]) {
 							t.Fatalf("a request was placed at a target that is paused for another %s", paused[c.Target.UID].Sub(now))
 						}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -29,8 +29,8 @@
 	// routers: ColdMultiple * the rate that its pool declares + ColdSlack.
 	ColdMultiple float64
 	ColdSlack    float64
-	// LoadReportTTL is how long the loads of a silent router count. Its requests end if it exits,
-	// but a short silence may be due to lost datagrams.
+	// LoadReportTTL is how long the loads of a silent source count. A router's requests end if it
+	// exits, but a short silence may be due to lost datagrams.
 	LoadReportTTL time.Duration
 }
 
@@ -57,7 +57,8 @@
 
 // PoolLimits are the limits that operators configure for the targets of a pool.
 type PoolLimits struct {
-	// MaxConnections is how many connections one target accepts; 0 if unknown.
+	// MaxConnections is how many connections one target accepts from all routers together; 0 if
+	// unknown.
 	MaxConnections int
 	// ColdPerSecond is how many requests a second a cold target can take; 0 if there is no limit.
 	// ColdDuration is how long a target is cold after its start, and after the evacuation of its
@@ -66,8 +67,8 @@
 	ColdDuration  time.Duration
 }
 
-// peerReport is the latest report of another router.
-type peerReport struct {
+// sourceReport is the latest report of a source, see Balancer.ReceiveReport.
+type sourceReport struct {
 	receivedAt         time.Time
 	loads              []Load
 	outcomes           []TargetOutcomes
@@ -82,7 +83,7 @@
 	pools            map[string]*pool      // by name
 	limits           map[string]PoolLimits // by pool
 	byUID            map[uint64]*target
-	peers            map[uint32]*peerReport // by router
+	reports          map[uint32]*sourceReport // by source
 	inventory        *inventory
 	models           map[string]*latencyModel // by pool
 	leavingNotices   map[uint64]*leavingNotice
@@ -95,7 +96,7 @@
 func New(s Settings, rnd *rand.Rand) *Balancer {
 	return &Balancer{
 		settings: s, rand: rnd, pools: make(map[string]*pool), limits: make(map[string]PoolLimits),
-		byUID: make(map[uint64]*target), peers: make(map[uint32]*peerReport), inventory: newInventory(),
+		byUID: make(map[uint64]*target), reports: make(map[uint32]*sourceReport), inventory: newInventory(),
 		models: make(map[string]*latencyModel), leavingNotices: make(map[uint64]*leavingNotice),
 	}
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -39,7 +39,7 @@
 }
 
 func place(b *placement.Balancer, now time.Time, chat uint64, excluded ...uint64) placement.Choice {
-	c, ok := b.Place(now, placement.Request{Pool: pool, Chat: chat, Excluded: excluded})
+	c, ok := b.Place(now, placement.Request{Pool: pool, ChatHash: chat, Excluded: excluded})
 	Expect(ok).To(BeTrue())
 	return c
 }
--- a/internal/core/placement/roster.go
+++ b/internal/core/placement/roster.go
@@ -87,9 +87,9 @@
 	receivedAt time.Time
 }
 
-// ActiveTargets returns the listed targets that are not leaving, by ID. Evacuated data centres are
-// included.
-func (s *TargetSet) ActiveTargets() map[string]Target {
+// NonLeavingTargets returns the listed targets that are not leaving, by ID. Unlike the active
+// targets of a Balancer, they include those in evacuated data centres.
+func (s *TargetSet) NonLeavingTargets() map[string]Target {
 	out := make(map[string]Target, len(s.entries))
 	for id, e := range s.entries {
 		if e.target.RemovedAt.IsZero() && !e.target.Leaving {
@@ -99,9 +99,9 @@
 	return out
 }
 
-// DeparturesSince compares the current list with the targets that were active before it. It returns
-// those that are now leaving or removed, and their IDs, sorted. Targets with an invalid entry, for
-// which isListed still returns true, are left out: they may be running.
+// DeparturesSince compares the current list with the NonLeavingTargets before it. It returns those
+// that are now leaving or removed, and their IDs, sorted. Targets with an invalid entry, for which
+// isListed still returns true, are left out: they may be running.
 func (s *TargetSet) DeparturesSince(before map[string]Target, isListed func(id string) bool) (out []Departure, ids []string) {
 	for id, t := range before {
 		e, ok := s.entries[id]
@@ -151,7 +151,8 @@
 	}
 }
 
-// applyDeparture applies a departure and reports whether the target was active before.
+// applyDeparture applies a departure and reports whether the target was listed and not leaving
+// before.
 func (e *entry) applyDeparture(d pendingDeparture) bool {
 	if e.target.Leaving || !e.target.RemovedAt.IsZero() {
 		return false
--- a/internal/core/placement/roster_test.go
+++ b/internal/core/placement/roster_test.go
@@ -145,13 +145,13 @@
 				return out
 			}
 			update := func(s *placement.TargetSet, version int) []placement.Departure {
-				active, list := s.ActiveTargets(), targetsAt(version)
+				nonLeaving, list := s.NonLeavingTargets(), targetsAt(version)
 				pools := map[string][]placement.Target{}
 				for _, target := range list {
 					pools["p"] = append(pools["p"], target)
 				}
 				s.Update(at, uint64(version), pools, nil)
-				news, _ := s.DeparturesSince(active, func(id string) bool { _, ok := list[id]; return ok })
+				news, _ := s.DeparturesSince(nonLeaving, func(id string) bool { _, ok := list[id]; return ok })
 				return news
 			}
 			current, delayed := placement.NewTargetSet(), placement.NewTargetSet()
@@ -173,20 +173,20 @@
 						reportedVersion[d.Target] = max(reportedVersion[d.Target], d.ListVersion)
 					}
 				}
-				for id, target := range delayed.ActiveTargets() {
+				for id, target := range delayed.NonLeavingTargets() {
 					entry, listed := targetsAt(delayedVersion)[id]
 					if !listed || entry.Leaving || reportedVersion[target.UID] > uint64(delayedVersion) {
-						t.Fatalf("%s is active: listed %v at version %d, latest departure at version %d", id, listed, delayedVersion, reportedVersion[target.UID])
+						t.Fatalf("%s is in NonLeavingTargets: listed %v at version %d, latest departure at version %d", id, listed, delayedVersion, reportedVersion[target.UID])
 					}
 				}
 				for id, entry := range targetsAt(delayedVersion) {
-					if _, ok := delayed.ActiveTargets()[id]; !ok && !entry.Leaving && reportedVersion[entry.UID] <= uint64(delayedVersion) {
-						t.Fatalf("%s is not active, but no departure was reported", id)
+					if _, ok := delayed.NonLeavingTargets()[id]; !ok && !entry.Leaving && reportedVersion[entry.UID] <= uint64(delayedVersion) {
+						t.Fatalf("%s is not in NonLeavingTargets, but no departure was reported", id)
 					}
 				}
 			}
 			update(delayed, len(history))
-			Expect(delayed.ActiveTargets()).To(Equal(current.ActiveTargets()))
+			Expect(delayed.NonLeavingTargets()).To(Equal(current.NonLeavingTargets()))
 		})
 	})
 
--- a/internal/core/placement/source.go
+++ b/internal/core/placement/source.go
@@ -18,7 +18,7 @@
 // order gives the chat's former home, if it has one. A new chat fetches the prefix that it shares
 // with others.
 func (b *Balancer) cacheSource(now time.Time, p *pool, r Request, t *target) string {
-	if r.Chat == 0 || ablate.IsOff(ablate.CacheFetch) {
+	if r.ChatHash == 0 || ablate.IsOff(ablate.CacheFetch) {
 		return ""
 	}
 	held := b.inventory.longestHeldBy(now, r.PromptPrefixes, t.UID)
@@ -62,7 +62,7 @@
 func formerHome(now time.Time, p *pool, r Request, t *target) *target {
 	isNew := now.Sub(t.joinedAt) < newTargetPeriod
 	var best *target
-	order := p.chatOrder(r.Chat, func(*target) bool { return false })
+	order := p.chatOrder(r.ChatHash, func(*target) bool { return false })
 	weight := order.weight(t)
 	var bestWeight uint64
 	for _, o := range p.targets {
--- a/internal/core/placement/target.go
+++ b/internal/core/placement/target.go
@@ -36,15 +36,17 @@
 // Request describes a request that needs a target.
 type Request struct {
 	Pool string
-	// Chat is the hash of what the request shares with earlier ones; 0 if it shares nothing.
-	Chat uint64
+	// ChatHash is the hash of the longest prompt prefix that other requests may share; 0 if there
+	// is none. It identifies the chat.
+	ChatHash uint64
 	// PromptPrefixes are the prefixes of the prompt that other requests may share, shortest first;
 	// empty if unknown.
 	PromptPrefixes []Prefix
 	// PromptTokens is the number of tokens in the whole prompt, including those of this request
 	// alone; 0 if it has none.
 	PromptTokens int
-	// Objective is the route's objective for the time to the first event; 0 if it has none.
+	// Objective is the route's objective for the time to the answer, or to the first event of a
+	// stream; 0 if it has none.
 	Objective time.Duration
 	Excluded  []uint64 // UIDs of targets that must not be chosen
 	// LoadsOutdated is true if requests of the pool take less time than the load reports of other
@@ -62,13 +64,13 @@
 type Rule string
 
 const (
-	RuleHome        Rule = "home"         // first in the chat's order
-	RuleSpill       Rule = "spill"        // later: the ones before are at the load bound or skipped
-	RuleFaster      Rule = "faster"       // later: the ones before would answer late
-	RuleLeastLoaded Rule = "least_loaded" // no chat, or no target below the load bound
-	RuleRandom      Rule = "random"       // like least_loaded, but the reported loads are outdated
-	RuleCold        Rule = "cold"         // a cold one: the others have no free slot
-	RuleSuspect     Rule = "suspect"      // a suspended or ejected one, for lack of others
+	RuleHome               Rule = "home"         // first in the chat's order
+	RuleSpill              Rule = "spill"        // later: the ones before are at the load bound or skipped
+	RuleFaster             Rule = "faster"       // later: the ones before would answer late
+	RuleLeastLoaded        Rule = "least_loaded" // no chat, or no target below the load bound
+	RuleRandom             Rule = "random"       // like least_loaded, but the reported loads are outdated
+	RuleCold               Rule = "cold"         // a cold one: the others have no free slot
+	RuleSuspendedOrEjected Rule = "suspect"      // a suspended or ejected one: only these are left
 	// RuleTicket marks requests placed by a ticket from the pool's owner, not by a Balancer.
 	RuleTicket Rule = "ticket"
 )
--- a/internal/core/poison/detector_test.go
+++ b/internal/core/poison/detector_test.go
@@ -154,7 +154,7 @@
 		r := newRouter()
 		r.exitTargets(poisonous, 1, 2, 3)
 		Expect(r.advance(11 * time.Minute)).To(ContainElement(HaveField("Kind", poison.Forgotten)))
-		Expect(r.SuspectCount()).To(BeZero())
+		Expect(r.RefusedCount()).To(BeZero())
 	})
 
 	It("is suspected as before after it was restored from the store", func() {
@@ -176,7 +176,7 @@
 		Expect(r.refused(poisonous)).To(BeTrue())
 		exits := 0
 		for range 200 {
-			n := r.NextReport(r.now)
+			n := r.TakeReport(r.now)
 			exits += len(n.Exits)
 		}
 		Expect(exits).To(BeNumerically("<=", 3*1024))
--- a/internal/core/poison/news.go
+++ b/internal/core/poison/news.go
@@ -31,11 +31,11 @@
 	digestsPerEntry = 3
 	// Limits of the entries in one digest: an exit takes 16 bytes, an answer 8, a suspect about 25.
 	// Further entries wait for the next digest.
-	exitsPerDigest    = 32
-	answersPerDigest  = 32
-	suspectsPerDigest = 12
-	// maxWaiting bounds the queue. The entries with the lowest priority are dropped.
-	maxWaiting = 1024
+	maxExitsPerDigest    = 32
+	maxAnswersPerDigest  = 32
+	maxSuspectsPerDigest = 12
+	// maxWaitingEntries bounds the queue. The entries with the lowest priority are dropped.
+	maxWaitingEntries = 1024
 )
 
 type entryKind int
@@ -49,11 +49,11 @@
 
 // queueEntry is an entry of a report that waits to be sent.
 type queueEntry struct {
-	kind      entryKind
-	request   Fingerprint
-	target    uint64
-	priority  int // number of exits of the request; 0 for suspects and answers
-	remaining int // number of further digests that are to contain the entry
+	kind             entryKind
+	request          Fingerprint
+	target           uint64
+	priority         int // number of exits of the request; 0 for suspects and answers
+	remainingDigests int // number of further digests that are to contain the entry
 }
 
 func (i queueEntry) hasSameKey(o queueEntry) bool {
@@ -70,16 +70,16 @@
 }
 
 func (q *reportQueue) add(entry queueEntry) {
-	entry.remaining = digestsPerEntry
+	entry.remainingDigests = digestsPerEntry
 	q.urgent = q.urgent || entry.kind == entrySuspect
 	if i := slices.IndexFunc(q.waiting, entry.hasSameKey); i >= 0 {
 		q.waiting[i] = entry
 		return
 	}
 	q.waiting = append(q.waiting, entry)
-	if len(q.waiting) > maxWaiting {
+	if len(q.waiting) > maxWaitingEntries {
 		q.sort()
-		q.waiting = q.waiting[:maxWaiting]
+		q.waiting = q.waiting[:maxWaitingEntries]
 	}
 }
 
@@ -103,7 +103,7 @@
 		}
 		limits[entry.kind]--
 		out = append(out, entry)
-		if entry.remaining--; entry.remaining > 0 {
+		if entry.remainingDigests--; entry.remainingDigests > 0 {
 			resend = append(resend, entry)
 		}
 	}
@@ -115,10 +115,10 @@
 // is due.
 func (d *Detector) HasUrgentReport() bool { return d.queue.urgent }
 
-// NextReport returns the entries for the next digest.
-func (d *Detector) NextReport(now time.Time) Report {
+// TakeReport returns the entries for the next digest, and counts them as sent once more.
+func (d *Detector) TakeReport(now time.Time) Report {
 	var r Report
-	for _, entry := range d.queue.take([entryKindCount]int{entrySuspect: suspectsPerDigest, entryAnswer: answersPerDigest, entryExit: exitsPerDigest}) {
+	for _, entry := range d.queue.take([entryKindCount]int{entrySuspect: maxSuspectsPerDigest, entryAnswer: maxAnswersPerDigest, entryExit: maxExitsPerDigest}) {
 		switch entry.kind {
 		case entryExit:
 			r.Exits = append(r.Exits, Exit{Request: entry.request, Target: entry.target})
--- a/internal/core/poison/suspect.go
+++ b/internal/core/poison/suspect.go
@@ -144,7 +144,7 @@
 // Decision says whether a request is sent.
 type Decision struct {
 	Refused    bool
-	RetryAfter time.Duration // when the caller should come back, if refused
+	RetryAfter time.Duration // when the caller should retry, if refused
 	// Trial is true if the request is the trial of a suspect. EndTrial must be called when it is
 	// over.
 	Trial bool
@@ -170,7 +170,8 @@
 	return Decision{Trial: true}
 }
 
-// trialRetryAfter is when to come back while a trial is open here, or may be at another router.
+// trialRetryAfter is when callers should retry while a trial is open here, or may be at another
+// router.
 const trialRetryAfter = time.Second
 
 // EndTrial records that the trial is over. If it was neither answered nor made its target exit, the
@@ -186,8 +187,8 @@
 	}
 }
 
-// SuspectCount returns the number of requests that are refused.
-func (d *Detector) SuspectCount() int {
+// RefusedCount returns the number of requests that are refused.
+func (d *Detector) RefusedCount() int {
 	n := 0
 	for _, s := range d.suspects {
 		if s.level > 0 {
--- a/internal/daemon/link.go
+++ b/internal/daemon/link.go
@@ -65,7 +65,7 @@
 		r.metrics.AddPeerBytes(counter.kind, counter.bytes)
 	}
 	status := r.status()
-	line := r.log.Line(eventlog.LinkUse).Int("peers", status.LivePeers).Int("heard", status.DirectPeers).Str("feeder", status.Feeder).Dur("fed_ago", status.FeedAge).
+	line := r.log.Line(eventlog.LinkUse).Int("peers", status.AlivePeers).Int("heard", status.DirectPeers).Str("feeder", status.Feeder).Dur("fed_ago", status.FeedAge).
 		Int64("unsent", r.digests.LostDigests()).Int64("digests_in", delta.digestsIn).Int64("digests_out", delta.digestsOut).
 		Int64("copies_in", delta.copiesIn).Int64("copies_out", delta.copiesOut)
 	if r.capacity > 0 {
--- a/internal/daemon/link_test.go
+++ b/internal/daemon/link_test.go
@@ -30,7 +30,7 @@
 		m := metrics.NewGateway(time.Now)
 		reporter := &linkReporter{digests: socket, capacity: 1000, log: eventlog.New(zerolog.New(&logged), func() time.Time { return now }), metrics: m,
 			status: func() gateway.Status {
-				return gateway.Status{LivePeers: 194, DirectPeers: 3, Feeder: "10.0.0.9:1", FeedAge: 80 * time.Millisecond}
+				return gateway.Status{AlivePeers: 194, DirectPeers: 3, Feeder: "10.0.0.9:1", FeedAge: 80 * time.Millisecond}
 			}}
 		socket.SendDigest([]string{"127.0.0.1:9", "127.0.0.1:9"}, &peerv1.Digest{Known: [][]byte{{1, 2, 3}}}, nil)
 		var digestBytesOut int64
