--- a/cmd/hemlockdyke-router/main.go
+++ b/cmd/hemlockdyke-router/main.go
@@ -56,7 +56,7 @@
 	}
 	m := metrics.NewGateway(time.Now)
 	gateway, err := daemon.StartGateway(s.Gateway, daemon.Platform{
-		Store: platform.NewStore(s.StoreAddress, m.CountStoreCall), Decoder: platform.Decoder{}, Wire: platform.HeaderCodec{},
+		Store: platform.NewStore(s.StoreAddress, m.CountStoreCall), Decoder: platform.Decoder{}, HeaderCodec: platform.HeaderCodec{},
 	}, m, log)
 	app.FatalIfError(err, "start")
 	daemon.RunGateway(gateway, reload, log)
--- a/internal/adapter/callerhttp/callerhttp.go
+++ b/internal/adapter/callerhttp/callerhttp.go
@@ -35,7 +35,7 @@
 
 // Observer records the result of each request.
 type Observer interface {
-	Observe(req router.Request, result router.Result)
+	RecordResult(req router.Request, result router.Result)
 }
 
 // Server serves callers. It is safe for concurrent use.
@@ -325,7 +325,7 @@
 
 // recordResult reports the result of a request to the observer and logs it.
 func (s *Server) recordResult(req router.Request, result router.Result) {
-	s.observer.Observe(req, result)
+	s.observer.RecordResult(req, result)
 	kind, info := eventlog.Finished, result.Code.Lookup()
 	if result.Code != code.OK {
 		kind = eventlog.Failed
--- a/internal/adapter/callerhttp/callerhttp_test.go
+++ b/internal/adapter/callerhttp/callerhttp_test.go
@@ -35,7 +35,7 @@
 
 type nopObserver struct{}
 
-func (nopObserver) Observe(router.Request, router.Result) {}
+func (nopObserver) RecordResult(router.Request, router.Result) {}
 
 // testRouter is a router in the test process, with two stand-in engines and a stand-in service.
 type testRouter struct {
--- a/internal/adapter/gatewayhttp/gatewayhttp.go
+++ b/internal/adapter/gatewayhttp/gatewayhttp.go
@@ -17,8 +17,8 @@
 
 // Decoder decodes callers' requests.
 type Decoder interface {
-	// Call decodes the request line and the headers of r into a gateway.Call.
-	Call(r *http.Request) *gateway.Call
+	// DecodeCall decodes the request line and the headers of r into a gateway.Call.
+	DecodeCall(r *http.Request) *gateway.Call
 }
 
 // Server serves callers. It is safe for concurrent use.
@@ -47,7 +47,7 @@
 		w.Header().Set("Connection", "close")
 	}
 	out := &responder{w: w, controller: http.NewResponseController(w), now: s.now}
-	call := s.decoder.Call(r)
+	call := s.decoder.DecodeCall(r)
 	match, refusal := s.proxy.Match(call)
 	if refusal != code.OK {
 		s.refuse(out, call, refusal)
--- a/internal/adapter/metrics/gateway.go
+++ b/internal/adapter/metrics/gateway.go
@@ -33,7 +33,7 @@
 
 	mu            sync.Mutex
 	registry      gometrics.Registry
-	series        int // counters added; from maxSeries on, new label values are not told apart
+	series        int // counters added; from maxSeries on, new label values share one counter
 	latencies     map[latencyKey]*latency
 	serviceLevels *burn.Tracker
 }
@@ -86,8 +86,8 @@
 	return l
 }
 
-// CountSignal counts a signal in a target's answer: that the target is leaving, a pause, or an
-// invalid pause.
+// CountSignal counts a signal in a target's answer: one of gateway.SignalLeaving, SignalPause and
+// SignalInvalid.
 func (g *Gateway) CountSignal(signal string) { g.add("targets_said_total", "what", signal, 1) }
 
 // CountRefusal counts a request that was refused before it had a route.
--- a/internal/adapter/metrics/metrics.go
+++ b/internal/adapter/metrics/metrics.go
@@ -29,8 +29,8 @@
 // NewRequestCounts returns a RequestCounts without any counts.
 func NewRequestCounts() *RequestCounts { return &RequestCounts{registry: gometrics.NewRegistry()} }
 
-// Observe records the result of a request.
-func (m *RequestCounts) Observe(req router.Request, result router.Result) {
+// RecordResult records the result of a request.
+func (m *RequestCounts) RecordResult(req router.Request, result router.Result) {
 	pool := req.Pool.Name
 	m.counter("pool." + pool + ".code." + result.Code.Lookup().Name).Inc(1)
 	m.counter("pool." + pool + ".tickets").Inc(int64(result.Attempts)) // each attempt takes a ticket
--- a/internal/adapter/target/orders.go
+++ b/internal/adapter/target/orders.go
@@ -24,9 +24,9 @@
 // fencing token, or because the order had expired.
 var ErrStaleOrder = errors.New("target refused the order: stale fencing token or expired")
 
-// Observe returns the number of a target's open requests and the state that its last orders set.
+// ReadStatus returns the number of a target's open requests and the state that its last orders set.
 // The keys of the state are actions, its values their arguments.
-func (o *OrderClient) Observe(ctx context.Context, address string) (int, map[string]string, error) {
+func (o *OrderClient) ReadStatus(ctx context.Context, address string) (int, map[string]string, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
 		return 0, nil, errors.Wrap(err, "create request")
@@ -47,15 +47,15 @@
 	return status.Open, status.State, errors.Wrap(err, "decode status")
 }
 
-// Order sends an order to a target. The target refuses it after expires, or if it has accepted a
-// higher fencing token. Order then returns ErrStaleOrder.
-func (o *OrderClient) Order(ctx context.Context, address string, fencing uint64, action, argument string, expires time.Time) error {
+// SendOrder sends an order to a target. The target refuses the order after expires, or, if it
+// checks fencing tokens, when it has accepted a higher one. SendOrder then returns ErrStaleOrder.
+func (o *OrderClient) SendOrder(ctx context.Context, address string, fencingToken uint64, action, argument string, expires time.Time) error {
 	body, err := json.Marshal(struct {
 		Fencing  uint64    `json:"fencing"`
 		Action   string    `json:"action"`
 		Argument string    `json:"argument"`
 		Expires  time.Time `json:"expires"`
-	}{fencing, action, argument, expires})
+	}{fencingToken, action, argument, expires})
 	if err != nil {
 		return errors.Wrap(err, "encode order")
 	}
--- a/internal/adapter/target/target.go
+++ b/internal/adapter/target/target.go
@@ -91,16 +91,16 @@
 	return &Client{settings: s, pooled: pooled, fresh: fresh}
 }
 
-// Suspect closes all idle connections. The router calls it after a connection has gone silent,
-// since others may be dead as well.
-func (c *Client) Suspect() { c.pooled.CloseIdleConnections() }
+// DropIdleConnections closes all idle connections. The router calls it after a target has been
+// silent, since other pooled connections may be broken too.
+func (c *Client) DropIdleConnections() { c.pooled.CloseIdleConnections() }
 
 // AttemptID returns the id of an attempt, which a target's answer must echo.
 func AttemptID(requestID string, number int) string { return fmt.Sprintf("%s.%d", requestID, number) }
 
-// Run sends an attempt and calls emit for each of its events. The last event ends the attempt.
-// Run returns after it, or when ctx ends.
-func (c *Client) Run(ctx context.Context, r AttemptRequest, emit func(Answer)) {
+// SendAttempt sends an attempt and calls emit for each of its events. The last event ends the
+// attempt. SendAttempt returns after it, or when ctx ends.
+func (c *Client) SendAttempt(ctx context.Context, r AttemptRequest, emit func(Answer)) {
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
 		// The transport may write bytes from here on. The event precedes the first byte, so an
--- a/internal/adapter/upstream/upstream.go
+++ b/internal/adapter/upstream/upstream.go
@@ -174,24 +174,24 @@
 	return true
 }
 
-// Prune closes idle connections whose idle timeout has passed, and those to targets that were
-// removed from the target list.
-func (c *Client) Prune(listed func(target uint64) bool) {
+// Prune closes idle connections whose idle timeout has passed, and those to lifetimes for which
+// isUsed returns false.
+func (c *Client) Prune(isUsed func(uid uint64) bool) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for target, conns := range c.idle {
+	for uid, conns := range c.idle {
 		usable := conns[:0]
 		for _, cn := range conns {
-			if listed(target) && now.Before(cn.usableUntil) {
+			if isUsed(uid) && now.Before(cn.usableUntil) {
 				usable = append(usable, cn)
 			} else {
 				_ = cn.Close()
 			}
 		}
-		c.idle[target] = usable
+		c.idle[uid] = usable
 		if len(usable) == 0 {
-			delete(c.idle, target)
+			delete(c.idle, uid)
 		}
 	}
 }
--- a/internal/app/controller/matrix_test.go
+++ b/internal/app/controller/matrix_test.go
@@ -44,10 +44,10 @@
 	targetState         map[string]string
 	targetSilent        bool
 	loseNextReply       bool
-	duringOrder         func() // called once, before the next order arrives
+	duringSendOrder     func() // called once, before the next order arrives
 
-	duringObserve func() // called once, before the next status of an idle target is returned
-	violation     string // violated rule; empty if there is none
+	duringReadStatus func() // called once, before the next status of an idle target is returned
+	violation        string // violated rule; empty if there is none
 }
 
 // order is an order that the target accepted.
@@ -78,28 +78,28 @@
 	return nil, errNoReply
 }
 
-// Observe implements controller.TargetClient. It answers for the fake target.
-func (f *fakeFleet) Observe(context.Context, string) (int, map[string]string, error) {
+// ReadStatus implements controller.TargetClient. It answers for the fake target.
+func (f *fakeFleet) ReadStatus(context.Context, string) (int, map[string]string, error) {
 	if f.targetSilent {
 		return 0, nil, errNoReply
 	}
 	open, state := f.openRequests, f.targetState
-	if stall := f.duringObserve; stall != nil && open == 0 {
-		f.duringObserve = nil
+	if stall := f.duringReadStatus; stall != nil && open == 0 {
+		f.duringReadStatus = nil
 		stall()
 	}
 	return open, state, nil
 }
 
-// Order implements controller.TargetClient. It accepts an order for the fake target and records a
-// violation if the target must not be ordered to exit yet.
-func (f *fakeFleet) Order(_ context.Context, _ string, fencingToken uint64, action, argument string, expires time.Time) error {
+// SendOrder implements controller.TargetClient. It accepts an order for the fake target and records
+// a violation if the target must not be ordered to exit yet.
+func (f *fakeFleet) SendOrder(_ context.Context, _ string, fencingToken uint64, action, argument string, expires time.Time) error {
 	if f.targetSilent {
 		return errNoReply
 	}
-	if f.duringOrder != nil {
-		stall := f.duringOrder
-		f.duringOrder = nil
+	if f.duringSendOrder != nil {
+		stall := f.duringSendOrder
+		f.duringSendOrder = nil
 		stall()
 	}
 	if f.checksFencing && (f.now.After(expires) || fencingToken < f.highestFencingToken) {
@@ -333,11 +333,11 @@
 
 	// The order arrives late if the next holder doesn't wait until orders in transit have expired.
 	It("get no order of a previous holder after one of the next if the previous holder stalls for 6 seconds while it sends the order", func() {
-		expectAscendingTokens(6, func(f *fakeFleet, stall func()) { f.duringOrder = stall })
+		expectAscendingTokens(6, func(f *fakeFleet, stall func()) { f.duringSendOrder = stall })
 	})
 
 	// The order arrives late if the lease is checked only before the holder observes the target.
 	It("get no order of a holder that stalled while it observed the target", func() {
-		expectAscendingTokens(12, func(f *fakeFleet, stall func()) { f.duringObserve = stall })
+		expectAscendingTokens(12, func(f *fakeFleet, stall func()) { f.duringReadStatus = stall })
 	})
 })
--- a/internal/app/controller/reconciler.go
+++ b/internal/app/controller/reconciler.go
@@ -24,12 +24,12 @@
 
 // TargetClient reads the status of targets and sends them orders.
 type TargetClient interface {
-	// Observe returns the number of a target's open requests and the state that its orders left it
-	// in.
-	Observe(ctx context.Context, address string) (open int, state map[string]string, err error)
-	// Order sends an order to a target. A target that checks fencing tokens refuses the order after
-	// expires, or if it has seen a higher fencing token.
-	Order(ctx context.Context, address string, fencingToken uint64, action, argument string, expires time.Time) error
+	// ReadStatus returns the number of a target's open requests and the state that its last orders
+	// set. The keys of the state are actions, its values their arguments.
+	ReadStatus(ctx context.Context, address string) (open int, state map[string]string, err error)
+	// SendOrder sends an order to a target. The target refuses the order after expires, or, if it
+	// checks fencing tokens, when it has accepted a higher one.
+	SendOrder(ctx context.Context, address string, fencingToken uint64, action, argument string, expires time.Time) error
 }
 
 // Reconciler carries out planned changes. Each controller has one. A change is carried out by the
@@ -146,7 +146,7 @@
 func (r *Reconciler) observeTarget(ctx context.Context, target resource.Resource, spec resource.TargetSpec) plannedchange.Observation {
 	o := plannedchange.Observation{Leaving: spec.Leaving}
 	o.AppliedEverywhere = r.isApplied(ctx, target)
-	open, state, err := r.targets.Observe(ctx, spec.Address)
+	open, state, err := r.targets.ReadStatus(ctx, spec.Address)
 	if err == nil {
 		o.Reachable, o.OpenRequests, o.State = true, open, state
 	}
@@ -214,7 +214,7 @@
 	}
 	next.FencingToken = fencingToken
 	action, argument := plannedchange.DesiredState(spec)
-	return r.targets.Order(ctx, target.Address, fencingToken, action, argument, now.Add(plannedchange.OrderValidity))
+	return r.targets.SendOrder(ctx, target.Address, fencingToken, action, argument, now.Add(plannedchange.OrderValidity))
 }
 
 // acquireLease acquires or renews the lease of a change. It returns nil if another process holds
--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -187,8 +187,8 @@
 }
 
 // updateOtherRouters passes the known routers to placement once warmup.StartupDelay is over. A
-// router that hears no other waits until it has read the store's router list. Otherwise partitioned
-// routers would each assume that they are the only one.
+// router to which no other is alive waits until it has read the store's router list. Otherwise
+// partitioned routers would each assume that they are the only one.
 func (c *Control) updateOtherRouters(now time.Time) {
 	if now.Sub(c.startedAt) < warmup.StartupDelay || (c.otherRouters == nil && !c.routerListRead.Load() && c.core.AliveCount(now) == 0) {
 		return
--- a/internal/app/gateway/listing.go
+++ b/internal/app/gateway/listing.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// update registers local routers. A router that hears no other reads the list to find some; the
-// first store reader removes stale entries.
+// update registers local routers. A router to which no other is alive reads the router list to
+// find others; the first store reader removes stale entries.
 func (r *registration) update(ctx context.Context) {
 	c := r.control
 	var alone, isFirstReader bool
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -192,8 +192,8 @@
 }
 
 // checkRefusedConnection reports the target as exited if its port refused the connection. No
-// process listens there any more. The other routers are told, so that they need not find out with
-// requests of their own.
+// process listens there any more. The exit is reported to the other routers, so that they need not
+// find out with requests of their own.
 func (t *targetAttempt) checkRefusedConnection(err error) {
 	if p := t.request.proxy; errors.Is(err, syscall.ECONNREFUSED) && !p.traffic.isLeavingOrRemoved(t.choice.Target.UID) {
 		p.handleTargetExit(t.choice.Target, nil)
--- a/internal/app/gateway/ports.go
+++ b/internal/app/gateway/ports.go
@@ -38,7 +38,7 @@
 	// RegisterRouters adds router addresses to the store's router list. Entries that exist are left
 	// unchanged.
 	RegisterRouters(ctx context.Context, addresses []string) error
-	// RegisteredRouters returns the addresses of all registered routers.
+	// RegisteredRouters returns the addresses in the store's router list.
 	RegisteredRouters(ctx context.Context) ([]string, error)
 	// LoadSuspects returns the stored suspected requests with their levels and generations.
 	LoadSuspects(ctx context.Context) ([]poison.Suspect, error)
@@ -81,8 +81,8 @@
 type Upstream interface {
 	// Do sends one attempt and returns the answer when its header has been read.
 	Do(ctx context.Context, r upstream.Request) (*upstream.Answer, error)
-	// Prune closes idle connections that are too old, and those to lifetimes for which isUsed
-	// returns false.
+	// Prune closes idle connections whose idle timeout has passed, and those to lifetimes for which
+	// isUsed returns false.
 	Prune(isUsed func(uid uint64) bool)
 }
 
@@ -140,7 +140,7 @@
 
 // HeaderCodec translates between gateway values and the platform's HTTP headers.
 type HeaderCodec interface {
-	// PrepareHeader returns the header of call with the headers of the attempt added.
+	// PrepareHeader returns a copy of the header of call with the headers of the attempt added.
 	PrepareHeader(call *Call, a Attempt) http.Header
 	// MatchesCall reports whether an answer with header h belongs to call.
 	MatchesCall(call *Call, h http.Header) bool
--- a/internal/app/gateway/relay.go
+++ b/internal/app/gateway/relay.go
@@ -19,7 +19,8 @@
 // Observer records the results of requests and the signals of targets.
 type Observer interface {
 	RecordResult(r Result)
-	// CountSignal counts a signal: one of SignalLeaving, SignalPause and SignalInvalid.
+	// CountSignal counts a signal in a target's answer: one of SignalLeaving, SignalPause and
+	// SignalInvalid.
 	CountSignal(signal string)
 }
 
@@ -68,7 +69,7 @@
 const (
 	// maxNotExecuted is the number of attempts that do not count towards a route's MaxAttempts
 	// because no target executed the request. Further refusals count: in a full or changing pool
-	// a third target rarely accepts the request, so its caller is soon told to retry later.
+	// a third target rarely accepts the request, so its caller is soon asked to retry later.
 	maxNotExecuted = 2
 	// answerGrace is how long after the deadline an answer from a target is still accepted before
 	// the router sends its own.
@@ -158,7 +159,7 @@
 }
 
 // denialCode returns the code for a request that the applied desired state does not allow. A denial
-// is final, so if other routers have a newer state the caller is told to retry instead.
+// is final, so if other routers have a newer state the answer asks the caller to retry instead.
 func (p *Proxy) denialCode(c code.Code) code.Code {
 	if p.traffic.behind.Load() {
 		return code.StaleConfig
--- a/internal/app/gateway/view.go
+++ b/internal/app/gateway/view.go
@@ -17,7 +17,8 @@
 
 // trafficState is the state that request goroutines share with the control goroutine: the routing
 // table, which is replaced as a whole, and the balancer, which counts the open requests. Placing
-// and finishing a request takes 2 us with 12 targets and 8 us with 120 (BenchmarkPlace).
+// and finishing a request takes 2 us with 12 targets and 8 us with 120 (see
+// BenchmarkPlace of package placement).
 type trafficState struct {
 	table        atomic.Pointer[route.Table]
 	shuttingDown atomic.Bool
--- a/internal/app/router/burn.go
+++ b/internal/app/router/burn.go
@@ -34,9 +34,9 @@
 	return &BurnRecorder{tracker: burn.NewTracker(now(), maxBurnSeries), control: control, self: self, log: log, now: now}
 }
 
-// Observe counts the result of a request. It ignores requests whose caller disconnected, as they
-// don't show the service level.
-func (b *BurnRecorder) Observe(req Request, result Result) {
+// RecordResult counts the result of a request. It ignores requests whose caller disconnected, as
+// they don't show the service level.
+func (b *BurnRecorder) RecordResult(req Request, result Result) {
 	if result.Code == code.CallerGone {
 		return
 	}
--- a/internal/app/router/claims.go
+++ b/internal/app/router/claims.go
@@ -79,8 +79,9 @@
 	return hex.EncodeToString(sum.Sum(nil))
 }
 
-// Acquire tries to claim an idempotency key. The kind of the returned action is Dispatch,
-// ReplayAnswer or RefuseRequest. The returned claim is held only if the kind is Dispatch.
+// Acquire tries to claim an idempotency key. The kind of the returned action is claim.Dispatch,
+// claim.ReplayAnswer or claim.RefuseRequest. The returned claim is held only if the kind is
+// claim.Dispatch.
 func (c *Claims) Acquire(ctx context.Context, req Request, key string) (HeldClaim, claim.Action) {
 	record := claim.Record{
 		ID: uuid.NewString(), Router: c.router, Incarnation: c.incarnation,
--- a/internal/app/router/control.go
+++ b/internal/app/router/control.go
@@ -31,9 +31,9 @@
 
 // Prober reads the status of targets.
 type Prober interface {
-	// Observe returns the number of requests that a target counts as open and the state of the
-	// target.
-	Observe(ctx context.Context, address string) (open int, state map[string]string, err error)
+	// ReadStatus returns the number of requests that a target counts as open, and the state that
+	// its last orders set.
+	ReadStatus(ctx context.Context, address string) (open int, state map[string]string, err error)
 }
 
 // decision is the core's answer to a ticket request. Either grant or refuse is set.
@@ -197,7 +197,7 @@
 // nothing if the target can't be reached or returns no count. The ledger then keeps the orphaned
 // tickets of the target until they expire.
 func (c *Control) probeTarget(ctx context.Context, a core.ProbeTarget) {
-	open, _, err := c.prober.Observe(ctx, a.Target.Address)
+	open, _, err := c.prober.ReadStatus(ctx, a.Target.Address)
 	if err != nil {
 		return
 	}
--- a/internal/app/router/traffic.go
+++ b/internal/app/router/traffic.go
@@ -23,12 +23,12 @@
 
 // TargetClient sends attempts to targets.
 type TargetClient interface {
-	// Run sends one attempt and calls emit for each event until the attempt ends or ctx is
+	// SendAttempt sends one attempt and calls emit for each event until the attempt ends or ctx is
 	// cancelled.
-	Run(ctx context.Context, d target.AttemptRequest, emit func(target.Answer))
-	// Suspect closes the idle connections. It is called after a target has been silent, as other
-	// pooled connections may be broken too.
-	Suspect()
+	SendAttempt(ctx context.Context, r target.AttemptRequest, emit func(target.Answer))
+	// DropIdleConnections closes all idle connections. It is called after a target has been
+	// silent, as other pooled connections may be broken too.
+	DropIdleConnections()
 }
 
 // Request is a caller's request.
@@ -205,7 +205,7 @@
 	if r.machine.State() == attempt.Waiting {
 		return nil
 	}
-	r.forwarder.targets.Suspect()
+	r.forwarder.targets.DropIdleConnections()
 	r.failure = failureSilent
 	return attempt.ConnectionFailed{Attempt: r.machine.Attempts()}
 }
@@ -279,13 +279,13 @@
 	r.logLine(eventlog.Placed).Int("attempt", a.Attempt).Str("pool", r.req.Pool.Name).Str("team", r.req.Team).
 		Str("target", r.result.Target).Str("rule", string(placement.RuleTicket)).Dur("wait", r.sentAt.Sub(r.ticketRequestedAt)).
 		Uint64("version", r.forwarder.control.Table().Revision).Msg("")
-	d := target.AttemptRequest{
+	attemptRequest := target.AttemptRequest{
 		Address: r.req.Pool.Targets[i].Address, Method: r.req.Method, Path: r.req.Path,
 		Header: r.req.Header, Body: r.req.Body, RequestID: r.req.ID, Number: a.Attempt,
 		ReceivedParts: a.Offset, Stream: r.req.Stream,
 		FreshConnection: !r.req.Idempotent || a.Attempt > 1,
 	}
-	go r.forwarder.targets.Run(attemptCtx, d, func(answer target.Answer) {
+	go r.forwarder.targets.SendAttempt(attemptCtx, attemptRequest, func(answer target.Answer) {
 		select {
 		case answers <- answer:
 		case <-attemptCtx.Done():
--- a/internal/app/router/traffic_test.go
+++ b/internal/app/router/traffic_test.go
@@ -26,22 +26,22 @@
 	return nil, context.DeadlineExceeded
 }
 
-func (unreachablePeers) Observe(context.Context, string) (int, map[string]string, error) {
+func (unreachablePeers) ReadStatus(context.Context, string) (int, map[string]string, error) {
 	return 0, nil, context.DeadlineExceeded
 }
 
 // fakeTargets is a TargetClient that answers each attempt with a number of parts and an end.
 type fakeTargets struct{ parts int }
 
-func (t fakeTargets) Run(_ context.Context, d target.AttemptRequest, emit func(target.Answer)) {
-	emit(target.Answer{Event: attempt.WriteStarted{Attempt: d.Number}})
-	for i := d.ReceivedParts; i < t.parts; i++ {
-		emit(target.Answer{Event: attempt.Part{Attempt: d.Number, Echo: d.Number, Offset: i}})
+func (t fakeTargets) SendAttempt(_ context.Context, r target.AttemptRequest, emit func(target.Answer)) {
+	emit(target.Answer{Event: attempt.WriteStarted{Attempt: r.Number}})
+	for i := r.ReceivedParts; i < t.parts; i++ {
+		emit(target.Answer{Event: attempt.Part{Attempt: r.Number, Echo: r.Number, Offset: i}})
 	}
-	emit(target.Answer{Event: attempt.End{Attempt: d.Number, Echo: d.Number, Total: t.parts}})
+	emit(target.Answer{Event: attempt.End{Attempt: r.Number, Echo: r.Number, Total: t.parts}})
 }
 
-func (fakeTargets) Suspect() {}
+func (fakeTargets) DropIdleConnections() {}
 
 // newForwarder returns the Forwarder and the Control of a ready router with one target.
 func newForwarder(targets router.TargetClient, silenceTimeout time.Duration) (*router.Forwarder, *router.Control) {
--- a/internal/capacity/store.go
+++ b/internal/capacity/store.go
@@ -96,11 +96,11 @@
 	return nil, errUnreachable
 }
 
-func (unreachable) Observe(context.Context, string) (int, map[string]string, error) {
+func (unreachable) ReadStatus(context.Context, string) (int, map[string]string, error) {
 	return 0, nil, errUnreachable
 }
 
-func (unreachable) Order(context.Context, string, uint64, string, string, time.Time) error {
+func (unreachable) SendOrder(context.Context, string, uint64, string, string, time.Time) error {
 	return errUnreachable
 }
 
--- a/internal/core/attempt/attempt.go
+++ b/internal/core/attempt/attempt.go
@@ -47,7 +47,7 @@
 	NotSent struct{ Attempt int }
 	// WriteStarted means that the first byte may have been written.
 	WriteStarted struct{ Attempt int }
-	// TargetRefused means that the target promised not to have executed the request.
+	// TargetRefused means that the target guarantees that it did not execute the request.
 	TargetRefused struct{ Attempt int }
 	// Part means that a part of the answer arrived. Echo is the number of the attempt in the
 	// answer.
@@ -207,8 +207,8 @@
 	return m.retryOrFinish(code.NoTarget, true)
 }
 
-// targetRefused handles a target's promise not to have executed the request. The promise undoes the
-// current attempt's point of no return, but not that of earlier attempts.
+// targetRefused handles a target's guarantee that it did not execute the request. The guarantee
+// undoes the current attempt's point of no return, but not that of earlier attempts.
 func (m *Machine) targetRefused() Action {
 	if m.state == Answering {
 		return m.failAttempt(m.failureCode())
@@ -281,7 +281,7 @@
 	return a
 }
 
-// finalCode replaces a code that promises "not executed" if an attempt may have been executed.
+// finalCode replaces a code that guarantees "not executed" if an attempt may have been executed.
 func (m *Machine) finalCode(c code.Code) code.Code {
 	if !m.MayHaveExecuted() || c.Lookup().Execution != code.NotExecuted {
 		return c
--- a/internal/core/attempt/attempt_test.go
+++ b/internal/core/attempt/attempt_test.go
@@ -194,7 +194,7 @@
 
 	// Guards against callers that repeat a request which a target may have executed. The request is
 	// written, the connection fails, no other target is free, and the code of the refused second
-	// ticket promises that no target has executed the request.
+	// ticket guarantees that no target has executed the request.
 	It("that may have been executed is never reported as not executed", func() {
 		o := newObserver(true)
 		o.step(attempt.TicketGranted{Target: 1})
--- a/internal/core/claim/claim.go
+++ b/internal/core/claim/claim.go
@@ -69,7 +69,7 @@
 	Record Record
 	// NeedsCleanup is true if the row of this claim may exist or appear later although the
 	// request is refused. The row has to be found and deleted. Otherwise retries of the request
-	// would be told for ever that it is in progress.
+	// would be refused for ever as in progress.
 	NeedsCleanup bool
 }
 
--- a/internal/core/code/code.go
+++ b/internal/core/code/code.go
@@ -4,11 +4,11 @@
 
 import "fmt"
 
-// Execution says whether a target executed the request that a code answers.
+// Execution is whether a target executed the request that a code answers.
 type Execution int
 
 const (
-	// NotExecuted promises that no target executed the request.
+	// NotExecuted guarantees that no target executed the request.
 	NotExecuted Execution = iota
 	// Executed means that a target executed the request, at least in part.
 	Executed
@@ -16,7 +16,7 @@
 	ExecutionUnknown
 )
 
-// String returns the value of the field ran in response bodies, as docs/ERRORS.md lists it.
+// String returns the value of the field ran in answer bodies, as docs/ERRORS.md lists it.
 func (e Execution) String() string {
 	switch e {
 	case NotExecuted:
@@ -141,7 +141,7 @@
 }
 
 // Lookup returns the description of c. An unlisted code counts as an unknown outcome, since the
-// promise "not executed" could be false.
+// guarantee "not executed" could be false.
 func (c Code) Lookup() Info {
 	info, ok := table[c]
 	if !ok {
--- a/internal/core/fleet/serve.go
+++ b/internal/core/fleet/serve.go
@@ -15,11 +15,11 @@
 )
 
 // CopyBudget limits how much of a VM's link copies use. When a large table changes, all routers
-// request it at the same time from the few that have it. If all were served at once, each copy
-// would be so slow that its request would time out and be sent to another router, and both would
-// fill the link. A request that does not fit is refused immediately and goes to another router that
-// has a copy by then, so a change spreads like a tree, and faster. A CopyBudget is not safe for
-// concurrent use.
+// request it at the same time from the few routers that have it. If all were served at once, each
+// copy would be so slow that its request would time out and be sent to another router, and both
+// would fill the link. A request that does not fit is refused immediately and goes to another
+// router that has a copy by then, so a change spreads like a tree, and faster. A CopyBudget is not
+// safe for concurrent use.
 type CopyBudget struct {
 	rate      float64 // bytes per second; 0 means no limit
 	burst     float64 // largest number of bytes in tokens
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -31,7 +31,7 @@
 
 func (h *holder) read(now time.Time, s *stored) { h.action = h.lease.ObserveRow(now, s.row, s.version) }
 
-// write carries out the write that followed from the last read. reply tells whether the reply
+// write carries out the write that followed from the last read. reply reports whether the reply
 // arrives.
 func (h *holder) write(now time.Time, s *stored, reply bool) {
 	if h.action.Kind != lease.WriteRow {
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -20,8 +20,9 @@
 // suspensionPanicThreshold is the share of suspended ones among the eligible targets, see
 // skipFilter, above which suspensions are ignored, except for targets that accept no connections.
 // If most of a pool fails, the targets themselves are often not the cause, and avoiding them would
-// overload the few others and lose the caches of the suspended ones. Exactly half of a pool does
-// not exceed the threshold: if one of two targets is suspended, the other one is known to answer.
+// overload the remaining targets and lose the caches of the suspended ones. Exactly half of a pool
+// does not exceed the threshold: if one of two targets is suspended, the other one is known to
+// answer.
 const suspensionPanicThreshold = 0.5
 
 // ejectionPanicThreshold is the share of suspended and ejected targets above which ejections are
--- a/internal/core/placement/cold.go
+++ b/internal/core/placement/cold.go
@@ -51,9 +51,9 @@
 // Until it is called, cold targets get no requests.
 func (b *Balancer) SetFleet(f *warmup.Fleet) { b.fleet = f }
 
-// MarkCold records a target's own report that it is cold for d. news reports whether the target was
-// considered warm before and its pool limits what cold targets get.
-func (b *Balancer) MarkCold(now time.Time, uid uint64, d time.Duration) (news bool) {
+// MarkCold records a target's own report that it is cold for d. isNew reports whether the target
+// was considered warm before and its pool limits what cold targets get.
+func (b *Balancer) MarkCold(now time.Time, uid uint64, d time.Duration) (isNew bool) {
 	t, ok := b.byUID[uid]
 	if !ok {
 		return false
@@ -96,12 +96,12 @@
 	return best
 }
 
-// maxColdRetryAfter limits how long callers are told to stay away because all targets are cold.
-// Another router may be able to send a request sooner.
+// maxColdRetryAfter limits the time after which callers are asked to retry because all targets are
+// cold. Another router may be able to send a request sooner.
 const maxColdRetryAfter = time.Second
 
-// ColdRetryAfter returns how long callers should stay away because all active targets of a pool are
-// cold; 0 if one is not.
+// ColdRetryAfter returns the time after which callers should retry because all active targets of a
+// pool are cold; 0 if one is not.
 func (b *Balancer) ColdRetryAfter(now time.Time, pool string) time.Duration {
 	p, ok := b.pools[pool]
 	if !ok {
--- a/internal/core/placement/ended.go
+++ b/internal/core/placement/ended.go
@@ -26,9 +26,9 @@
 }
 
 // MarkExited records that a target's process has exited, as seen by this router or reported by
-// another one, and returns whether that is news. Without these reports, each router would lose a
-// request of its own to find out.
-func (b *Balancer) MarkExited(now time.Time, uid uint64) (news bool) {
+// another one. isNew reports whether that was unknown before. Without these reports, each router
+// would lose a request of its own to find out.
+func (b *Balancer) MarkExited(now time.Time, uid uint64) (isNew bool) {
 	t, ok := b.byUID[uid]
 	if !ok || ablate.IsOff(ablate.Suspension) || (!t.exitedAt.IsZero() && now.Sub(t.exitedAt) < exitedSuspension) {
 		return false
--- a/internal/core/placement/health.go
+++ b/internal/core/placement/health.go
@@ -14,7 +14,7 @@
 	Answered Outcome = iota
 	// Unreachable: the target accepted no connection.
 	Unreachable
-	// Failed: the connection failed, or the response was corrupt or incomplete.
+	// Failed: the connection failed, or the answer was corrupt or incomplete.
 	Failed
 	// Errored: the target reported a failure of its own.
 	Errored
--- a/internal/core/placement/inventory.go
+++ b/internal/core/placement/inventory.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// addHolder records that a target holds a prefix, and reports whether that is news.
+// addHolder records that a target holds a prefix, and reports whether the target had no fresh entry
+// for it.
 func (v *inventory) addHolder(now time.Time, hash, target uint64) bool {
 	e, ok := v.byHash[hash]
 	if !ok {
@@ -93,10 +94,10 @@
 	return e.Value.(*prefixHolders).addHolder(now, target)
 }
 
-func (h *prefixHolders) addHolder(now time.Time, target uint64) (news bool) {
+func (h *prefixHolders) addHolder(now time.Time, target uint64) (isNew bool) {
 	i := slices.IndexFunc(h.holders, func(o holder) bool { return o.target == target })
 	if i < 0 || !h.holders[i].isFresh(now) {
-		news = true
+		isNew = true
 	}
 	if i < 0 {
 		if len(h.holders) < maxHolders {
@@ -108,7 +109,7 @@
 	for ; i > 0; i-- {
 		h.holders[i], h.holders[i-1] = h.holders[i-1], h.holders[i]
 	}
-	return news
+	return isNew
 }
 
 // takeUnreported removes at most limit reads from the queue of unreported ones and returns them.
--- a/internal/core/placement/inventory_test.go
+++ b/internal/core/placement/inventory_test.go
@@ -78,10 +78,10 @@
 		one, other := newBalancer(targets(6)...), newBalancer(targets(6)...)
 		at := serve(one, start, newRequest(root, 1)).Target
 		serve(one, start, newRequest(root, 1))
-		news := one.TakePrefixReads(10)
-		Expect(news).To(ConsistOf(placement.PrefixRead{Prefix: root, Target: at.UID}, placement.PrefixRead{Prefix: 1, Target: at.UID}))
+		reads := one.TakePrefixReads(10)
+		Expect(reads).To(ConsistOf(placement.PrefixRead{Prefix: root, Target: at.UID}, placement.PrefixRead{Prefix: 1, Target: at.UID}))
 		Expect(one.TakePrefixReads(10)).To(BeEmpty())
-		other.ReceivePrefixReads(start, news)
+		other.ReceivePrefixReads(start, reads)
 		Expect(other.TakePrefixReads(10)).To(BeEmpty(), "only the router that saw the read reports it")
 		chat := findChat(other, 2, at.UID, false)
 		Expect(serve(other, start.Add(time.Second), newRequest(root, chat)).CacheSource).To(Equal(at.Address))
--- a/internal/core/placement/roster.go
+++ b/internal/core/placement/roster.go
@@ -119,17 +119,17 @@
 	return out, ids
 }
 
-// ApplyDepartures applies departures that another router reported. It returns those that are news,
-// and the IDs of the targets that get no new requests as a result. A departure counts until a list
-// of its version or a later one arrives, which may take long.
-func (s *TargetSet) ApplyDepartures(now time.Time, reported []Departure) (news []Departure, ids []string) {
+// ApplyDepartures applies departures that another router reported. It returns those that were
+// unknown before, and the IDs of the targets that get no new requests as a result. A departure
+// counts until a list of its version or a later one arrives, which may take long.
+func (s *TargetSet) ApplyDepartures(now time.Time, reported []Departure) (newDepartures []Departure, ids []string) {
 	for _, d := range reported {
 		if d.ListVersion <= s.version || s.departures[d.Target].ListVersion >= d.ListVersion {
 			continue
 		}
 		pending := pendingDeparture{Departure: d, receivedAt: now}
 		s.departures[d.Target] = pending
-		news = append(news, d)
+		newDepartures = append(newDepartures, d)
 		for id, e := range s.entries {
 			if e.target.UID == d.Target && e.applyDeparture(pending) {
 				ids = append(ids, id)
@@ -137,7 +137,7 @@
 		}
 	}
 	s.refreshCaches()
-	return news, ids
+	return newDepartures, ids
 }
 
 // refreshCaches must be called when entries have changed. It updates removedCount, which saves
--- a/internal/core/placement/roster_test.go
+++ b/internal/core/placement/roster_test.go
@@ -151,8 +151,8 @@
 					pools["p"] = append(pools["p"], target)
 				}
 				s.Update(at, uint64(version), pools, nil)
-				news, _ := s.DeparturesSince(nonLeaving, func(id string) bool { _, ok := list[id]; return ok })
-				return news
+				departures, _ := s.DeparturesSince(nonLeaving, func(id string) bool { _, ok := list[id]; return ok })
+				return departures
 			}
 			current, delayed := placement.NewTargetSet(), placement.NewTargetSet()
 			update(delayed, 0)
@@ -193,10 +193,10 @@
 	It("end the use of a removed target after the usual time", func() {
 		s := placement.NewTargetSet()
 		s.Update(at, 5, map[string][]placement.Target{"p": {{UID: 1, ID: "a"}}}, nil)
-		news, ids := s.ApplyDepartures(at, []placement.Departure{{Target: 1, ListVersion: 9, Removed: true}, {Target: 2, ListVersion: 9}, {Target: 1, ListVersion: 4}})
-		Expect(news).To(HaveLen(2), "the current list already covers the last one")
+		newDepartures, ids := s.ApplyDepartures(at, []placement.Departure{{Target: 1, ListVersion: 9, Removed: true}, {Target: 2, ListVersion: 9}, {Target: 1, ListVersion: 4}})
+		Expect(newDepartures).To(HaveLen(2), "the current list already covers the last one")
 		Expect(ids).To(Equal([]string{"a"}), "the other target is not listed yet")
-		Expect(s.ApplyDepartures(at, news)).To(BeEmpty(), "they were reported before")
+		Expect(s.ApplyDepartures(at, newDepartures)).To(BeEmpty(), "they were reported before")
 		s.Update(at.Add(time.Second), 8, map[string][]placement.Target{"p": {{UID: 1, ID: "a"}}}, nil)
 		Expect(s.RemoveExpired(at.Add(1900*time.Millisecond), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeFalse())
 		Expect(s.RemoveExpired(at.Add(2*time.Second), placement.Retention{AfterRemoval: 2 * time.Second})).To(BeTrue(), "counted from the report")
--- a/internal/core/placement/said.go
+++ b/internal/core/placement/said.go
@@ -24,8 +24,8 @@
 )
 
 // MarkLeaving records that a target announced its shutdown, to this router or to another one. It
-// gets no more requests. news reports whether that was unknown before.
-func (b *Balancer) MarkLeaving(now time.Time, uid uint64) (news bool) {
+// gets no more requests. isNew reports whether that was unknown before.
+func (b *Balancer) MarkLeaving(now time.Time, uid uint64) (isNew bool) {
 	if notice, ok := b.leavingNotices[uid]; ok {
 		notice.receivedAt, notice.contradictedSince = now, time.Time{}
 		return false
--- a/internal/core/placement/said_test.go
+++ b/internal/core/placement/said_test.go
@@ -38,7 +38,7 @@
 		Expect(isUsed()).To(BeTrue())
 	})
 
-	It("counts at once, and is news only once", func() {
+	It("counts at once, and is new only once", func() {
 		Expect(b.MarkLeaving(now, 1)).To(BeTrue())
 		Expect(isUsed()).To(BeFalse())
 		Expect(b.MarkLeaving(now, 1)).To(BeFalse())
--- a/internal/core/plannedchange/plannedchange.go
+++ b/internal/core/plannedchange/plannedchange.go
@@ -62,7 +62,7 @@
 // under a lease with less remaining time.
 const OrderValidity = 2 * time.Second
 
-// drainOrder is the order that tells a drained target that it may exit.
+// drainOrder is the order that permits a drained target to exit.
 const drainOrder = "drain"
 
 // Step returns the next status and action for an observation. A new generation of the spec
--- a/internal/core/poison/detector.go
+++ b/internal/core/poison/detector.go
@@ -157,7 +157,7 @@
 
 // startDueSuspicions turns requests whose objection period has passed into suspects, those with the
 // most exits first, so that their exits do not count against others. Requests with the same exited
-// targets can't be told apart: all of them become suspects, and each gets its own trials.
+// targets can't be distinguished: all of them become suspects, and each gets its own trials.
 func (d *Detector) startDueSuspicions(now time.Time) {
 	for {
 		var worst *evidence
--- a/internal/core/poison/news.go
+++ b/internal/core/poison/news.go
@@ -203,7 +203,7 @@
 }
 
 // Restore adds suspects that were read from the store. Each is refused for its whole period again,
-// as the store does not tell when they were written.
+// as the store does not record when they were written.
 func (d *Detector) Restore(now time.Time, stored []Suspect) {
 	for _, s := range stored {
 		if s.Level > 0 {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -73,9 +73,9 @@
 // Platform has the parts of a gateway that depend on the platform: the table store, the decoder of
 // its rows, and the headers of callers and targets.
 type Platform struct {
-	Store   gateway.Store
-	Decoder gateway.Decoder
-	Wire    interface {
+	Store       gateway.Store
+	Decoder     gateway.Decoder
+	HeaderCodec interface {
 		gateway.HeaderCodec
 		gatewayhttp.Decoder
 	}
@@ -99,8 +99,8 @@
 	reporter := &linkReporter{digests: digestSocket, capacity: s.Gateway.LinkBytesPerSecond, log: log, metrics: m}
 	peers := &peerClient{DigestSocket: digestSocket, CopyClient: peer.NewCopyClient(copyTimeout, reporter.fetchedCopies.WrapConn)}
 	g.control = gateway.NewControl(s.Gateway, p.Store, p.Decoder, peers, targets, log, time.Now)
-	proxy := gateway.NewProxy(g.control, p.Wire, targets, m, log, time.Now)
-	callerServer := gatewayhttp.New(proxy, g.control, p.Wire, time.Now, m.CountRefusal)
+	proxy := gateway.NewProxy(g.control, p.HeaderCodec, targets, m, log, time.Now)
+	callerServer := gatewayhttp.New(proxy, g.control, p.HeaderCodec, time.Now, m.CountRefusal)
 	if err := g.startServers(callerServer, m, reporter); err != nil {
 		stop()
 		return nil, err
--- a/internal/daemon/router.go
+++ b/internal/daemon/router.go
@@ -84,10 +84,10 @@
 // observers is an Observer that passes each result to several observers.
 type observers []callerhttp.Observer
 
-// Observe passes the result of a request to each observer.
-func (o observers) Observe(req router.Request, result router.Result) {
+// RecordResult passes the result of a request to each observer.
+func (o observers) RecordResult(req router.Request, result router.Result) {
 	for _, observer := range o {
-		observer.Observe(req, result)
+		observer.RecordResult(req, result)
 	}
 }
 
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -55,7 +55,7 @@
 		runningEngines: make(map[attemptKey]uint64),
 	}
 	f.net.Hooks = fakenet.Hooks{
-		GrantTarget: f.onGrantTarget, RefuseRequest: f.onRefuseRequest, CallPeer: f.onCallPeer, AnswerCall: f.onAnswerCall,
+		GrantTarget: f.onGrantTarget, RefuseRequest: f.onRefuseRequest, CallPeer: f.onCallPeer, ReplyToCall: f.onReplyToCall,
 		ProbeTarget: f.onProbeTarget, ReadStore: f.onReadStore,
 	}
 	ids := make([]uint32, s.scenario.Routers)
@@ -210,8 +210,8 @@
 	f.sim.recorder.controlBytes += callBytes + float64(proto.Size(a.Message))
 }
 
-// onAnswerCall counts the bytes of a reply and the grants in it.
-func (f *fleet) onAnswerCall(_, caller int, a core.ReplyToCall) {
+// onReplyToCall counts the bytes of a reply and the grants in it.
+func (f *fleet) onReplyToCall(_, caller int, a core.ReplyToCall) {
 	if a.Err != nil {
 		return
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -28,9 +28,9 @@
 	return Policy{Name: name, build: func(s *simulation, seed uint64) policy { return newFleet(s, seed, configure) }}
 }
 
-// Policies returns all policies that an experiment compares. In the names of the
-// variants, patience is the CacheWaitTimeout, memory the ChatHistorySize, margin the MeanMargin and
-// hold the ReleaseDelay.
+// Policies returns all policies that an experiment compares. In the names of the variants, patience
+// is the CacheWaitTimeout, memory the ChatHistorySize, margin the BaseReleaseMargin and hold the
+// ReleaseDelay.
 func Policies() []Policy {
 	return []Policy{
 		baselinePolicy("random", chooseRandom, false),
--- a/internal/experiment/spread.go
+++ b/internal/experiment/spread.go
@@ -115,7 +115,7 @@
 	}
 	sp.net = fakenet.New(sp.clock, fleetDelay(settings.Routers))
 	sp.net.IsLost = func(int, int) bool { return settings.LossRate > 0 && sp.rand.Float64() < settings.LossRate }
-	sp.net.Hooks = fakenet.Hooks{PublishTable: sp.onPublishTable, CallPeer: sp.onCallPeer, AnswerCall: sp.onAnswerCall, ReadStore: sp.onReadStore}
+	sp.net.Hooks = fakenet.Hooks{PublishTable: sp.onPublishTable, CallPeer: sp.onCallPeer, ReplyToCall: sp.onReplyToCall, ReadStore: sp.onReadStore}
 	ids := make([]uint32, settings.Routers)
 	for i := range ids {
 		ids[i] = uint32(i + 1)
@@ -202,8 +202,8 @@
 	sp.bytesByKind[messageKind(a.Message)] += callBytes + float64(proto.Size(a.Message))
 }
 
-// onAnswerCall counts the bytes of a reply.
-func (sp *spread) onAnswerCall(_, _ int, a core.ReplyToCall) {
+// onReplyToCall counts the bytes of a reply.
+func (sp *spread) onReplyToCall(_, _ int, a core.ReplyToCall) {
 	if a.Err == nil {
 		sp.bytesByKind[messageKind(a.Message)] += float64(proto.Size(a.Message))
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -62,7 +62,7 @@
 const maxLineBytes = 1 << 20
 
 // Read returns the entries of a request, sorted by time. It ignores the text before the first
-// brace of a line, such as the time and machine that a log collector adds.
+// brace of a line, such as the time and VM that a log collector adds.
 func Read(r io.Reader, request string) ([]Entry, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -13,7 +13,7 @@
 
 // Hooks are callbacks for the actions of a core, one for each type of action; node is the node
 // whose core returned the action. A nil hook is skipped. The network itself carries out only
-// AnswerCall and CallPeer; the effects of all other actions are left to the hooks.
+// ReplyToCall and CallPeer; the effects of all other actions are left to the hooks.
 type Hooks struct {
 	GrantTarget   func(node int, a core.GrantTarget)
 	RefuseRequest func(node int, a core.RefuseRequest)
@@ -21,8 +21,8 @@
 	ReadStore     func(node int, a core.ReadStore)
 	PublishTable  func(node int, a core.PublishTable)
 	Readiness     func(node int, a core.Readiness)
-	// AnswerCall runs before a reply leaves node; caller is the node that receives the reply.
-	AnswerCall func(node, caller int, a core.ReplyToCall)
+	// ReplyToCall runs before a reply leaves node; caller is the node that receives the reply.
+	ReplyToCall func(node, caller int, a core.ReplyToCall)
 	// CallPeer runs before a call leaves node.
 	CallPeer func(node int, a core.CallPeer)
 }
@@ -160,7 +160,7 @@
 	case core.Readiness:
 		runHook(h.Readiness, node, a)
 	case core.ReplyToCall:
-		n.answerCall(node, a)
+		n.replyToCall(node, a)
 	case core.CallPeer:
 		runHook(h.CallPeer, node, a)
 		n.callPeer(node, a)
@@ -174,15 +174,15 @@
 	}
 }
 
-// answerCall sends a reply to the caller of a.Call. A call from before a restart has no entry.
-func (n *Net) answerCall(node int, a core.ReplyToCall) {
+// replyToCall sends a reply to the caller of a.Call. A call from before a restart has no entry.
+func (n *Net) replyToCall(node int, a core.ReplyToCall) {
 	c, ok := n.nodes[node].calls[a.Call]
 	if !ok {
 		return
 	}
 	delete(n.nodes[node].calls, a.Call)
-	if n.Hooks.AnswerCall != nil {
-		n.Hooks.AnswerCall(node, c.from, a)
+	if n.Hooks.ReplyToCall != nil {
+		n.Hooks.ReplyToCall(node, c.from, a)
 	}
 	c.respond(a)
 }
