--- a/internal/app/gateway/control.go
+++ b/internal/app/gateway/control.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	// retentionShare is the fraction of MaxDepartureDelay for which a target remains in use after its
-	// removal from the target list. The rest of the delay is left for the departure to reach all
-	// routers.
+	// retentionShare is the fraction of MaxDepartureDelay for which a target remains in use after
+	// its removal from the target list. The rest of the delay is left for the departure to reach
+	// all routers.
 	retentionShare = 0.35
 	// outageRetention is how long targets remain in use if they are removed from the target list
 	// during a store outage or just after it, since their entries may only have expired. It is also
@@ -163,8 +163,8 @@
 }
 
 // initialSlackSharers returns the number of routers that share the retry slack when this router
-// starts. It is 0 unless the whole fleet starts for the first time: this router then uses no slack
-// yet, because an earlier process may have used it a moment ago.
+// starts: 1 if the whole fleet starts for the first time, 0 otherwise. With 0 this router uses no
+// slack, because an earlier process may have used it a moment ago. See updateSlackSharers.
 func initialSlackSharers(firstStart bool) int {
 	if firstStart {
 		return 1
@@ -172,9 +172,10 @@
 	return 0
 }
 
-// updateSlackSharers sets the number of routers that share the retry slack. Registered routers that
-// are not heard count, since they may be running. Routers that were alive earlier count too, since
-// they may be partitioned.
+// updateSlackSharers sets the number of routers that share the retry slack. Known routers that are
+// not heard, such as registered ones, count, since they may be running. Routers that were alive
+// earlier count too, since they may be partitioned. Unless the whole fleet starts for the first
+// time, the number stays 0 until the other routers are known and retry.SlackDelay is over.
 func (c *Control) updateSlackSharers(now time.Time) {
 	c.maxAlive = max(c.maxAlive, c.core.AliveCount(now)+1)
 	if !c.settings.FirstStart && (c.otherRouters == nil || now.Sub(c.startedAt) < retry.SlackDelay(c.settings.RetrySpan)) {
--- a/internal/app/gateway/poison.go
+++ b/internal/app/gateway/poison.go
@@ -23,7 +23,8 @@
 // passes it the reports of other routers. It is safe for concurrent use.
 type poisonGuard struct {
 	self string
-	// refusedCount is the number of refused requests. While it is 0, admit takes no lock.
+	// refusedCount is the number of suspected requests, by fingerprint, that are refused now. While
+	// it is 0, admit takes no lock.
 	refusedCount atomic.Int64
 
 	mu             sync.Mutex
@@ -117,7 +118,7 @@
 // exitProbe checks whether a target has exited after a connection to it was reset.
 type exitProbe struct {
 	requests   []poison.Fingerprint // whose attempts failed during the probe
-	answeredAt time.Time            // zero until the probe has finished
+	answeredAt time.Time            // when the probe finished; zero until then
 	exited     bool
 }
 
--- a/internal/app/gateway/ports.go
+++ b/internal/app/gateway/ports.go
@@ -31,8 +31,8 @@
 	// ReadTable returns all rows of a table and the position from which to follow changes. It fails
 	// with ErrTooLarge if the table has more than maxRows rows; 0 means no limit.
 	ReadTable(ctx context.Context, t fleet.Table, maxRows int) (position uint64, rows []replica.Row, err error)
-	// AwaitChanges waits for changes after a position. It returns them with the next position, or no
-	// rows if nothing changed within wait. It fails with ErrHistoryLost if the changes are no
+	// AwaitChanges waits for changes after a position. It returns them with the next position, or
+	// no rows if nothing changed within wait. It fails with ErrHistoryLost if the changes are no
 	// longer available.
 	AwaitChanges(ctx context.Context, t fleet.Table, after uint64, wait time.Duration) (position uint64, rows []replica.Row, err error)
 	// RegisterRouters adds router addresses to the store's router list. Entries that exist are left
--- a/internal/app/gateway/status.go
+++ b/internal/app/gateway/status.go
@@ -14,13 +14,13 @@
 	DesiredAge           time.Duration  // time since the desired state was applied
 	TargetsAge           time.Duration  // time since the target list changed
 	AlivePeers           int            // other routers alive
-	DirectPeers          int            // live peers heard directly
+	DirectPeers          int            // other routers that this one receives digests from
 	IsRelay              bool           // this router is a relay of its data centre
 	Feeder               string         // address of this router's feeder; empty if none
 	FeedAge              time.Duration  // time since the feeder's last digest; 0 if none
 	EvacuatedDataCentres int            // number of evacuated data centres
 	ColdTargets          int            // number of cold targets
-	Suspects             int            // number of refused requests
+	Suspects             int            // number of suspected requests that are refused
 	OpenRequests         map[string]int // open requests of the fleet by target ID
 }
 
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -47,9 +47,9 @@
 	// change has to be applied.
 	readerTakeoverDelay = 250 * time.Millisecond
 	// firstStartDelay is how long a router without Settings.ReadStoreAtStart waits for the digests
-	// of other routers, relays in particular, before it becomes a reader. All routers start for the
-	// first time then. A random extra of up to half of the delay spreads the starts, so that the
-	// first routers save the others their calls.
+	// of other routers, relays in particular, before it becomes a reader. Such a router starts
+	// together with the whole fleet. A random extra of up to half of the delay spreads the times at
+	// which routers may start to read, so that the first ones save the others their calls.
 	firstStartDelay = 600 * time.Millisecond
 	// restartDelay replaces firstStartDelay for a router with Settings.ReadStoreAtStart. Other
 	// routers may be running then, and a running seed has answered by the end of the delay.
@@ -57,9 +57,10 @@
 	// routers restart at once then.
 	restartDelay    = 130 * time.Millisecond
 	maxRestartDelay = 500 * time.Millisecond
-	// firstStartCopyTimeout is how long a router waits for copies from other routers before it
-	// reads tables itself, when all routers start for the first time, well before requests arrive.
-	// A router with Settings.ReadStoreAtStart reads immediately because callers wait.
+	// firstStartCopyTimeout is how long a router without Settings.ReadStoreAtStart waits for copies
+	// from other routers before it reads tables itself. It can wait, because the whole fleet starts
+	// well before requests arrive. A router with Settings.ReadStoreAtStart reads immediately,
+	// because callers wait.
 	firstStartCopyTimeout = 3 * time.Second
 	// minRetryDelay and maxRetryDelay limit the delay after a failed store call. Calls cost money
 	// even if refused, and the fleet shares a rate limit.
--- a/internal/core/fleet/meet.go
+++ b/internal/core/fleet/meet.go
@@ -10,7 +10,7 @@
 // maxGreetingPeers is how many routers a greeting lists besides the relays.
 const maxGreetingPeers = 8
 
-// sendGreetings sends a digest to the routers in peersToGreet that lists the relays and some other
+// sendGreetings sends the routers in peersToGreet a digest that lists the relays and some other
 // routers. Listing all routers would fill the links of the seeds when a fleet starts at once.
 func (c *Core) sendGreetings(now time.Time) {
 	if len(c.peersToGreet) == 0 {
@@ -30,6 +30,8 @@
 		listed++
 		return listed <= maxGreetingPeers
 	})
+	// A greeting does not vouch: only relays may, and the list is incomplete. Recipients revoke a
+	// relay's vouches for the routers that its vouching list lacks, see revokeUnlisted.
 	d.Vouches = false
 	c.emit(SendDigest{To: to, Digest: d})
 }
--- a/internal/core/fleet/peers.go
+++ b/internal/core/fleet/peers.go
@@ -138,12 +138,13 @@
 	return !c.relay
 }
 
-// accepts rejects digests that are not newer than the last one, and digests of the previous process
-// that arrive after a restart. Incarnations are not ordered, and neither does the order of arrival
-// show which of two processes is the later one: a router that resumes after a stall receives the
-// queued digests in any order. The running process is the one that keeps sending, so the digests of
-// the other are accepted again once the peer is no longer alive. If the running process were
-// rejected permanently, both routers would consider each other down until the next restart.
+// accepts reports whether a digest of the peer is to be processed. It rejects digests that are not
+// newer than the last one, and digests of the previous process that arrive after a restart.
+// Incarnations are not ordered, and neither does the order of arrival show which of two processes
+// is the later one: a router that resumes after a stall receives the queued digests in any order.
+// The running process is the one that keeps sending, so the digests of the other are accepted again
+// once the peer is no longer alive. If the running process were rejected permanently, both routers
+// would consider each other down until the next restart.
 func (p *peer) accepts(now time.Time, d *peerv1.Digest) bool {
 	switch d.GetIncarnation() {
 	case p.incarnation:
@@ -187,6 +188,7 @@
 		case !p.isNew(now):
 			p.knownSince, c.topologyStale = now, true // the sender or a relay must have heard it
 		default:
+			// A peer that was added just now changes the topology.
 			c.topologyStale = c.topologyStale || p.knownSince.Equal(now)
 		}
 		if d.GetVouches() {
--- a/internal/core/fleet/store.go
+++ b/internal/core/fleet/store.go
@@ -69,9 +69,9 @@
 
 // lostAnswerShare is the share of MaxApplyDelay that must pass after the last answer before a
 // pending call may be cancelled. Otherwise each of several desired states in quick succession would
-// cancel a call. The share is half of a short wait. One cancelled call in that time costs a third
-// of the calls, and a lost answer is still detected well before a leaving target must stop
-// receiving requests.
+// cancel a call. The share is half of a short wait, see shortWaitShare. Cancelling at most one call
+// in that time costs a third of the calls, and a lost answer is still detected well before a
+// leaving target must stop receiving requests.
 const lostAnswerShare = 0.25
 
 // noteLostAnswer records that the first reader's call for the target list is still pending although
--- a/internal/core/fleet/topology.go
+++ b/internal/core/fleet/topology.go
@@ -54,7 +54,8 @@
 	randomProbes = 3
 )
 
-// rank orders routers by strength, then by hash. All routers compute the same order.
+// rank orders routers by strength, the strongest first, then by hash. All routers compute the same
+// order.
 type rank struct {
 	strength uint32
 	hash     uint64
@@ -64,6 +65,7 @@
 	return rank{strength: strength, hash: rendezvous.Hash(string(a))}
 }
 
+// compare returns a negative number if r is higher than o, a positive one if it is lower.
 func (r rank) compare(o rank) int {
 	if c := cmp.Compare(o.strength, r.strength); c != 0 {
 		return c
@@ -188,6 +190,8 @@
 	return rendezvous.Mix(c.own.rank.hash, a.rank.hash) > rendezvous.Mix(c.own.rank.hash, b.rank.hash)
 }
 
+// isDistrusted reports whether a router fell silent as this router's feeder within distrustPeriod.
+// Unlike peer.failedAsFeeder, it ignores whether the router was heard or vouched for since.
 func (c *Core) isDistrusted(now time.Time, a Address) bool {
 	p, ok := c.peers[a]
 	return ok && !p.distrustedAt.IsZero() && now.Sub(p.distrustedAt) < distrustPeriod
@@ -216,7 +220,8 @@
 // Role returns whether this router is a relay of its data centre, and its feeder if it has one.
 func (c *Core) Role() (relay bool, feeder Address) { return c.relay, c.feeder }
 
-// FedAt returns when the feeder last sent a digest; zero if never.
+// FedAt returns when this router's feeder, or an earlier one, last sent the sum over the fleet. It
+// is zero if none has since this router last became a relay or stopped being one.
 func (c *Core) FedAt() time.Time { return c.fedAt }
 
 // LocalRouters returns the running routers of this data centre that are not leaving. It returns nil
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -59,7 +59,9 @@
 	}
 }
 
-// choose returns the target for a request and the rule that chose it; nil if there is none.
+// choose returns the target for a request and the rule that chose it; nil if there is none. It
+// prefers a cold target to a warm one without a free slot. A target that skipFilter skips as
+// suspended or ejected is chosen only if there is no other.
 func (b *Balancer) choose(now time.Time, p *pool, r Request, bound float64) (*target, Rule) {
 	t, rule := b.chooseWarm(now, p, r, bound)
 	if t == nil || !t.hasFreeSlot() {
--- a/internal/core/placement/health.go
+++ b/internal/core/placement/health.go
@@ -47,6 +47,7 @@
 	unreachable            bool // since the last answer
 }
 
+// isSuspended reports whether the suspension lasts, or has ended and its trial is in flight.
 func (h *health) isSuspended(now time.Time) bool {
 	return h.suspendedUntil.After(now) || (h.consecutiveSuspensions > 0 && h.trialPending)
 }
--- a/internal/core/placement/model.go
+++ b/internal/core/placement/model.go
@@ -80,7 +80,7 @@
 // firstEventSeconds returns the expected time to the first event at an average target, in seconds.
 func (m *latencyModel) firstEventSeconds(tokens float64) float64 { return m.base + m.perToken*tokens }
 
-// halfLifeDecay returns the factor by which a decaying sum shrinks in a time.
+// halfLifeDecay returns the factor by which a decaying sum shrinks in the elapsed time.
 func halfLifeDecay(elapsed, halfLife time.Duration) float64 {
 	return math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 }
--- a/internal/core/placement/outlier.go
+++ b/internal/core/placement/outlier.go
@@ -27,7 +27,7 @@
 	o.ExpectedSeconds = max(o.ExpectedSeconds+weight*other.ExpectedSeconds, 0)
 }
 
-// DecayFactor returns the factor by which outcomes decay in a time.
+// DecayFactor returns the factor by which outcomes decay in the elapsed time.
 func DecayFactor(elapsed time.Duration) float64 { return halfLifeDecay(elapsed, outcomeHalfLife) }
 
 const (
--- a/internal/core/placement/pause.go
+++ b/internal/core/placement/pause.go
@@ -19,7 +19,8 @@
 	maxPauseJitter = time.Second
 )
 
-// isOn reports whether the target gets no requests now.
+// isOn reports whether the target gets no requests now: the pause lasts, or has ended and its trial
+// request is in flight.
 func (p *pause) isOn(now time.Time) bool { return p.until.After(now) || (p.untested && p.trialPending) }
 
 func (p *pause) recordPlacement() { p.trialPending = p.untested }
--- a/internal/core/placement/source.go
+++ b/internal/core/placement/source.go
@@ -55,10 +55,12 @@
 	return len(r.PromptPrefixes) > 0 && p.Hash == r.PromptPrefixes[len(r.PromptPrefixes)-1].Hash
 }
 
-// formerHome returns the target that probably got the chat's requests before t. If t is new, that
-// is the first one in the chat's order that served requests before t joined. Otherwise it is the
-// first one of all, leaving targets included. Targets that join together, as at the start of a
-// fleet, have nothing to share. It returns nil if t itself was the chat's home.
+// formerHome returns the target that probably got the chat's requests before t, leaving targets
+// included. If t is new, that is the first one in the chat's order that served requests before t
+// joined: targets that join together, as at the start of a fleet, have nothing to share. If t is
+// not new, it is the first one before t in the order that is not new either. Targets from which
+// nothing may be fetched are passed over. It returns nil if there is no such target, as when t is
+// not new and is the chat's home itself.
 func formerHome(now time.Time, p *pool, r Request, t *target) *target {
 	isNew := now.Sub(t.joinedAt) < newTargetPeriod
 	var best *target
